--- a/build.mjs
+++ b/build.mjs
@@ -68,7 +68,7 @@
     format: 'esm',
     target: 'node20',
   });
-for (const name of ['standins', 'demo']) {
+for (const name of ['standins', 'demo', 'fingerprint']) {
   if (!process.argv.includes(`--${name}`)) continue;
   await build({ ...common, entryPoints: [`test/standins/${name}.ts`], outfile: `target/${name}.cjs` });
 }
--- /dev/null
+++ b/test/fingerprint.test.ts
@@ -0,0 +1,22 @@
+/** A day of each kind against the record of all traffic; `npm run fingerprint` compares every recorded day. */
+import { readFileSync } from 'node:fs';
+import { expect, test } from 'vitest';
+import { fingerprintDay, SEEDED_DAYS } from './standins/days.js';
+
+const recorded = readFileSync(new URL('data/fingerprint.txt', import.meta.url), 'utf8')
+  .trimEnd()
+  .split('\n');
+
+test('every recorded day is one that is played, and the other way round', () => {
+  expect(recorded.map((line) => line.split(' ').slice(0, 2).join(' '))).toEqual(
+    SEEDED_DAYS.map(({ seed, kind }) => `${seed} ${kind}`),
+  );
+});
+
+const kinds = [...new Set(SEEDED_DAYS.map(({ kind }) => kind))];
+
+test.each(kinds)('%s: the traffic is as recorded', async (kind) => {
+  const day = SEEDED_DAYS.findLast((one) => one.kind === kind);
+  if (day === undefined) throw new Error(`no day of kind ${kind}`);
+  expect(recorded).toContain(await fingerprintDay(day));
+});
--- a/test/standins/checker.ts
+++ b/test/standins/checker.ts
@@ -19,6 +19,9 @@
   readonly spread: boolean;
   /** Jobs that have to be done before. */
   readonly awaits?: readonly string[];
+  /** As users write them; an array of normal urgency unless told. */
+  readonly form?: 'array' | 'ensemble' | 'service';
+  readonly urgency?: 'prod' | 'high' | 'normal' | 'best_effort';
 }
 
 interface Standing {
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -3,6 +3,7 @@
 import type { Workers } from '../../src/adapters/workers.js';
 import type { ListedMachine, MachineType, Report, WorkerCommand } from '../../src/core/types.js';
 import { asObject, type Json } from '../../src/core/values.js';
+import { encodeRental, encodeReturn } from '../../src/wire/cloud.js';
 import { encodeDirect, parseReport } from '../../src/wire/workers.js';
 import type { Checker } from './checker.js';
 import type { Network } from './network.js';
@@ -380,6 +381,7 @@
 
   /** One node's access to the cloud and to the workers' own addresses. */
   accessFor(node: string): Cloud & Workers {
+    const tell = (request: string): void => this.network.tap?.(node, 'cloud', request);
     const ask = async <T>(serve: () => T): Promise<T | null> => {
       if (this.troubleUntil > this.network.clock.now) {
         await this.network.clock.sleep(1000);
@@ -397,12 +399,24 @@
       return null;
     };
     return {
-      catalog: () => ask(() => TYPES),
-      machines: () => ask(() => this.list()),
-      rent: async (...wish) => (await change(() => this.rent(...wish))) ?? 'unknown',
-      giveBack: async (names) =>
-        (await change(() => names.forEach((name) => this.remove(name)) ?? true)) ?? false,
+      catalog: () => {
+        tell('catalog');
+        return ask(() => TYPES);
+      },
+      machines: () => {
+        tell('list');
+        return ask(() => this.list());
+      },
+      rent: async (...wish) => {
+        tell(`rent ${encodeRental(...wish)}`);
+        return (await change(() => this.rent(...wish))) ?? 'unknown';
+      },
+      giveBack: async (names) => {
+        tell(`return ${encodeReturn(names)}`);
+        return (await change(() => names.forEach((name) => this.remove(name)) ?? true)) ?? false;
+      },
       isThere: async (address): Promise<boolean> => {
+        this.network.tap?.(node, address, 'connect');
         const worker = [...this.workers.values()].find(({ listed }) => listed.address === address);
         if (worker === undefined) return false;
         const met = await this.network.ask<boolean>(node, worker.listed.name, 750, (reply) => reply(true));
@@ -411,7 +425,9 @@
       direct: async (address, token, session, commands: readonly WorkerCommand[]): Promise<Report | null> => {
         const worker = [...this.workers.values()].find(({ listed }) => listed.address === address);
         if (worker === undefined) return null;
-        const body = JSON.parse(encodeDirect(token, session, commands)) as unknown;
+        const text = encodeDirect(token, session, commands);
+        this.network.tap?.(node, address, `direct ${text}`);
+        const body = JSON.parse(text) as unknown;
         const found = await this.network.ask<unknown>(node, worker.listed.name, 3000, (reply) =>
           worker.direct(body, reply),
         );
--- /dev/null
+++ b/test/standins/days.ts
@@ -0,0 +1,161 @@
+/**
+ * Seeded days whose whole traffic is hashed. A hash covers what passes the wire encoders and what the stand-ins
+ * keep, and no internal name: it stays the same through any change that keeps the behaviour.
+ */
+import { createHash } from 'node:crypto';
+import type { SubmittedJob } from './checker.js';
+import { drawMeetings, LONGEST_RUN } from './troubles.js';
+import { drawDay, seeded, TEAMS, TIGHT, World, type DaySize, type WorldOptions } from './world.js';
+
+const DAY_MS = 90_000;
+const REST_MS = 150_000;
+const MEETINGS_MS = 240_000;
+/** How often the status pages of all controllers are taken in. */
+const PAGES_EVERY_MS = 5000;
+
+const PIPELINES: DaySize = { jobs: 6, mostTasks: 5, machines: 8, pipelines: 6 };
+const ON_CALL: DaySize = { jobs: 16, mostTasks: 6, machines: 8, onCall: true };
+const WIDE: DaySize = { jobs: 12, mostTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
+
+interface Kind {
+  readonly seeds: readonly number[];
+  options?(seed: number): WorldOptions;
+  /** Draws what comes; the result: how long the day is, in milliseconds. */
+  draw(world: World, seed: number): number;
+}
+
+/** Gangs and services of every priority, some of them cancelled. */
+function drawForms(world: World): void {
+  const { draw, clock } = world;
+  const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
+  for (let i = 0; i < 10; i += 1) {
+    const id = `req-${String(600_000 + i)}`;
+    const form = pick(['ensemble', 'service'] as const);
+    const job: SubmittedJob = {
+      id,
+      form,
+      urgency: pick(['prod', 'high', 'normal', 'best_effort']),
+      jobClass: `class-${i % 3}`,
+      team: pick(TEAMS),
+      tasks: 1 + Math.floor(draw() * 4),
+      cpus: pick([1, 2, 4]),
+      memoryGb: 2,
+      spot: draw() < 0.5,
+      zone: null,
+      oneZone: draw() < 0.3,
+      spread: draw() < 0.3,
+    };
+    if (form === 'service') world.runs.set(id, [10 * DAY_MS, 0]);
+    const cancelAfterMs = form === 'service' || draw() < 0.2 ? 60_000 * draw() : null;
+    clock.in(0.6 * DAY_MS * draw(), () => void world.user(job, cancelAfterMs));
+  }
+}
+
+function drawUpgrade(world: World): number {
+  const { draw, clock } = world;
+  const crashAny = (): void => world.crash(Math.floor(draw() * 3), 2000);
+  drawDay(world, DAY_MS, 4, WIDE);
+  for (let i = 0; i < 4; i += 1) clock.in(40_000 * draw(), crashAny);
+  [2, 0, 1].forEach((node, i) =>
+    clock.in(10_000 + i * (2000 + 10_000 * draw()), () => world.upgrade(node, 4000)),
+  );
+  clock.in(45_000 + 20_000 * draw(), () => world.shrink());
+  for (let i = 0; i < 4; i += 1) clock.in(45_000 + 25_000 * draw(), crashAny);
+  return DAY_MS + REST_MS;
+}
+
+function drawUsual(world: World, faults: number, size?: DaySize): number {
+  drawDay(world, DAY_MS, faults, size);
+  return DAY_MS + REST_MS;
+}
+
+function drawMet(world: World, seed: number): number {
+  drawMeetings(world, 1 + (seed % 3), () => undefined);
+  return MEETINGS_MS + 2 * LONGEST_RUN;
+}
+
+const KINDS: Readonly<Record<string, Kind>> = {
+  quiet: { seeds: [1], draw: (world) => drawUsual(world, 0) },
+  faults: {
+    seeds: [101, 102, 103, 104, 105, 106, 107],
+    options: (seed) => ({ cpusMax: seed % 2 === 0 ? 0 : 16 }),
+    draw: (world, seed) => drawUsual(world, 3 + (seed % 12)),
+  },
+  pipelines: { seeds: [201, 202, 203, 204, 205], draw: (world) => drawUsual(world, 8, PIPELINES) },
+  upgrade: {
+    seeds: [301, 302, 303, 304],
+    options: () => ({ limits: TIGHT, earlier: true }),
+    draw: drawUpgrade,
+  },
+  'on-call': {
+    seeds: [401, 402, 403, 404],
+    options: () => ({ copies: true }),
+    draw: (world) => drawUsual(world, 10, ON_CALL),
+  },
+  meetings: {
+    seeds: [501, 502, 503, 504, 505, 506, 507, 508],
+    options: (seed) => ({
+      copies: true,
+      cpusMax: seed % 2 === 0 ? 0 : 12,
+      ...(seed % 3 === 0 ? { limits: TIGHT } : {}),
+    }),
+    draw: drawMet,
+  },
+  forms: {
+    seeds: [601, 602, 603, 604, 605],
+    draw: (world) => {
+      drawForms(world);
+      return drawUsual(world, 6, { jobs: 6, mostTasks: 4, machines: 8 });
+    },
+  },
+  sharing: {
+    seeds: [701, 702, 703, 704],
+    options: () => ({ sharing: true, copies: true }),
+    draw: (world) => drawUsual(world, 8, ON_CALL),
+  },
+  'sharing-meetings': {
+    seeds: [801, 802],
+    options: () => ({ sharing: true, copies: true }),
+    draw: drawMet,
+  },
+};
+
+export interface SeededDay {
+  readonly seed: number;
+  readonly kind: string;
+}
+
+/** All days, in the order in which they are recorded. */
+export const SEEDED_DAYS: readonly SeededDay[] = Object.entries(KINDS).flatMap(([kind, { seeds }]) =>
+  seeds.map((seed) => ({ seed, kind })),
+);
+
+/** Plays a day; the result: the line that is recorded of it. `note` is told each message, in order. */
+export async function fingerprintDay(
+  { seed, kind }: SeededDay,
+  note: (line: string) => void = () => undefined,
+): Promise<string> {
+  const plan = KINDS[kind];
+  if (plan === undefined) throw new RangeError(`no kind of day ${kind}`);
+  const hash = createHash('sha256');
+  let lines = 0;
+  let now = (): number => 0;
+  const tap = (from: string, to: string, message: string): void => {
+    const line = `${now()} ${from} > ${to} ${message}\n`;
+    hash.update(line);
+    lines += 1;
+    note(line);
+  };
+  const world = new World(seeded(seed), { sharing: false, ...plan.options?.(seed), tap });
+  now = () => world.clock.now;
+  const pages = (): void => {
+    for (const page of world.pages()) tap('page', 'operators', JSON.stringify(page));
+    tap('ready', 'balancer', JSON.stringify(world.ready()));
+    world.clock.in(PAGES_EVERY_MS, pages);
+  };
+  world.clock.in(PAGES_EVERY_MS, pages);
+  await world.clock.runUntil(plan.draw(world, seed));
+  for (const [key, { value, stamp }] of [...world.state.keys].sort(([a], [b]) => (a < b ? -1 : 1)))
+    tap('state', 'end', `${key} ${stamp} ${JSON.stringify(value)}`);
+  return `${seed} ${kind} ${lines} ${hash.digest('hex')}`;
+}
--- a/test/standins/network.ts
+++ b/test/standins/network.ts
@@ -3,7 +3,11 @@
 
 export type Draw = () => number;
 
+/** Sees each message as its sender writes it on the wire, or as the stand-in that takes it keeps it. */
+export type Tap = (from: string, to: string, message: string) => void;
+
 export class Network {
+  tap: Tap | null = null;
   readonly #cuts = new Map<string, number>();
   readonly #deaf = new Map<string, number>();
   readonly #mute = new Map<string, number>();
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -3,7 +3,7 @@
 import type { StateLimits } from '../../src/settings.js';
 import { asObject } from '../../src/core/values.js';
 import type { Transaction } from '../../src/core/types.js';
-import type { Change, Entry } from '../../src/wire/state.js';
+import { encodeTransaction, type Change, type Entry } from '../../src/wire/state.js';
 import type { Network } from './network.js';
 
 interface Kept {
@@ -149,8 +149,10 @@
         const value = JSON.parse(JSON.stringify(write.value)) as unknown;
         this.keys.set(write.put, { value, stamp: this.revision, lease: write.lease ?? null });
         this.#changes.push({ key: write.put, value, stamp: this.revision });
+        this.network.tap?.('state', 'kept', `${this.revision} put ${write.put} ${JSON.stringify(value)}`);
       } else if (this.keys.delete(write.remove)) {
         this.#changes.push({ key: write.remove, value: undefined, stamp: this.revision });
+        this.network.tap?.('state', 'kept', `${this.revision} remove ${write.remove}`);
       }
     }
     if (this.#changes.length > KEPT_CHANGES) this.#changes.splice(0, this.#changes.length - KEPT_CHANGES);
@@ -288,7 +290,8 @@
     return new Promise((resolve) => this.clock.awake(() => resolve(answer)));
   }
 
-  async #ask<T>(serve: () => T, lost = false): Promise<T | 'down' | null> {
+  async #ask<T>(request: string, serve: () => T, lost = false): Promise<T | 'down' | null> {
+    this.service.network.tap?.(this.node, 'state', request);
     const sentAt = this.clock.mono();
     const answer = await this.service.network.ask<T | 'down'>(this.node, 'state', this.timeoutMs, (reply) => {
       const { clock } = this.service.network;
@@ -316,12 +319,12 @@
   }
 
   async read(key: string): Promise<Read> {
-    const answer = await this.#ask(() => ({ entry: this.service.read(key) }));
+    const answer = await this.#ask(`read ${key}`, () => ({ entry: this.service.read(key) }));
     return answer === null || answer === 'down' ? 'unknown' : answer;
   }
 
   async list(prefix: string): Promise<{ entries: Entry[]; revision: number } | 'unknown'> {
-    const answer = await this.#ask(() => ({
+    const answer = await this.#ask(`list ${prefix}`, () => ({
       entries: this.service.list(prefix),
       revision: this.service.revision,
     }));
@@ -333,6 +336,7 @@
     if (lateBy !== null) return this.#commitLate(txn, lateBy);
     const lost = this.service.losesAnswer(txn);
     const answer = await this.#ask(
+      `transaction ${encodeTransaction(txn)}`,
       () => (lost ? this.service.carryOutUnseen(txn) : this.service.commit(txn)),
       lost,
     );
@@ -341,7 +345,8 @@
   }
 
   async #commitLate(txn: Transaction, afterMs: number): Promise<Commit> {
-    const { clock } = this.service.network;
+    const { clock, tap } = this.service.network;
+    tap?.(this.node, 'state', `transaction ${encodeTransaction(txn)}`);
     // Values cross the wire: what the caller makes of its own later changes nothing.
     const sent = JSON.parse(JSON.stringify(txn)) as Transaction;
     const carryOut = (): void => {
@@ -355,6 +360,7 @@
 
   async watch(prefix: string, after: number, waitMs: number): Promise<Watch> {
     const sentAt = this.clock.mono();
+    this.service.network.tap?.(this.node, 'state', `watch ${prefix} ${after} ${waitMs}`);
     const found = await this.service.network.ask<Watch>(
       this.node,
       'state',
@@ -368,21 +374,29 @@
   }
 
   async changes(prefix: string, after: number): Promise<Watch> {
-    const answer = await this.#ask(() => this.service.since(prefix, after));
+    const answer = await this.#ask(`changes ${prefix} ${after}`, () => this.service.since(prefix, after));
     return answer === null || answer === 'down' ? { kind: 'unknown' } : answer;
   }
 
   async grant(lifeMs: number): Promise<number | null> {
-    const answer = await this.#ask(() => this.service.grant(lifeMs), this.service.losesAnswer());
+    const answer = await this.#ask(
+      `grant ${lifeMs}`,
+      () => this.service.grant(lifeMs),
+      this.service.losesAnswer(),
+    );
     return answer === 'down' ? null : answer;
   }
 
   async revoke(lease: number): Promise<void> {
-    await this.#ask(() => this.service.revoke(lease), this.service.losesAnswer());
+    await this.#ask(`revoke ${lease}`, () => this.service.revoke(lease), this.service.losesAnswer());
   }
 
   async renew(lease: number): Promise<boolean | null> {
-    const answer = await this.#ask(() => this.service.renew(lease), this.service.losesAnswer());
+    const answer = await this.#ask(
+      `renew ${lease}`,
+      () => this.service.renew(lease),
+      this.service.losesAnswer(),
+    );
     return answer === 'down' ? null : answer;
   }
 }
--- a/test/standins/world.ts
+++ b/test/standins/world.ts
@@ -5,11 +5,11 @@
 import { lastingLimits, parseSettings, timing, type PlatformSettings } from '../../src/settings.js';
 import type { Link } from '../../src/membership/views.js';
 import type { IntakeMessage } from '../../src/wire/intake.js';
-import { encodeIntake, StatusReader } from '../../src/wire/peers.js';
+import { encodeIntake, encodeStatus, StatusReader } from '../../src/wire/peers.js';
 import { Checker, type OnMachine, type SubmittedJob } from './checker.js';
 import { ProcessClock, VirtualClock } from './clock.js';
 import { CloudStandin, TYPES, Worker } from './cloud.js';
-import { Network, type Draw } from './network.js';
+import { Network, type Draw, type Tap } from './network.js';
 import { EarlierStateClient, StateClient, StateStandin } from './state.js';
 
 export const NODES = ['n-0', 'n-1', 'n-2'];
@@ -76,6 +76,8 @@
   readonly copies?: boolean;
   /** Followers take reports for the leader, however few the machines are. */
   readonly sharing?: boolean;
+  /** Sees all messages. */
+  readonly tap?: Tap;
   /** All controllers begin as the version before pipelines. */
   readonly earlier?: boolean;
 }
@@ -142,6 +144,7 @@
     const cpusMax = this.cpusMax;
     if (options.earlier === true) NODES.forEach((_, i) => this.#earlier.add(i));
     this.network = new Network(this.clock, draw);
+    this.network.tap = options.tap ?? null;
     this.state = new StateStandin(this.network);
     this.checker = new Checker(30_000, cpusMax);
     this.cloud = new CloudStandin(this.network, (listed) => this.#worker(listed));
@@ -169,7 +172,13 @@
     };
     return new Worker(listed, this.network, rules, this.checker, (node, body, reply) => {
       const life = this.#lives.get(node);
-      if (life?.clock.alive === true) life.clock.awake(() => life.node.report(body, reply));
+      const { tap } = this.network;
+      tap?.(listed.name, node, `report ${JSON.stringify(body)}`);
+      const answer = (status: number, text: string): void => {
+        tap?.(node, listed.name, `answer ${status} ${text}`);
+        reply(status, text);
+      };
+      if (life?.clock.alive === true) life.clock.awake(() => life.node.report(body, answer));
       // Its host refuses the connection: nobody listens there any more.
       else reply(0, '');
     });
@@ -346,6 +355,11 @@
     round();
   }
 
+  /** What each living node's status page says. */
+  pages(): object[] {
+    return [...this.#lives.values()].flatMap(({ clock, node }) => (clock.alive ? [node.describe()] : []));
+  }
+
   /** The nodes that take themselves for leader. */
   leaders(): string[] {
     return NODES.filter((name) => this.#lives.get(name)?.node.status().leading === true);
@@ -458,6 +472,7 @@
     // An earlier version says nothing of formats and pipelines.
     const own = life.node.status();
     const status = life.earlier ? { ...own, format: 0, settledAt: 0, ...UNSEEN } : own;
+    this.network.tap?.(from, 'peers', `status ${Buffer.from(encodeStatus(status)).toString('hex')}`);
     for (const [to, other] of this.#lives) {
       if (to === from || this.network.isCut(from, to)) continue;
       if (!other.clock.alive || this.isRefused()) {
@@ -484,6 +499,7 @@
     own.sent.set(other, queue);
     // Values cross the wire: nobody may share an object with another process.
     const frame = encodeIntake(message);
+    this.network.tap?.(from, to, `intake ${Buffer.from(frame).toString('hex')}`);
     queue.push(frame);
     this.network.send(from, to, () => {
       const due = queue.splice(0, queue.indexOf(frame) + 1);
@@ -512,11 +528,15 @@
     const { users } = life.node;
     const askedAt = this.clock.now;
     this.checker.asked(id, askedAt);
+    const node = NODES[[...this.#lives.values()].indexOf(life)] ?? '';
+    const { tap } = this.network;
+    tap?.('user', node, `${kind} ${id} ${JSON.stringify(body)}`);
     const call =
       kind === 'submit' ? users.submit(body) : kind === 'show' ? users.show(id) : users.withdraw(id);
     const answer = await Promise.race([call, this.clock.sleep(5000).then(() => null)]);
     if (answer === null || !life.clock.alive) return null;
     const told = JSON.parse(JSON.stringify(answer.body)) as { stage?: string };
+    tap?.(node, 'user', `${kind} ${id} ${answer.status} ${JSON.stringify(answer.body)}`);
     this.checker.answered(id, answer.status, told, this.clock.now, kind, askedAt);
     if (answer.status >= 300) return null;
     const { stage = null } = told;
@@ -559,8 +579,8 @@
       nameId: job.id,
       repertoire: job.jobClass ?? 'class',
       crew: job.team,
-      form: 'array',
-      urgency: job.bookmarkS === undefined ? 'normal' : 'best_effort',
+      form: job.form ?? 'array',
+      urgency: job.urgency ?? (job.bookmarkS === undefined ? 'normal' : 'best_effort'),
       movements: job.tasks,
       cores: job.cpus,
       gpus: 0,
