--- a/test/standins/days.ts
+++ b/test/standins/days.ts
@@ -51,6 +51,32 @@
   }
 }
 
+/** Long idle-time arrays fill a few machines; what is urgent comes later and needs their room. */
+function drawPreemption(world: World): void {
+  const { draw, clock, cloud } = world;
+  const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
+  cloud.capacity = 4;
+  for (let i = 0; i < 10; i += 1) {
+    const id = `req-${String(800_000 + i)}`;
+    const isIdle = i < 5;
+    const job: SubmittedJob = {
+      id,
+      urgency: isIdle ? pick(['normal', 'best_effort']) : pick(['prod', 'high']),
+      ...(isIdle ? { bookmarkS: 2, jobClass: `idle-${i % 2}` } : { jobClass: 'urgent' }),
+      team: pick(TEAMS),
+      tasks: isIdle ? 8 + Math.floor(draw() * 8) : 1 + Math.floor(draw() * 3),
+      cpus: isIdle ? pick([1, 2, 3]) : pick([2, 4, 8]),
+      memoryGb: 2,
+      spot: true,
+      zone: null,
+      oneZone: false,
+      spread: false,
+    };
+    if (isIdle) world.runs.set(id, [60_000 + 60_000 * draw(), 4000 * draw()]);
+    clock.in(isIdle ? 10_000 * draw() : 40_000 + 60_000 * draw(), () => void world.user(job, null));
+  }
+}
+
 function drawUpgrade(world: World): number {
   const { draw, clock } = world;
   const crashAny = (): void => world.crash(Math.floor(draw() * 3), 2000);
@@ -108,6 +134,14 @@
       return drawUsual(world, 6, { jobs: 6, mostTasks: 4, machines: 8 });
     },
   },
+  preemption: {
+    seeds: [901, 902, 903, 904],
+    draw: (world, seed) => {
+      drawDay(world, DAY_MS, seed % 2 === 0 ? 0 : 4, { jobs: 2, mostTasks: 2, machines: 4 });
+      drawPreemption(world);
+      return DAY_MS + REST_MS;
+    },
+  },
   sharing: {
     seeds: [701, 702, 703, 704],
     options: () => ({ sharing: true, copies: true }),
