--- /dev/null
+++ b/test/golden.test.ts
@@ -0,0 +1,31 @@
+/**
+ * Bytes on the wire and in the store, against files that were recorded once. `GOLDEN_RECORD=1` writes what is
+ * missing; a file that is there is never written again.
+ */
+import { existsSync, readFileSync, writeFileSync } from 'node:fs';
+import { expect, test } from 'vitest';
+import * as messages from './standins/golden-messages.js';
+
+const FILES: readonly (readonly [string, () => string[] | Promise<string[]>])[] = [
+  ['peers', messages.peers],
+  ['workers', messages.workers],
+  ['reports', messages.reports],
+  ['submissions', messages.submissions],
+  ['job-views', messages.jobViews],
+  ['user-requests', messages.userRequests],
+  ['status-pages', messages.statusPages],
+  ['state-requests', messages.stateRequests],
+  ['cloud-requests', messages.cloudRequests],
+  ['direct-request', messages.directRequest],
+  ['stored', messages.stored],
+  ['settings', messages.settings],
+  ['policies', messages.policies],
+];
+
+test.each(FILES)('%s: byte for byte as recorded', async (name, made) => {
+  const file = new URL(`golden/${name}.txt`, import.meta.url);
+  const text = `${(await made()).join('\n')}\n`;
+  if (!existsSync(file) && process.env['GOLDEN_RECORD'] === '1') writeFileSync(file, text);
+  expect(existsSync(file), `${name}.txt is missing`).toBe(true);
+  expect(text).toBe(readFileSync(file, 'utf8'));
+});
