--- a/src/controller/deputy.ts
+++ b/src/controller/deputy.ts
@@ -13,6 +13,7 @@
  */
 import type { StateService } from '../adapters/state.js';
 import type { Clock } from '../clock.js';
+import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Report, WorkerCommand } from '../core/types.js';
 import type { Timing } from '../settings.js';
 import {
@@ -29,13 +30,11 @@
   readonly live: ReadonlySet<string>;
 }
 
-/** Machines whose newest report is remembered. */
-const MOST_SEEN = 5000;
-
 export class Deputy {
   #snapshot: LiveJobsSnapshot | null = null;
 
   readonly #live = new Set<string>();
+  /** The newest report of each machine. */
   readonly #seen = new Map<string, { readonly session: number; readonly seq: number; readonly at: number }>();
   #provenAt = -Infinity;
   #usedAt = -Infinity;
@@ -104,7 +103,7 @@
     this.#seen.delete(machine);
     this.#seen.set(machine, { session, seq, at: this.clock.mono() });
     for (const oldest of this.#seen.keys()) {
-      if (this.#seen.size <= MOST_SEEN) break;
+      if (this.#seen.size <= MAX_TRACKED_MACHINES) break;
       this.#seen.delete(oldest);
     }
     return true;
--- a/src/controller/report-intake.ts
+++ b/src/controller/report-intake.ts
@@ -6,6 +6,7 @@
  */
 import type { Clock } from '../clock.js';
 import type { Heartbeat } from '../core/fleet/index.js';
+import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Report, ReportedTask } from '../core/types.js';
 import { toldEvery } from '../membership/table.js';
 import type { Timing } from '../settings.js';
@@ -68,8 +69,6 @@
 const FORWARD_TIMEOUT_MS = 3000;
 /** Snapshots come at every `toldEvery`; without one for so many of them the leader's view is not known. */
 const SNAPSHOTS_MISSED = 2.5;
-const MAX_PENDING = 5000;
-const MAX_KNOWN = 20_000;
 /** So many tasks go in one message, for its size is bounded. */
 const MAX_TASKS_IN_MESSAGE = 600;
 const MAX_REPORTS_IN_MESSAGE = 100;
@@ -139,7 +138,7 @@
   /** Takes a report in; false: it is not for this node to answer now. */
   take(report: Report, done: AnswerReport): boolean {
     const view = this.#activeView();
-    if (view === null || this.#pending.size >= MAX_PENDING) return false;
+    if (view === null || this.#pending.size >= MAX_TRACKED_MACHINES) return false;
     if (report.token > view.term) return false;
     const known = this.#known.get(report.machine);
     if (known !== undefined && !this.#isNewer(report, known)) {
@@ -177,7 +176,7 @@
     this.#known.delete(machine);
     this.#known.set(machine, known);
     for (const oldest of this.#known.keys()) {
-      if (this.#known.size <= MAX_KNOWN) break;
+      if (this.#known.size <= MAX_TRACKED_MACHINES) break;
       this.#known.delete(oldest);
     }
   }
--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -27,7 +27,10 @@
 
 const MOST_PER_RENTAL = 50;
 const MOST_RETURNED = 100;
-const MOST_PLANNED = 2000;
+/** Tasks of a job that one plan covers at least; of a large fleet, twice the number of its machines. */
+const MIN_PLANNED_TASKS = 2000;
+/** Tasks that are counted into one room, for tasks that need next to nothing. */
+const MAX_TASKS_IN_ROOM = 2000;
 /** A machine is paid for at least so long, says the cloud's price list. */
 const LEAST_PAID_MS = 60_000;
 /** How much dearer a type seems to jobs with a choice while others can use nothing else. */
@@ -386,7 +389,8 @@
   const known = plan.open.get(shape) ?? { spec, choosy, open: openTo(plan, job, choosy) };
   plan.open.set(shape, known);
   const { cheap, dear } = known.open;
-  for (let left = Math.min(count, MOST_PLANNED); left > 0; left -= 1) {
+  const mostPlanned = Math.max(MIN_PLANNED_TASKS, 2 * state.machines.size);
+  for (let left = Math.min(count, mostPlanned); left > 0; left -= 1) {
     let among = cheap;
     let best = cheap.first();
     // Dear machines are for what would be too late on the cheap ones.
@@ -417,7 +421,7 @@
 function slots(need: Need, room: Room): number {
   const left = { ...room };
   let count = 0;
-  while (count < MOST_PLANNED && fits(need, left)) {
+  while (count < MAX_TASKS_IN_ROOM && fits(need, left)) {
     take(left, need);
     count += 1;
   }
--- a/src/core/fleet/machines.ts
+++ b/src/core/fleet/machines.ts
@@ -12,6 +12,7 @@
 } from './response-tracking.js';
 import { expectedRun } from '../jobs/jobs.js';
 import { isDurable, recordStrayDone, releaseClaim } from '../persistence/write-back.js';
+import { MAX_TRACKED_MACHINES } from '../limits.js';
 import { log } from '../log.js';
 import { isHanging, isUnmet, probe } from './probing.js';
 import { summarizeHealth } from './health-summary.js';
@@ -28,8 +29,6 @@
 import { mayAct, type CoreState } from '../state.js';
 import type { ListedMachine, Report, ReportedTask, WorkerCommand } from '../types.js';
 
-const GONE_KEPT = 2000;
-
 export function machineNamed(state: CoreState, name: string, now: Now): Machine {
   const known = state.machines.get(name);
   if (known !== undefined) return known;
@@ -361,7 +360,7 @@
     state.placeDirty = true;
   }
   for (const oldest of state.gone) {
-    if (state.gone.size <= GONE_KEPT) break;
+    if (state.gone.size <= MAX_TRACKED_MACHINES) break;
     state.gone.delete(oldest);
   }
 }
--- a/src/core/jobs/pipelines.ts
+++ b/src/core/jobs/pipelines.ts
@@ -10,7 +10,8 @@
 import { markDirty } from '../persistence/dirty-jobs.js';
 import type { EndedRecord, FinalStage } from '../types.js';
 
-const MOST_FINALS = 4000;
+/** Ends of jobs that are remembered at least; with more live jobs, twice their number is. */
+const MIN_REMEMBERED_ENDS = 4000;
 const MOST_ASKED = 16;
 /** A pipeline longer than this passes its wishes back no further. */
 const DEEPEST = 200;
@@ -105,8 +106,9 @@
 function learnFinal(state: CoreState, id: string, final: Final, since = sinceProof(state)): void {
   state.finals.delete(id);
   state.finals.set(id, final);
+  const remembered = Math.max(MIN_REMEMBERED_ENDS, 2 * state.jobs.size);
   for (const oldest of state.finals.keys()) {
-    if (state.finals.size <= MOST_FINALS) break;
+    if (state.finals.size <= remembered) break;
     state.finals.delete(oldest);
   }
   const from = Math.min(since, state.unresolved.get(id)?.since ?? Infinity);
--- a/src/membership/routing.ts
+++ b/src/membership/routing.ts
@@ -2,6 +2,7 @@
  * Where a follower sends the workers that come to it: always on to the leader while that may be
  * reached, and kept only on evidence that it is not, for as long as the evidence is fresh.
  */
+import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Timing } from '../core/timing.js';
 
 export type Route =
@@ -30,10 +31,8 @@
   readonly token: number;
 }
 
-/** Workers of which it is remembered when they were sent on; the oldest are forgotten first. */
-const MOST_SENT = 5000;
-
 export class Routing {
+  /** When workers were sent on; the oldest are forgotten first. */
   readonly #sent = new Map<string, number>();
 
   constructor(private readonly timing: Timing) {}
@@ -42,7 +41,7 @@
     this.#sent.delete(machine);
     this.#sent.set(machine, now);
     for (const oldest of this.#sent.keys()) {
-      if (this.#sent.size <= MOST_SENT) break;
+      if (this.#sent.size <= MAX_TRACKED_MACHINES) break;
       this.#sent.delete(oldest);
     }
   }
