--- a/src/adapters/peers.ts
+++ b/src/adapters/peers.ts
@@ -8,8 +8,10 @@
 import type { IntakeMessage } from '../wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../wire/peers.js';
 
-/** A link on which more lies unsent is taken for one that does not move. */
-const MAX_UNSENT_BYTES = 256 * 1024;
+/** A link on which more lies unsent is taken for one that does not move, unless single messages are large. */
+const MIN_UNSENT_BYTES = 256 * 1024;
+/** Messages as large as the largest so far that may lie unsent. */
+const UNSENT_MESSAGES = 4;
 
 /** What has been written to other controllers since the start. */
 export interface PeerTraffic {
@@ -20,6 +22,7 @@
 export class Peers {
   #sentMessages = 0;
   #sentBytes = 0;
+  #largestMessageBytes = 0;
   readonly #server: Server;
   readonly #accepted = new Set<Socket>();
   readonly #names: ReadonlySet<string>;
@@ -47,9 +50,15 @@
     return { sentMessages: this.#sentMessages, sentBytes: this.#sentBytes };
   }
 
+  /** Bytes that may lie unsent on a link that moves; they follow the messages, and so the fleet. */
+  get #maxUnsentBytes(): number {
+    return Math.max(MIN_UNSENT_BYTES, UNSENT_MESSAGES * this.#largestMessageBytes);
+  }
+
   #write(socket: Socket, frame: Uint8Array): void {
     this.#sentMessages += 1;
     this.#sentBytes += frame.length;
+    this.#largestMessageBytes = Math.max(this.#largestMessageBytes, frame.length);
     socket.write(frame);
   }
 
@@ -99,7 +108,7 @@
   /** Sends a message about shared reports; false: there is no link, or it does not take what is sent. */
   sendIntake(to: string, message: IntakeMessage): boolean {
     const socket = this.#open.get(to);
-    if (socket === undefined || socket.writableLength > MAX_UNSENT_BYTES) return false;
+    if (socket === undefined || socket.writableLength > this.#maxUnsentBytes) return false;
     this.#write(socket, encodeIntake(message));
     return true;
   }
@@ -145,7 +154,7 @@
       if (connected) {
         if (socket.writableLength > 0 && this.clock.mono() - started > this.timing.workerLease) {
           // What lies there unsent grows old; a link that moves again begins afresh.
-          if (socket.writableLength > MAX_UNSENT_BYTES) {
+          if (socket.writableLength > this.#maxUnsentBytes) {
             ended = 'silent';
             socket.destroy();
           }
--- a/src/controller/peering.ts
+++ b/src/controller/peering.ts
@@ -7,10 +7,6 @@
 import type { View } from '../membership/views.js';
 import type { JobCount, PeerStatus, QuietZone } from '../wire/peers.js';
 
-const MOST_COUNTS = 1000;
-/** A peer message holds so many names of machines, beside all else. */
-const MOST_HEARD = 2000;
-
 /** The part of a status that tells of suspicion. */
 export type Sights = Pick<
   View,
@@ -82,12 +78,9 @@
   status(): PeerStatus {
     const { state } = this.common.owner;
     const counts: JobCount[] = [];
-    let all = true;
     if (state.leadership !== null) {
       for (const [id, job] of state.jobs) {
         if (job.over !== null) continue;
-        all &&= counts.length < MOST_COUNTS;
-        if (!all) break;
         counts.push({ id, ...(this.countOf(id) ?? { done: 0, running: 0, why: 0 }) });
       }
     }
@@ -101,8 +94,8 @@
       format: FORMAT,
       settledAt: this.#settledAt(),
       quiet: this.#quietZones(),
-      hears: state.leadership === null ? this.hears().slice(0, MOST_HEARD) : [],
-      provenAt: all ? this.#provenAt() : 0,
+      hears: state.leadership === null ? this.hears() : [],
+      provenAt: this.#provenAt(),
       takesReports: this.isTakingReports(),
       ...this.sights(),
     };
--- a/src/controller/shared-reports.ts
+++ b/src/controller/shared-reports.ts
@@ -12,6 +12,7 @@
   type FollowerLoad,
 } from '../membership/sharing.js';
 import type { ForwardedAnswer, IntakeMessage, ReportsMessage } from '../wire/intake.js';
+import { nameBytes, portionLength } from '../wire/portions.js';
 import type { Common } from './common.js';
 
 /** A controller that may take reports, as this one knows it. */
@@ -46,8 +47,6 @@
 
 /** What was on its way for a larger share of a worker's lease is no sign of life, and is passed over. */
 const MAX_AGE_SHARE = 0.5;
-/** So many names go in one message; of more, followers are told to forward everything. */
-const MAX_ATTENTION = 3000;
 /** Commands in one message, for its size is bounded. */
 const MAX_COMMANDS_IN_MESSAGE = 500;
 
@@ -187,7 +186,7 @@
 
   #flush(node: string, outbox: Outbox): void {
     while (outbox.answers.length > 0 || outbox.attention.length > 0) {
-      const attention = outbox.attention.splice(0, MAX_ATTENTION);
+      const attention = outbox.attention.splice(0, portionLength(outbox.attention, nameBytes));
       this.#send(node, outbox, { answers: this.#takeAnswers(outbox), attention });
     }
   }
@@ -238,7 +237,7 @@
     const { clock } = this.common.ports;
     const provenAt = clock.wall() - (clock.mono() - leadership.provenAt);
     const attention = [...state.attention].map(({ name }) => name);
-    const isTold = this.#isSharing && attention.length <= MAX_ATTENTION && leadership.closing !== true;
+    const isTold = this.#isSharing && leadership.closing !== true;
     for (const node of nodes) {
       const outbox = this.#outboxOf(node);
       // What is sent as a whole need not be sent in part as well.
@@ -247,7 +246,7 @@
       const content = { answers: this.#takeAnswers(outbox), attention: isTold ? attention : [] };
       this.#send(node, outbox, {
         ...content,
-        // Without a proof nothing may be answered: too many machines need attention, or the lead is handed over.
+        // Without a proof nothing may be answered: the lead is handed over.
         snapshot: isTold ? provenAt : 0,
         ...(shed === undefined ? {} : { shed }),
       });
--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -1,6 +1,18 @@
-/** What controllers tell one another: length-delimited protobuf messages. */
+/**
+ * What controllers tell one another: length-delimited protobuf messages. What is too large for one frame
+ * goes in several: the first is a message as ever, with a part of the lists, and says how many follow.
+ */
 import protobuf from 'protobufjs/light.js';
-import { INTAKE_TYPES, intakeFromWire, intakeToWire, type IntakeMessage, type WireIntake } from './intake.js';
+import {
+  INTAKE_TYPES,
+  intakeFromWire,
+  intakeToWire,
+  type AnswersMessage,
+  type IntakeMessage,
+  type ReportsMessage,
+  type WireIntake,
+} from './intake.js';
+import { nameBytes, portionsOf } from './portions.js';
 import { LINKS, type Link, type Sight, type View } from '../membership/views.js';
 
 export interface JobCount {
@@ -23,7 +35,7 @@
   readonly settledAt: number;
   /** Zones of which the leader hears nobody, and for how long; as far as this node knows. */
   readonly quiet: readonly QuietZone[];
-  /** Machines that this node answers in the leader's place; bounded. */
+  /** Machines that this node answers in the leader's place. */
   readonly hears: readonly string[];
   /**
    * Time of day, in milliseconds, of the read that proved what the leader knows of cancellations;
@@ -63,6 +75,15 @@
         link: { type: 'uint32', id: 3 },
       },
     },
+    Continuation: {
+      fields: {
+        counts: { rule: 'repeated', type: 'JobCount', id: 1 },
+        hears: { rule: 'repeated', type: 'string', id: 2 },
+        attention: { rule: 'repeated', type: 'string', id: 3 },
+        // The proof of the whole; the first frame has none, so that nobody answers by a part.
+        provenAt: { type: 'double', id: 4 },
+      },
+    },
     PeerStatus: {
       fields: {
         node: { type: 'string', id: 1 },
@@ -91,40 +112,164 @@
         // node, so that they pass it over.
         takesReports: { type: 'bool', id: 21 },
         intake: { type: 'Intake', id: 22 },
+        // Versions before portions leave these out. A frame that continues another names no node, so that
+        // they pass it over.
+        continuation: { type: 'Continuation', id: 23 },
+        continuations: { type: 'uint32', id: 24 },
       },
     },
   },
 });
 const statusType = root.lookupType('PeerStatus');
 
-/** The largest message a peer may send. */
+/** The largest frame a peer may send. */
 export const MOST_FRAME = 64 * 1024;
+/** Lists up to so long go in one frame if that is not too large. */
+const MAX_COUNTS_IN_FRAME = 1000;
+const MAX_HEARD_IN_FRAME = 2000;
+const MAX_ATTENTION_IN_FRAME = 3000;
+/** Frames that continue one message. A bound on bad input: the names of 64,000 machines take some 90. */
+const MAX_CONTINUATIONS = 512;
+
+/** What frames that continue a message carry of it. */
+interface Continuation {
+  readonly counts: readonly JobCount[];
+  readonly hears: readonly string[];
+  readonly attention: readonly string[];
+  readonly provenAt: number;
+}
 
+const encodeFrame = (fields: object): Uint8Array => statusType.encodeDelimited(fields).finish();
+
+/** Bytes that the numbers of a job's count and its tags take, at most. */
+const COUNT_OVERHEAD_BYTES = 28;
+const countBytes = ({ id }: JobCount): number => Buffer.byteLength(id) + COUNT_OVERHEAD_BYTES;
+
+type Lists = Omit<Continuation, 'provenAt'>;
+const NO_LISTS: Lists = { counts: [], hears: [], attention: [] };
+
+/** The first frame, which has the first portion of the lists in it, and those that continue it with the others. */
+function encodePortions(
+  lists: Partial<Lists>,
+  provenAt: number,
+  first: (portion: Lists, provenAt: number, continuations: number) => object,
+): Uint8Array {
+  const portions: Lists[] = [
+    ...portionsOf(lists.counts ?? [], countBytes).map((counts) => ({ ...NO_LISTS, counts })),
+    ...portionsOf(lists.hears ?? [], nameBytes).map((hears) => ({ ...NO_LISTS, hears })),
+    ...portionsOf(lists.attention ?? [], nameBytes).map((attention) => ({ ...NO_LISTS, attention })),
+  ];
+  const [begin = NO_LISTS, ...rest] = portions;
+  const sent = rest.slice(0, MAX_CONTINUATIONS);
+  // Nobody may answer by a part of the lists.
+  const proof = sent.length === rest.length ? provenAt : 0;
+  const frames = sent.map((portion) =>
+    encodeFrame({ node: '', continuation: { ...portion, provenAt: proof } }),
+  );
+  return Buffer.concat([encodeFrame(first(begin, sent.length === 0 ? provenAt : 0, sent.length)), ...frames]);
+}
+
+/** The frames of a status: one, or of a large fleet several. */
 export function encodeStatus(status: PeerStatus): Uint8Array {
   const sees = status.sees.map((sight) => ({ ...sight, link: LINKS.indexOf(sight.link) }));
-  return statusType.encodeDelimited({ ...status, sees }).finish();
+  const { counts, hears, provenAt } = status;
+  if (counts.length <= MAX_COUNTS_IN_FRAME && hears.length <= MAX_HEARD_IN_FRAME) {
+    const frame = encodeFrame({ ...status, sees });
+    if (frame.length <= MOST_FRAME) return frame;
+  }
+  return encodePortions({ counts, hears }, provenAt, (portion, proof, continuations) => ({
+    ...status,
+    sees,
+    counts: portion.counts,
+    hears: portion.hears,
+    provenAt: proof,
+    continuations,
+  }));
 }
 
-/** A frame that carries a message about shared reports, and no status. */
+/** The frames that carry a message about shared reports, and no status: one, or of a large fleet several. */
 export function encodeIntake(message: IntakeMessage): Uint8Array {
-  return statusType.encodeDelimited({ node: '', intake: intakeToWire(message) }).finish();
+  if (message.kind === 'answers' && message.attention.length > MAX_ATTENTION_IN_FRAME)
+    return encodeSnapshot(message);
+  const frame = encodeFrame({ node: '', intake: intakeToWire(message) });
+  if (frame.length <= MOST_FRAME) return frame;
+  return message.kind === 'answers' ? encodeSnapshot(message) : encodeReports(message, frame);
+}
+
+function encodeSnapshot(message: AnswersMessage): Uint8Array {
+  return encodePortions(
+    { attention: message.attention },
+    message.provenAt,
+    ({ attention }, provenAt, continuations) => ({
+      node: '',
+      intake: intakeToWire({ ...message, attention, provenAt }),
+      continuations,
+    }),
+  );
+}
+
+/** Reports are taken in one by one, so that halves of a message are messages by themselves. */
+function encodeReports(message: ReportsMessage, whole: Uint8Array): Uint8Array {
+  const { reports, heartbeats } = message;
+  if (reports.length + heartbeats.length < 2) return whole;
+  const half = <T>(items: readonly T[]): [readonly T[], readonly T[]] => {
+    const middle = Math.ceil(items.length / 2);
+    return [items.slice(0, middle), items.slice(middle)];
+  };
+  const [firstReports, otherReports] = half(reports);
+  const [firstHeartbeats, otherHeartbeats] = half(heartbeats);
+  return Buffer.concat([
+    encodeIntake({ ...message, reports: firstReports, heartbeats: otherHeartbeats }),
+    encodeIntake({ ...message, reports: otherReports, heartbeats: firstHeartbeats }),
+  ]);
 }
 
 type WireSight = Omit<Sight, 'link'> & { readonly link: number };
 type WireStatus = Omit<PeerStatus, 'sees'> & {
   readonly sees: readonly WireSight[];
   readonly intake: WireIntake | null;
+  readonly continuation: Continuation | null;
+  readonly continuations: number;
 };
 
+/** A message of which frames are still to come. */
+interface PartialMessage {
+  remaining: number;
+  readonly received: Continuation[];
+  /** Takes the whole of it. */
+  complete(rest: Continuation): void;
+}
+
+/** What several frames have of the lists, one after the other. */
+const joinContinuations = (received: readonly Continuation[]): Continuation => ({
+  counts: received.flatMap(({ counts }) => counts),
+  hears: received.flatMap(({ hears }) => hears),
+  attention: received.flatMap(({ attention }) => attention),
+  provenAt: received.at(-1)?.provenAt ?? 0,
+});
+
 const decodeSight = ({ node, ageMs, link }: WireSight): Sight => ({
   node,
   ageMs,
   link: LINKS[link] ?? ('silent' satisfies Link),
 });
 
+const joinStatus = (first: PeerStatus, { counts, hears, provenAt }: Continuation): PeerStatus => ({
+  ...first,
+  counts: [...first.counts, ...counts],
+  hears: [...first.hears, ...hears],
+  provenAt,
+});
+
+const joinIntake = (first: IntakeMessage, { attention, provenAt }: Continuation): IntakeMessage =>
+  first.kind === 'answers' ? { ...first, attention: [...first.attention, ...attention], provenAt } : first;
+
 /** Splits a stream into messages; throws on garbage or an oversized frame. */
 export class StatusReader {
   #rest: Uint8Array = new Uint8Array(0);
+  #partial: PartialMessage | null = null;
+  /** Statuses that are whole. */
+  readonly #found: PeerStatus[] = [];
 
   constructor(
     /** Takes the messages about shared reports. */
@@ -133,18 +278,46 @@
 
   push(part: Uint8Array): PeerStatus[] {
     this.#rest = this.#rest.length === 0 ? part : Buffer.concat([this.#rest, part]);
-    const found: PeerStatus[] = [];
     for (;;) {
       const frame = this.#frame();
-      if (frame === null) return found;
+      if (frame === null) return this.#found.splice(0);
       const message = statusType.decode(frame);
       const decoded = statusType.toObject(message, { defaults: true, arrays: true }) as WireStatus;
-      const { intake, ...status } = decoded;
-      if (intake !== null) this.onIntake(intakeFromWire(intake));
-      else found.push({ ...status, sees: status.sees.map(decodeSight) });
+      const { intake, continuation, continuations, ...wire } = decoded;
+      if (continuation !== null) {
+        this.#continue(continuation);
+        continue;
+      }
+      if (continuations > MAX_CONTINUATIONS) throw new RangeError('message of too many frames');
+      if (intake !== null) {
+        const first = intakeFromWire(intake);
+        this.#begin(continuations, (rest) => this.onIntake(rest === null ? first : joinIntake(first, rest)));
+      } else {
+        const first = { ...wire, sees: wire.sees.map(decodeSight) };
+        this.#begin(continuations, (rest) =>
+          this.#found.push(rest === null ? first : joinStatus(first, rest)),
+        );
+      }
     }
   }
 
+  /** Takes the first frame of a message, which is the whole of it but for what large fleets say. */
+  #begin(continuations: number, take: (rest: Continuation | null) => void): void {
+    this.#partial = null;
+    if (continuations === 0) take(null);
+    else this.#partial = { remaining: continuations, received: [], complete: take };
+  }
+
+  #continue(continuation: Continuation): void {
+    const partial = this.#partial;
+    if (partial === null) return;
+    partial.received.push(continuation);
+    partial.remaining -= 1;
+    if (partial.remaining > 0) return;
+    this.#partial = null;
+    partial.complete(joinContinuations(partial.received));
+  }
+
   #frame(): Uint8Array | null {
     let length = 0;
     for (let at = 0; at < this.#rest.length; at += 1) {
--- /dev/null
+++ b/test/large-fleet.test.ts
@@ -0,0 +1,387 @@
+/** Fleets of 8,000 machines: no message and no memory has a limit that stands below. */
+import protobuf from 'protobufjs/light.js';
+import { describe, expect, test } from 'vitest';
+import type { Common } from '../src/controller/common.js';
+import { Deputy } from '../src/controller/deputy.js';
+import { Peering } from '../src/controller/peering.js';
+import { ReportIntake } from '../src/controller/report-intake.js';
+import { SharedReports } from '../src/controller/shared-reports.js';
+import { rent } from '../src/core/autoscaling/index.js';
+import type { Effect } from '../src/core/effects.js';
+import { dropReturned, machineNamed } from '../src/core/fleet/index.js';
+import { finalNow, leavePipeline } from '../src/core/jobs/index.js';
+import { Routing, type Reach } from '../src/membership/routing.js';
+import { timing } from '../src/settings.js';
+import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
+import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../src/wire/peers.js';
+import type { Report } from '../src/core/types.js';
+import { CoreBench, EIGHT, job, report, task, TERM } from './standins/core.js';
+import { ProcessClock, VirtualClock } from './standins/clock.js';
+import { testSettings, UNSEEN } from './standins/world.js';
+
+const FLEET = 8000;
+const NAMES = Array.from({ length: FLEET }, (_, i) => `machine-zone-a-${i + 100_000}`);
+const TIMES = timing(testSettings(0));
+/** What a version before portions takes from a peer. */
+const EARLIER_FRAME_BYTES = 64 * 1024;
+const EARLIER_NAMES = 2000;
+
+const STATUS: PeerStatus = {
+  node: 'n-0',
+  incarnation: 'x',
+  term: 7,
+  leading: false,
+  stateAgeMs: 12,
+  counts: [],
+  format: 2,
+  settledAt: 12.5,
+  quiet: [],
+  hears: [],
+  provenAt: 0,
+  ...UNSEEN,
+};
+
+/** The parts of a version before portions that read lists; what it does not know it skips. */
+const EARLIER = protobuf.Root.fromJSON({
+  nested: {
+    JobCount: { fields: { id: { type: 'string', id: 1 } } },
+    Heartbeat: { fields: { machine: { type: 'string', id: 1 } } },
+    Intake: {
+      fields: {
+        node: { type: 'string', id: 1 },
+        heartbeats: { rule: 'repeated', type: 'Heartbeat', id: 7 },
+        attention: { rule: 'repeated', type: 'string', id: 10 },
+        isSnapshot: { type: 'bool', id: 11 },
+        isSharing: { type: 'bool', id: 12 },
+        provenAt: { type: 'double', id: 13 },
+      },
+    },
+    PeerStatus: {
+      fields: {
+        node: { type: 'string', id: 1 },
+        counts: { rule: 'repeated', type: 'JobCount', id: 6 },
+        hears: { rule: 'repeated', type: 'string', id: 10 },
+        provenAt: { type: 'double', id: 11 },
+        intake: { type: 'Intake', id: 22 },
+      },
+    },
+  },
+}).lookupType('PeerStatus');
+
+interface EarlierMessage {
+  readonly node: string;
+  readonly counts: readonly unknown[];
+  readonly hears: readonly string[];
+  readonly provenAt: number;
+  readonly intake: {
+    readonly heartbeats: readonly unknown[];
+    readonly attention: readonly string[];
+    readonly isSnapshot: boolean;
+    readonly isSharing: boolean;
+    readonly provenAt: number;
+  } | null;
+}
+
+/** Frames as a version before portions takes them: none may be larger than it allows. */
+function readAsEarlier(bytes: Uint8Array): EarlierMessage[] {
+  const reader = protobuf.Reader.create(bytes);
+  const found: EarlierMessage[] = [];
+  while (reader.pos < reader.len) {
+    const from = reader.pos;
+    const message = EARLIER.decodeDelimited(reader);
+    expect(reader.pos - from).toBeLessThanOrEqual(EARLIER_FRAME_BYTES);
+    found.push(EARLIER.toObject(message, { defaults: true, arrays: true }) as EarlierMessage);
+  }
+  return found;
+}
+
+const readStatus = (bytes: Uint8Array): PeerStatus[] => new StatusReader().push(bytes);
+
+function readIntake(bytes: Uint8Array): IntakeMessage[] {
+  const found: IntakeMessage[] = [];
+  new StatusReader((message) => found.push(message)).push(bytes);
+  return found;
+}
+
+const SNAPSHOT: AnswersMessage = {
+  kind: 'answers',
+  node: 'n-0',
+  incarnation: 'x',
+  term: TERM,
+  at: 5,
+  number: 3,
+  answers: [],
+  attention: NAMES,
+  isSnapshot: true,
+  isSharing: true,
+  provenAt: 4,
+  shed: null,
+};
+
+describe('a message about 8,000 machines goes in portions', () => {
+  test('the machines that a follower answers', () => {
+    const status = { ...STATUS, hears: NAMES };
+    const bytes = encodeStatus(status);
+    expect(readStatus(bytes)).toEqual([status]);
+    const [first, ...others] = readAsEarlier(bytes);
+    expect(first?.hears.length).toBeGreaterThan(EARLIER_NAMES / 2);
+    expect(first?.hears.length).toBeLessThanOrEqual(EARLIER_NAMES);
+    for (const { node, intake } of others) expect([node, intake]).toEqual(['', null]);
+  });
+
+  test('the counts of 8,000 jobs, proven only as a whole', () => {
+    const counts = NAMES.map((name) => ({ id: `req-${name}`, done: 90_000, running: 9000, why: 3 }));
+    const status = { ...STATUS, leading: true, counts, provenAt: 13.5 };
+    const bytes = encodeStatus(status);
+    expect(readStatus(bytes)).toEqual([status]);
+    const [first] = readAsEarlier(bytes);
+    expect(first?.provenAt).toBe(0);
+    expect(first?.counts.length).toBeGreaterThan(700);
+  });
+
+  test('a stream that is cut anywhere, and one that ends within a message', () => {
+    const status = { ...STATUS, hears: NAMES };
+    const bytes = Buffer.concat([encodeStatus(status), encodeStatus({ ...STATUS, term: 8 })]);
+    const reader = new StatusReader();
+    const found: PeerStatus[] = [];
+    for (let at = 0; at < bytes.length; at += 5000) found.push(...reader.push(bytes.subarray(at, at + 5000)));
+    expect(found).toEqual([status, { ...STATUS, term: 8 }]);
+    expect(readStatus(bytes.subarray(0, EARLIER_FRAME_BYTES))).toEqual([]);
+  });
+
+  test('the machines to which a leader has something to say; an earlier follower answers by no part', () => {
+    const bytes = encodeIntake(SNAPSHOT);
+    expect(readIntake(bytes)).toEqual([SNAPSHOT]);
+    const [first, ...others] = readAsEarlier(bytes);
+    expect(first?.intake).toMatchObject({ isSnapshot: true, isSharing: true, provenAt: 0 });
+    for (const { node, intake } of others) expect([node, intake]).toEqual(['', null]);
+  });
+
+  test('the heartbeats and reports of a second, in messages that an earlier leader takes', () => {
+    const heartbeats = NAMES.map((machine) => ({ machine, session: 1, seq: 900_000, ageMs: 500 }));
+    const reports = NAMES.slice(0, 100).map((machine, i) => ({
+      reference: i,
+      report: report(
+        machine,
+        1,
+        Array.from({ length: 6 }, () => task('req-123456/7', 1, 'running')),
+      ),
+    }));
+    const message: ReportsMessage = {
+      kind: 'reports',
+      node: 'n-1',
+      incarnation: 'x',
+      term: TERM,
+      at: 5,
+      reports,
+      heartbeats,
+    };
+    const bytes = encodeIntake(message);
+    for (const { node, intake } of readAsEarlier(bytes)) expect([node, intake === null]).toEqual(['', false]);
+    const found = readIntake(bytes).flatMap((one) => (one.kind === 'reports' ? [one] : []));
+    const machines = found.flatMap((one) => one.heartbeats.map(({ machine }) => machine));
+    expect([...machines].sort()).toEqual(NAMES);
+    const references = found.flatMap((one) => one.reports.map(({ reference }) => reference));
+    expect(references.sort((a, b) => a - b)).toEqual(reports.map(({ reference }) => reference));
+  });
+
+  test('a message of more frames than any fleet needs is refused', () => {
+    const type = protobuf.Root.fromJSON({
+      nested: { Frame: { fields: { continuations: { type: 'uint32', id: 24 } } } },
+    }).lookupType('Frame');
+    const bytes = type.encodeDelimited({ continuations: 1_000_000 }).finish();
+    expect(() => new StatusReader().push(bytes)).toThrow('too many frames');
+  });
+});
+
+/** A node's surroundings, with a core that leads 8,000 machines. */
+function leaderOf(bench: CoreBench): Common {
+  const clock = new ProcessClock(new VirtualClock(), 1, 0);
+  return {
+    settings: testSettings(0),
+    timing: TIMES,
+    ports: {
+      clock,
+      log: { info: () => undefined },
+      state: { contactAt: () => null },
+      incarnation: 'x',
+    },
+    owner: { state: bench.state, push: () => undefined },
+    standing: { leader: null, leaderStamp: 0, highestTerm: TERM, leadingTerm: TERM },
+  } as unknown as Common;
+}
+
+describe('what a controller says of 8,000 machines is the whole', () => {
+  test('a leader tells the counts of 8,000 jobs, with the proof', () => {
+    const bench = new CoreBench();
+    for (const name of NAMES)
+      bench.state.jobs.set(name, { over: null, doneCount: 1, running: 0, waiting: 0 } as never);
+    const peering = new Peering(
+      leaderOf(bench),
+      () => [],
+      () => false,
+      () => undefined,
+      () => UNSEEN,
+    );
+    const { counts, provenAt } = peering.status();
+    expect(counts).toHaveLength(FLEET);
+    expect(provenAt).not.toBe(0);
+  });
+
+  test('a follower tells of 8,000 machines that it answers', () => {
+    const bench = new CoreBench();
+    bench.state.leadership = null;
+    const peering = new Peering(
+      leaderOf(bench),
+      () => NAMES,
+      () => false,
+      () => undefined,
+      () => UNSEEN,
+    );
+    expect(peering.status().hears).toEqual(NAMES);
+  });
+
+  test('a leader shares reports though 8,000 machines need attention', () => {
+    const bench = new CoreBench();
+    for (const name of NAMES) {
+      const machine = machineNamed(bench.state, name, bench.time());
+      bench.state.attention.add(machine);
+    }
+    const common = leaderOf(bench);
+    const sent: AnswersMessage[] = [];
+    const rules = { ...bench.state.rules, policy: { ...bench.state.rules.policy, sharedReportsFrom: 1 } };
+    Object.assign(bench.state, { rules });
+    const shared = new SharedReports(common, {
+      candidates: () => [{ node: 'n-1', zone: 'b' }],
+      isTaking: () => true,
+      send: (_to, message) => message.kind === 'answers' && sent.push(message) > 0,
+      push: () => undefined,
+    });
+    shared.tell();
+    expect(sent.at(-1)).toMatchObject({ isSnapshot: true, isSharing: true, attention: NAMES });
+    expect(sent.at(-1)?.provenAt).not.toBe(0);
+  });
+
+  test('what is added to a follower’s list goes in messages that an earlier one takes', () => {
+    const bench = new CoreBench();
+    for (const name of NAMES) machineNamed(bench.state, name, bench.time());
+    const common = leaderOf(bench);
+    const sent: AnswersMessage[] = [];
+    Object.assign(bench.state, {
+      rules: { ...bench.state.rules, policy: { ...bench.state.rules.policy, sharedReportsFrom: 1 } },
+    });
+    Object.assign(common.ports.clock, { soon: (run: () => void) => run() });
+    const shared = new SharedReports(common, {
+      candidates: () => [{ node: 'n-1', zone: 'b' }],
+      isTaking: () => true,
+      send: (_to, message) => message.kind === 'answers' && sent.push(message) > 0,
+      push: () => undefined,
+    });
+    shared.tell();
+    const heartbeats = NAMES.map((machine) => ({ machine, session: 1, seq: 1, ageMs: 0 }));
+    shared.receive({
+      kind: 'reports',
+      node: 'n-1',
+      incarnation: 'y',
+      term: TERM,
+      at: common.ports.clock.wall(),
+      reports: [],
+      heartbeats,
+    });
+    shared.attend(NAMES);
+    const added = sent.filter(({ isSnapshot }) => !isSnapshot);
+    expect(added.flatMap(({ attention }) => attention)).toEqual(NAMES);
+    for (const message of added) {
+      expect(message.attention.length).toBeLessThanOrEqual(EARLIER_NAMES);
+      expect(readAsEarlier(encodeIntake(message))).toHaveLength(1);
+    }
+  });
+});
+
+describe('8,000 machines are remembered', () => {
+  test('a follower that sent a worker on knows it when it comes back', () => {
+    const routing = new Routing(TIMES);
+    const reach: Reach = {
+      leader: 'n-0',
+      heard: true,
+      lostAt: null,
+      recorded: true,
+      quiet: false,
+      others: true,
+      token: TERM,
+    };
+    for (const name of NAMES) expect(routing.route(name, TERM, reach, 1000)).toBe('on');
+    expect(NAMES.filter((name) => routing.isStray(name, TERM, reach, 1000))).toEqual([]);
+  });
+
+  test('a follower that answers workers in the leader’s place hears all of them', async () => {
+    const clock = new ProcessClock(new VirtualClock(), 1, 0);
+    const state = { list: () => Promise.resolve('unknown') } as never;
+    const deputy = new Deputy('n-1', state, clock, TIMES, 32 * 1024, 100);
+    deputy.receiveSnapshot({ at: clock.wall(), live: new Set() });
+    await Promise.all(NAMES.map((name) => deputy.answer(report(name, 1))));
+    expect(deputy.hears()).toEqual(NAMES);
+  });
+
+  test('a follower that shares reports keeps 8,000 waiting, and knows 30,000', () => {
+    const clock = new ProcessClock(new VirtualClock(), 1, 0);
+    const sent: ReportsMessage[] = [];
+    const intake = new ReportIntake({
+      clock,
+      timing: TIMES,
+      node: 'n-1',
+      incarnation: 'life',
+      clocksApartMs: 200,
+      following: () => ({ leader: 'n-0', term: TERM }),
+      send: (_to, message) => message.kind === 'reports' && sent.push(message) > 0,
+      encodeAnswer: () => '',
+      encodeRedirect: (to) => to,
+      answerAlone: () => undefined,
+      route: () => undefined,
+    });
+    intake.receive({ ...SNAPSHOT, attention: [], provenAt: clock.wall() });
+    const taken = (from: Report): boolean => intake.take(from, () => undefined);
+    expect(NAMES.filter((name) => !taken(report(name, 1)))).toEqual([]);
+    intake.flush();
+    expect(sent.flatMap(({ reports }) => reports)).toHaveLength(FLEET);
+    const more = Array.from({ length: 22_000 }, (_, i) => `late-${i}`);
+    expect(more.filter((name) => !taken(report(name, 1)))).toEqual([]);
+    expect(intake.leaveHome(NAMES[0] ?? '')).toBe(true);
+  });
+
+  test('machines that were given back are not taken on again from a list that lags', () => {
+    const bench = new CoreBench();
+    const effects: Effect[] = [];
+    dropReturned(bench.state, NAMES, effects);
+    const listed = NAMES.map((name) => ({
+      name,
+      type: 'eight',
+      zone: 'a',
+      spot: true,
+      address: '',
+      stage: 'up' as const,
+      ageS: 100,
+    }));
+    bench.do({ kind: 'listed', askedAt: bench.now, machines: listed as never });
+    expect(bench.state.machines.size).toBe(0);
+  });
+
+  test('the ends of as many jobs as are live are remembered', () => {
+    const bench = new CoreBench();
+    const asking = Array.from({ length: FLEET }, (_, i) => job(`req-${i}`, 1, 2, 50));
+    for (const { id } of asking) bench.state.jobs.set(id, { over: 'done' } as never);
+    for (const spec of asking) leavePipeline(bench.state, { spec } as never, finalNow('done', bench.time()));
+    expect(bench.state.finals.size).toBe(FLEET);
+  });
+
+  test('a plan covers as many tasks of a job as a fleet of 8,000 has machines', () => {
+    const bench = new CoreBench(0, [EIGHT]);
+    for (const name of NAMES) {
+      const machine = machineNamed(bench.state, name, bench.time());
+      Object.assign(machine, { type: 'eight', zone: 'a', spot: true, heardAt: bench.now, whole: true });
+    }
+    bench.add(job('req-1', FLEET, 8, 5000));
+    rent(bench.state, bench.time(), []);
+    expect(bench.state.inPlan.size).toBe(FLEET);
+  });
+});
