--- a/src/adapters/http.ts
+++ b/src/adapters/http.ts
@@ -11,14 +11,19 @@
 
 const NO_ANSWER: Answer = { status: 0, body: undefined };
 
-/** The largest answer taken in; a longer one counts as no answer. */
-const MOST_BYTES = 8 * 1024 * 1024;
+/** The largest answer taken in, where nothing else is said; a longer one counts as no answer. */
+export const DEFAULT_MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
 export class HttpClient {
   readonly #agent: Agent;
   readonly #to: Address;
 
-  constructor(to: Address, sockets: number, keep = true) {
+  constructor(
+    to: Address,
+    sockets: number,
+    keep = true,
+    private readonly maxAnswerBytes = DEFAULT_MAX_ANSWER_BYTES,
+  ) {
     this.#to = to;
     this.#agent = new Agent({ keepAlive: keep, maxSockets: sockets, maxFreeSockets: sockets });
   }
@@ -47,7 +52,7 @@
           let bytes = 0;
           response.on('data', (part: Buffer) => {
             bytes += part.length;
-            if (bytes > MOST_BYTES) request.destroy();
+            if (bytes > this.maxAnswerBytes) request.destroy();
             else parts.push(part);
           });
           response.on('end', () => {
--- a/src/adapters/state.ts
+++ b/src/adapters/state.ts
@@ -14,7 +14,7 @@
   type Entry,
 } from '../wire/state.js';
 import type { Transaction } from '../core/types.js';
-import { HttpClient, type Answer } from './http.js';
+import { DEFAULT_MAX_ANSWER_BYTES, HttpClient, type Answer } from './http.js';
 import { Limiter, RetryBudget } from './limiter.js';
 import { RetransmissionTimer } from './retransmission.js';
 
@@ -55,6 +55,13 @@
 const WRITE_SHARE = 0.8;
 
 const PAGE = 500;
+/** Bytes of an entry beside its value: its key, its stamp and the punctuation. */
+const ENTRY_OVERHEAD_BYTES = 1024;
+
+/** The largest answer that the state service may give: a page of entries as large as they may be. */
+const maxAnswerBytes = ({ value_kb }: StateLimits): number =>
+  Math.max(DEFAULT_MAX_ANSWER_BYTES, PAGE * (value_kb * 1024 + ENTRY_OVERHEAD_BYTES));
+
 /** A page that is not served is asked for so many times before the whole list is given up. */
 const PAGE_TRIES = 5;
 
@@ -86,8 +93,9 @@
     const { sockets } = settings.cluster.quota;
     this.#timing = timing(settings);
     this.#commits = new RetransmissionTimer(this.#timing.renewEvery, this.#timing.stateTimeout);
-    this.#client = new HttpClient(to, Math.max(4, Math.floor(sockets / 25)));
-    this.#watches = new HttpClient(to, 8);
+    const most = maxAnswerBytes(settings.cluster.state);
+    this.#client = new HttpClient(to, Math.max(4, Math.floor(sockets / 25)), true, most);
+    this.#watches = new HttpClient(to, 8, true, most);
     [this.#requests, this.#writes] = this.#limiters(settings.cluster.state);
     this.#retries = new RetryBudget(clock, settings.cluster.state.rps);
   }
