--- a/src/adapters/admission.ts
+++ b/src/adapters/admission.ts
@@ -14,8 +14,11 @@
 /** Nobody is told to stay away for longer, in seconds. */
 const LONGEST_AWAY = 10;
 const LEAST = 16;
-/** Jobs of which it is remembered that a question about them was refused; the oldest are forgotten first. */
-const MOST_REFUSED = 5000;
+/**
+ * Jobs of which it is remembered that a question about them was refused; the oldest are forgotten first. A
+ * bound on bad input: it stands far above the live jobs of 8,000 machines.
+ */
+const MAX_REMEMBERED_REFUSALS = 64_000;
 
 export class Admission {
   #underWay = 0;
@@ -47,7 +50,7 @@
 
   #remember(job: string): void {
     this.#jobs.add(job);
-    if (this.#jobs.size <= MOST_REFUSED) return;
+    if (this.#jobs.size <= MAX_REMEMBERED_REFUSALS) return;
     const [oldest] = this.#jobs;
     if (oldest !== undefined) this.#jobs.delete(oldest);
   }
--- a/src/adapters/reads.ts
+++ b/src/adapters/reads.ts
@@ -19,7 +19,8 @@
   | { readonly kind: 'unknown' };
 
 const UNKNOWN: FoundJob = { kind: 'unknown' };
-const ENDED_KEPT = 5000;
+/** Ended jobs that are remembered at least; with more live jobs, twice their number is. */
+const MIN_REMEMBERED_ENDED = 5000;
 /** Jobs of one round that may have to be read one by one; the others wait for the next. */
 const MOST_READ = 32;
 /** Share of the state service's requests that a node's rounds may take. */
@@ -84,11 +85,20 @@
   /** A committed end. */
   keep(id: string, record: EndedRecord): void {
     this.#ended.set(id, record);
-    if (this.#ended.size <= ENDED_KEPT) return;
+    if (this.#ended.size <= Math.max(MIN_REMEMBERED_ENDED, 2 * this.#live.size)) return;
     const [oldest] = this.#ended.keys();
     if (oldest !== undefined) this.#ended.delete(oldest);
   }
 
+  /** Drops what can be read again. */
+  dropCaches(): void {
+    this.#ended.clear();
+    // A round under way works on the mirror.
+    if (this.#running) return;
+    this.#live.clear();
+    this.#revision = null;
+  }
+
   /** A job as the state service had it at some moment after this was asked. */
   find(id: string): Promise<FoundJob> {
     const record = this.#ended.get(id);
--- a/src/adapters/users.ts
+++ b/src/adapters/users.ts
@@ -51,6 +51,11 @@
     this.#reads = new JobReads(state, clock, rps, conditions);
   }
 
+  /** Drops what can be read again. */
+  dropCaches(): void {
+    this.#reads.dropCaches();
+  }
+
   /** Why a sound description can never run, or null if it can. */
   #impossible(spec: JobSpec): string | null {
     const limits = this.context.teams.get(spec.team);
