--- a/src/adapters/server.ts
+++ b/src/adapters/server.ts
@@ -6,6 +6,11 @@
 import type { Admission, RequestKind } from './admission.js';
 import type { UserAnswer, Users } from './users.js';
 
+/** Share of the quota's sockets that the public port may take. */
+const PORT_SOCKET_SHARE = 0.8;
+/** With a larger share of these open, an answer ends its connection, so that all workers share them by turns. */
+const KEEP_ALIVE_SHARE = 0.9;
+
 const MOST_BODY = 64 * 1024;
 
 /** What the port serves; a controller node is one. */
@@ -119,7 +124,10 @@
   app.use((_request, response) => sendJson(response, 404, '{"error":"no such path"}'));
   app.use(onError(served));
 
+  const maxConnections = Math.floor(PORT_SOCKET_SHARE * sockets);
+  let connections = 0;
   const server = createServer({ keepAlive: true, noDelay: true }, (request, response) => {
+    if (connections > KEEP_ALIVE_SHARE * maxConnections) response.shouldKeepAlive = false;
     const { method, url = '' } = request;
     const asked = method === 'GET' ? QUESTION.exec(url)?.[1] : undefined;
     if (method === 'POST' && url === '/v1/report') takeReport(served, request, response);
@@ -128,6 +136,10 @@
     else app(request, response);
   });
   server.keepAliveTimeout = 120_000;
-  server.maxConnections = Math.floor(0.8 * sockets);
+  server.on('connection', (socket) => {
+    connections += 1;
+    socket.on('close', () => (connections -= 1));
+  });
+  server.maxConnections = maxConnections;
   return server;
 }
