--- a/lab/controllers.ts
+++ b/lab/controllers.ts
@@ -13,6 +13,13 @@
 const CLOCK_ERROR_MS = 20;
 const START_AIM_S = 1.8;
 
+/** The flags of Node.js with which a controller is deployed. */
+function deployedFlags(): string[] {
+  const [, flags = ''] =
+    /^run = "node ((?:--\S+ )*)/m.exec(readFileSync('deploy/service.toml', 'utf8')) ?? [];
+  return flags.split(' ').filter((flag) => flag !== '');
+}
+
 /** The program of controllers that a run uses. */
 export interface Variant {
   readonly label: string;
@@ -58,8 +65,7 @@
     this.processes.startController(
       name,
       [
-        '--max-old-space-size=256',
-        '--max-semi-space-size=8',
+        ...deployedFlags(),
         this.variant.program,
         'serve',
         '--settings',
--- a/lab/scenario.ts
+++ b/lab/scenario.ts
@@ -8,8 +8,8 @@
 const count = v.pipe(v.number(), v.integer(), v.minValue(1));
 const share = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
 
-/** More workers, controllers or seconds than one machine is meant to carry are refused. */
-const MAX_WORKERS = 5000;
+/** Bounds on mistakes in a scenario file; the largest planned fleet has 8,000 workers. */
+const MAX_WORKERS = 64_000;
 const MAX_CONTROLLERS = 9;
 const MAX_DURATION_S = 1800;
 
