--- a/bench/between.mjs
+++ b/bench/between.mjs
@@ -2,7 +2,6 @@
 //   node bench/between.mjs [--against COMMIT] [--days 34]
 // Seconds of the tests' virtual time: median / ninth tenth / worst. A column that a version does not log is empty.
 import { execFile, execFileSync } from 'node:child_process';
-import { existsSync } from 'node:fs';
 import { availableParallelism } from 'node:os';
 import { join, resolve } from 'node:path';
 import { parseArgs, promisify } from 'node:util';
@@ -13,28 +12,16 @@
   options: { against: { type: 'string' }, days: { type: 'string', default: '34' } },
 });
 
-/** Bundles the days with the sources that lie in `source`, wherever they had their files. */
-async function bundle(name, source) {
+/** Bundles the days of the version whose repository lies in `root`. */
+async function bundle(name, root) {
   const outfile = join('target', 'bench', `between-${name}.cjs`);
-  const own = resolve('src');
-  const elsewhere = {
-    name: 'version',
-    setup: ({ onResolve }) =>
-      onResolve({ filter: /^\.{1,2}\// }, ({ path, resolveDir }) => {
-        const wanted = resolve(resolveDir, path).replace(/\.js$/, '.ts');
-        if (source === own || !wanted.startsWith(own)) return undefined;
-        const moved = [wanted, wanted.replace('/controller/', '/')].map((file) => file.replace(own, source));
-        return { path: moved.find((file) => existsSync(file)) };
-      }),
-  };
   await build({
-    entryPoints: ['bench/between.ts'],
+    entryPoints: [join(root, 'bench', 'between.ts')],
     outfile,
     bundle: true,
     platform: 'node',
     format: 'cjs',
     target: 'node20',
-    plugins: [elsewhere],
     nodePaths: [resolve('node_modules')],
   });
   return outfile;
--- a/bench/run.mjs
+++ b/bench/run.mjs
@@ -16,8 +16,9 @@
   },
 });
 
-/** Bundles the benchmark with the core that lies in `source`. */
-async function bundle(name, source) {
+/** Bundles the benchmark of the version whose repository lies in `root`. */
+async function bundle(name, root) {
+  const source = join(root, 'src');
   const at = (...paths) =>
     resolve(
       source,
@@ -39,7 +40,7 @@
   );
   const outfile = join('target', 'bench', `${name}.cjs`);
   await build({
-    entryPoints: ['bench/fleet.ts'],
+    entryPoints: [join(root, 'bench', 'fleet.ts')],
     outfile,
     bundle: true,
     platform: 'node',
--- a/bench/version.ts
+++ b/bench/version.ts
@@ -1,5 +1,5 @@
 /** What the benchmark needs of a version of the core, whichever it is. */
-export type State = { layout: unknown; wide: number; jobs: Map<string, unknown> };
+export type State = { layout: unknown; legacyChunkTasks: number; jobs: Map<string, unknown> };
 export interface Spec {
   readonly id: string;
   readonly image: string;
@@ -35,18 +35,18 @@
   | {
       readonly kind: 'commit';
       readonly id: number;
-      readonly txn: {
-        readonly when: readonly { readonly key: string; readonly stamp: number }[];
-        readonly apply: readonly Write[];
+      readonly transaction: {
+        readonly preconditions: readonly { readonly key: string; readonly modRevision: number }[];
+        readonly mutations: readonly Write[];
       };
     }
-  | { readonly kind: 'rent'; readonly request: string; readonly zone: string; readonly count: number }
-  | { readonly kind: 'return'; readonly machines: readonly string[] }
+  | { readonly kind: 'provision'; readonly requestId: string; readonly zone: string; readonly count: number }
+  | { readonly kind: 'terminate'; readonly machines: readonly string[] }
   | { readonly kind: 'probe'; readonly machine: string }
   | { readonly kind: 'other' };
 export interface Core {
   createState(node: string, rules: unknown): State;
-  step(state: State, commands: readonly unknown[], now: { mono: number; wall: number }): Effect[];
+  step(state: State, commands: readonly unknown[], now: { monotonicMs: number; epochMs: number }): Effect[];
   rules(settings: unknown): unknown;
 }
 export interface Records {
--- a/bench/versions.mjs
+++ b/bench/versions.mjs
@@ -3,17 +3,20 @@
 import { mkdirSync } from 'node:fs';
 import { join, resolve } from 'node:path';
 
-/** `bundle(name, source)` gives the bundle's file; the earlier version comes first. */
+/**
+ * `bundle(name, root)` gives the bundle's file; the earlier version comes first. A version is driven by the
+ * benchmark and the emulators of its own commit, since the names inside the core differ between versions.
+ */
 export async function bundleVersions(against, folder, bundle) {
   mkdirSync('target/bench', { recursive: true });
   const versions = [];
   if (against !== undefined) {
     const at = resolve('target', 'bench', folder);
     mkdirSync(at, { recursive: true });
-    const archive = execFileSync('git', ['archive', against, 'src'], { maxBuffer: 1 << 28 });
+    const archive = execFileSync('git', ['archive', against, 'src', 'bench', 'test'], { maxBuffer: 1 << 28 });
     execFileSync('tar', ['-x', '-C', at], { input: archive });
-    versions.push(['before', await bundle('before', join(at, 'src'))]);
+    versions.push(['before', await bundle('before', at)]);
   }
-  versions.push(['now', await bundle('now', resolve('src'))]);
+  versions.push(['now', await bundle('now', resolve('.'))]);
   return versions;
 }
--- a/bench/world.ts
+++ b/bench/world.ts
@@ -133,7 +133,7 @@
   readonly machines = new Map<string, Machine>();
   readonly #draw: () => number;
   readonly #events = new Map<number, (() => void)[]>();
-  readonly #store = new Map<string, { value: unknown; stamp: number }>();
+  readonly #store = new Map<string, { value: unknown; modRevision: number }>();
   readonly #jobs = new Map<string, Spec>();
   #revision = TERM_STAMP;
   #term = 1;
@@ -175,8 +175,8 @@
     this.#arrivals();
   }
 
-  #time(): { mono: number; wall: number } {
-    return { mono: this.now, wall: this.now };
+  #time(): { monotonicMs: number; epochMs: number } {
+    return { monotonicMs: this.now, epochMs: this.now };
   }
 
   #at(ms: number, call: () => void): void {
@@ -191,30 +191,30 @@
   #lead(): void {
     const jobs: unknown[] = [];
     const chunks: unknown[] = [];
-    for (const [key, { value, stamp }] of this.#store) {
-      if (key.startsWith('job/')) jobs.push({ value, stamp });
+    for (const [key, { value, modRevision }] of this.#store) {
+      if (key.startsWith('job/')) jobs.push({ value, modRevision });
       const name = this.records.parseChunkKey(key);
       const record = name === null ? null : this.records.decodeChunk(value);
       if (name !== null && record !== null)
-        chunks.push({ job: name.job, name, record: { value: record, stamp } });
+        chunks.push({ job: name.job, name, record: { value: record, modRevision } });
     }
-    const { layout, wide } = this.state;
+    const { layout, legacyChunkTasks } = this.state;
     this.#pending.push({
-      kind: 'lead',
+      kind: 'becomeLeader',
       term: this.#term,
-      stamp: TERM_STAMP,
-      provenAt: this.now,
+      modRevision: TERM_STAMP,
+      viewConfirmedAt: this.now,
       layout,
-      wide,
+      legacyChunkTasks,
       jobs,
       chunks,
-      memory: [],
+      demandHistory: [],
     });
   }
 
   #tick(): void {
     this.#pending.push({ kind: 'tick' });
-    this.#pending.push({ kind: 'proof', sentAt: this.now });
+    this.#pending.push({ kind: 'viewConfirmed', sentAt: this.now });
     this.#at(this.now + REPORT_MS / 4, () => this.#tick());
   }
 
@@ -262,8 +262,8 @@
     } as Spec;
     this.#jobs.set(id, spec);
     this.#revision += 1;
-    this.#store.set(`job/${id}`, { value: spec, stamp: this.#revision });
-    this.#pending.push({ kind: 'jobAdded', job: { value: spec, stamp: this.#revision } });
+    this.#store.set(`job/${id}`, { value: spec, modRevision: this.#revision });
+    this.#pending.push({ kind: 'jobAdded', job: { value: spec, modRevision: this.#revision } });
   }
 
   guests(shapes: readonly Shape[]): void {
@@ -315,13 +315,13 @@
       type: 'bench-32',
       zone,
       spot: true,
-      session: 1,
-      seq,
+      agentEpoch: 1,
+      sequence: seq,
       token,
-      noticeS: null,
+      terminationNoticeS: null,
       tasks,
     };
-    this.#pending.push({ kind: 'report', reply, report });
+    this.#pending.push({ kind: 'heartbeat', reply, heartbeat: report });
   }
 
   #changed(machine: Machine): void {
@@ -384,15 +384,16 @@
         this.#at(this.now + COMMIT_MS, () => {
           // Of an earlier leader: the condition on the term fails.
           if (term !== this.#term) return;
-          const { when, apply } = effect.txn;
-          const holds = when.every(
-            ({ key, stamp }) => key === 'term' || (this.#store.get(key)?.stamp ?? 0) === stamp,
+          const { preconditions, mutations } = effect.transaction;
+          const holds = preconditions.every(
+            ({ key, modRevision }) =>
+              key === 'term' || (this.#store.get(key)?.modRevision ?? 0) === modRevision,
           );
           if (!holds) throw new Error('a condition failed, which cannot be here');
           this.#revision += 1;
-          for (const write of apply) {
+          for (const write of mutations) {
             if (write.put !== undefined)
-              this.#store.set(write.put, { value: write.value, stamp: this.#revision });
+              this.#store.set(write.put, { value: write.value, modRevision: this.#revision });
             else if (write.remove !== undefined) this.#store.delete(write.remove);
           }
           this.#pending.push({
@@ -406,11 +407,11 @@
       case 'probe': {
         const met = this.machines.get(effect.machine)?.dead !== true;
         this.#at(this.now + (met ? 1 : KNOCK_MS), () =>
-          this.#pending.push({ kind: 'probed', machine: effect.machine, met }),
+          this.#pending.push({ kind: 'probed', machine: effect.machine, isReachable: met }),
         );
         break;
       }
-      case 'rent':
+      case 'provision':
         this.#at(this.now + 100, () => {
           const free = this.fleet - this.machines.size;
           const names = Array.from({ length: Math.min(effect.count, Math.max(0, free)) }, () => {
@@ -420,17 +421,17 @@
             return name;
           });
           const outcome = names.length === 0 ? 'refused' : names;
-          this.#pending.push({ kind: 'rented', request: effect.request, outcome });
+          this.#pending.push({ kind: 'provisioned', requestId: effect.requestId, outcome });
         });
         break;
-      case 'return':
+      case 'terminate':
         this.#at(this.now + 100, () => {
           for (const name of effect.machines) {
             const machine = this.machines.get(name);
             if (machine) machine.dead = true;
             this.machines.delete(name);
           }
-          this.#pending.push({ kind: 'returned', machines: effect.machines, ok: true });
+          this.#pending.push({ kind: 'terminated', machines: effect.machines, ok: true });
         });
         break;
       default:
@@ -451,8 +452,8 @@
       if (this.#pending.length === 0) continue;
       const batch = this.#pending;
       this.#pending = [];
-      const reports = batch.filter((command) => (command as { kind: string }).kind === 'report').length;
-      const kind = batch.some((command) => (command as { kind: string }).kind === 'lead')
+      const reports = batch.filter((command) => (command as { kind: string }).kind === 'heartbeat').length;
+      const kind = batch.some((command) => (command as { kind: string }).kind === 'becomeLeader')
         ? 'load'
         : batch.some((command) => (command as { kind: string }).kind === 'tick')
           ? 'tick'
--- a/src/adapters/admission.ts
+++ b/src/adapters/admission.ts
@@ -32,7 +32,7 @@
     private readonly most: number,
   ) {
     this.most = Math.max(LEAST, Math.floor(most));
-    this.#since = clock.mono();
+    this.#since = clock.monotonicMs();
   }
 
   /** Takes a request in (null), or says in how many seconds it may be made again. */
@@ -61,7 +61,7 @@
 
   /** When one that cannot be served now is to come back, in seconds. */
   away(): number {
-    const now = this.clock.mono();
+    const now = this.clock.monotonicMs();
     if (now - this.#since > 1000) {
       this.#refused = 0;
       this.#since = now;
--- a/src/adapters/limiter.ts
+++ b/src/adapters/limiter.ts
@@ -12,11 +12,11 @@
     private readonly burst: number,
   ) {
     this.#level = burst;
-    this.#at = clock.mono();
+    this.#at = clock.monotonicMs();
   }
 
   #refill(): void {
-    const now = this.clock.mono();
+    const now = this.clock.monotonicMs();
     this.#level = Math.min(this.burst, this.#level + ((now - this.#at) / 1000) * this.perSecond);
     this.#at = now;
   }
--- a/src/adapters/peers.ts
+++ b/src/adapters/peers.ts
@@ -79,7 +79,7 @@
     const reader = new StatusReader((message) => {
       if (this.#names.has(message.node)) this.onIntake(message);
     });
-    socket.setTimeout(4 * this.timing.workerLease, () => socket.destroy());
+    socket.setTimeout(4 * this.timing.workerLeaseMs, () => socket.destroy());
     socket.on('data', (part) => {
       try {
         for (const status of reader.push(part)) this.#take(status);
@@ -98,8 +98,8 @@
 
   /** Tells every peer at once what has changed, at most so often. */
   tellNow(): void {
-    const now = this.clock.mono();
-    if (now - this.#toldAt < this.timing.tick / 4) return;
+    const now = this.clock.monotonicMs();
+    if (now - this.#toldAt < this.timing.tickMs / 4) return;
     this.#toldAt = now;
     for (const socket of this.#open.values())
       if (socket.writableLength === 0) this.#write(socket, encodeStatus(this.status()));
@@ -121,7 +121,7 @@
       refusals = how === 'refused' ? refusals + 1 : 0;
       // A link that broke is tried again at once: whether it is refused then tells a crash from a cut.
       if (how === 'lost') continue;
-      await this.clock.sleep(refusals === 1 ? this.timing.tick : 4 * this.timing.tick);
+      await this.clock.sleep(refusals === 1 ? this.timing.tickMs : 4 * this.timing.tickMs);
     }
   }
 
@@ -149,17 +149,17 @@
       });
     });
     socket.resume();
-    const started = this.clock.mono();
+    const started = this.clock.monotonicMs();
     while (open) {
       if (connected) {
-        if (socket.writableLength > 0 && this.clock.mono() - started > this.timing.workerLease) {
+        if (socket.writableLength > 0 && this.clock.monotonicMs() - started > this.timing.workerLeaseMs) {
           // What lies there unsent grows old; a link that moves again begins afresh.
           if (socket.writableLength > this.#maxUnsentBytes) {
             ended = 'silent';
             socket.destroy();
           }
         } else this.#write(socket, encodeStatus(this.status()));
-      } else if (this.clock.mono() - started > 0.5 * this.timing.workerLease) socket.destroy();
+      } else if (this.clock.monotonicMs() - started > 0.5 * this.timing.workerLeaseMs) socket.destroy();
       await Promise.race([closed, this.clock.sleep(toldEvery(this.timing))]);
     }
     return ended;
--- a/src/adapters/reads.ts
+++ b/src/adapters/reads.ts
@@ -11,9 +11,9 @@
 import type { StateService } from './state.js';
 
 export type FoundJob =
-  | { readonly kind: 'live'; readonly spec: JobSpec; readonly stamp: number }
+  | { readonly kind: 'live'; readonly spec: JobSpec; readonly modRevision: number }
   /** It was accepted and has not ended, and its description cannot be read. */
-  | { readonly kind: 'damaged'; readonly stamp: number }
+  | { readonly kind: 'damaged'; readonly modRevision: number }
   | { readonly kind: 'ended'; readonly record: EndedRecord }
   | { readonly kind: 'none' }
   | { readonly kind: 'unknown' };
@@ -26,9 +26,9 @@
 /** Share of the state service's requests that a node's rounds may take. */
 const ROUND_SHARE = 0.05;
 
-const foundLive = (value: unknown, stamp: number): FoundJob => {
+const foundLive = (value: unknown, modRevision: number): FoundJob => {
   const spec = decodeJob(value);
-  return spec === null ? { kind: 'damaged', stamp } : { kind: 'live', spec, stamp };
+  return spec === null ? { kind: 'damaged', modRevision } : { kind: 'live', spec, modRevision };
 };
 
 /** A job as the state service has it now, by itself. */
@@ -36,7 +36,7 @@
   // In this order: a job moves from one key to the other, and never back.
   const live = await state.read(jobKey(id));
   if (live === 'unknown') return UNKNOWN;
-  if (live.entry !== null) return foundLive(live.entry.value, live.entry.stamp);
+  if (live.entry !== null) return foundLive(live.entry.value, live.entry.modRevision);
   return readEnded(state, id);
 }
 
@@ -114,11 +114,11 @@
     // All that has come in by now shares the first round.
     await new Promise<void>((resolve) => this.clock.soon(resolve));
     while (this.#questions.length > 0) {
-      const from = this.clock.mono();
+      const from = this.clock.monotonicMs();
       const asked = this.#questions;
       this.#questions = [];
       await this.#round(asked);
-      const left = this.#pace - (this.clock.mono() - from);
+      const left = this.#pace - (this.clock.monotonicMs() - from);
       if (this.#questions.length === 0 || left <= 0) continue;
       await this.clock.sleep(Math.ceil(left));
     }
@@ -181,14 +181,15 @@
     const jobs = await this.state.list(JOB_PREFIX);
     if (jobs === 'unknown') return false;
     this.#live.clear();
-    for (const { key, value, stamp } of jobs.entries) this.#live.set(jobOfKey(key), foundLive(value, stamp));
+    for (const { key, value, modRevision } of jobs.entries)
+      this.#live.set(jobOfKey(key), foundLive(value, modRevision));
     this.#revision = jobs.revision;
     return true;
   }
 
-  #take({ key, value, stamp }: Change): void {
+  #take({ key, value, modRevision }: Change): void {
     if (value === undefined) this.#live.delete(jobOfKey(key));
-    else this.#live.set(jobOfKey(key), foundLive(value, stamp));
+    else this.#live.set(jobOfKey(key), foundLive(value, modRevision));
   }
 
   /**
@@ -201,8 +202,8 @@
     for (let from = 0; from < ids.length; from += this.conditions) {
       const some = ids.slice(from, from + this.conditions);
       const outcome = await this.state.commit({
-        when: some.map((id) => ({ key: endedKey(id), stamp: 0 })),
-        apply: [],
+        preconditions: some.map((id) => ({ key: endedKey(id), modRevision: 0 })),
+        mutations: [],
       });
       if (outcome.kind === 'applied') for (const id of some) none.add(id);
     }
--- a/src/adapters/state.ts
+++ b/src/adapters/state.ts
@@ -55,7 +55,7 @@
 const WRITE_SHARE = 0.8;
 
 const PAGE = 500;
-/** Bytes of an entry beside its value: its key, its stamp and the punctuation. */
+/** Bytes of an entry beside its value: its key, its revision and the punctuation. */
 const ENTRY_OVERHEAD_BYTES = 1024;
 
 /** The largest answer that the state service may give: a page of entries as large as they may be. */
@@ -92,7 +92,7 @@
     const to = parseAddress(settings.endpoints.state);
     const { sockets } = settings.cluster.quota;
     this.#timing = timing(settings);
-    this.#commits = new RetransmissionTimer(this.#timing.renewEvery, this.#timing.stateTimeout);
+    this.#commits = new RetransmissionTimer(this.#timing.renewIntervalMs, this.#timing.storeTimeoutMs);
     const most = maxAnswerBytes(settings.cluster.state);
     this.#client = new HttpClient(to, Math.max(4, Math.floor(sockets / 25)), true, most);
     this.#watches = new HttpClient(to, 8, true, most);
@@ -124,15 +124,15 @@
     urgent = false,
     timer?: RetransmissionTimer,
   ): Promise<Answer> {
-    const { stateTimeout } = this.#timing;
+    const { storeTimeoutMs } = this.#timing;
     if (urgent) this.#requests.force();
     else if (!this.#retries.mayAsk()) return { status: 503, body: undefined };
-    else if (!(await this.#requests.take(1, stateTimeout / 2))) return { status: 429, body: undefined };
-    const sentAt = this.clock.mono();
-    const timeout = timer?.timeout ?? stateTimeout;
+    else if (!(await this.#requests.take(1, storeTimeoutMs / 2))) return { status: 429, body: undefined };
+    const sentAt = this.clock.monotonicMs();
+    const timeout = timer?.timeout ?? storeTimeoutMs;
     const answer = await this.#client.call(method, path, body, timeout);
     this.#note(answer, sentAt);
-    const took = this.clock.mono() - sentAt;
+    const took = this.clock.monotonicMs() - sentAt;
     if (answer.status !== 0) timer?.answered(took);
     else if (took >= timeout) timer?.expired();
     return answer;
@@ -165,7 +165,7 @@
       if (page === null) {
         // Begun anew each time, a list of many pages never ended at the few requests that a small node has.
         if (revision === null || ++tries >= PAGE_TRIES) return 'unknown';
-        await this.clock.sleep(this.#timing.tick);
+        await this.clock.sleep(this.#timing.tickMs);
         continue;
       }
       tries = 0;
@@ -177,7 +177,7 @@
   }
 
   async commit(txn: Transaction): Promise<Commit> {
-    if (!(await this.#writes.take(txn.apply.length, this.#timing.stateTimeout / 2)))
+    if (!(await this.#writes.take(txn.mutations.length, this.#timing.storeTimeoutMs / 2)))
       return { kind: 'refused' };
     const answer = await this.#call('POST', '/commit', encodeTransaction(txn), false, this.#commits);
     const revision = parseRevision(answer.body);
@@ -200,12 +200,12 @@
 
   async watch(prefix: string, after: number, waitMs: number): Promise<Watch> {
     this.#requests.force();
-    const sentAt = this.clock.mono();
+    const sentAt = this.clock.monotonicMs();
     const answer = await this.#watches.call(
       'GET',
       watchPath(prefix, after, waitMs),
       null,
-      waitMs + this.#timing.stateTimeout,
+      waitMs + this.#timing.storeTimeoutMs,
     );
     this.#note(answer, sentAt);
     return watchOf(answer);
--- a/src/adapters/users.ts
+++ b/src/adapters/users.ts
@@ -1,8 +1,8 @@
 /** The users' requests, served by every node straight from the state service. */
 import type { Clock } from '../clock.js';
-import { allows, fits, REASONS } from '../core/placement/index.js';
-import type { TeamLimits } from '../core/model.js';
-import type { Condition, EndedRecord, JobSpec, MachineType, Write } from '../core/types.js';
+import { satisfiesConstraints, fits, REASONS } from '../core/placement/index.js';
+import type { TeamQuota } from '../core/model.js';
+import type { Precondition, EndedRecord, JobSpec, MachineType, Mutation } from '../core/types.js';
 import { endedKey, jobBytes, jobKey } from '../core/persistence/index.js';
 import { encodeJobView, JOB_ID, parseSubmission, type JobView } from '../wire/users.js';
 import { JobReads, type FoundJob } from './reads.js';
@@ -18,15 +18,15 @@
 
 /** How a new job is entered. */
 interface Entry {
-  readonly when: readonly Condition[];
-  readonly write: Write;
+  readonly when: readonly Precondition[];
+  readonly write: Mutation;
   readonly stage: 'pending' | 'withdrawn';
 }
 
 export interface UsersContext {
   readonly state: StateService;
   readonly clock: Clock;
-  readonly teams: ReadonlyMap<string, TeamLimits>;
+  readonly teams: ReadonlyMap<string, TeamQuota>;
   /** How long one request may take in all, in milliseconds. */
   readonly patience: number;
   /** Requests a second that the state service takes, now and later. */
@@ -63,15 +63,17 @@
     let fitting = false;
     for (const type of this.context.types().values()) {
       const zones = type.zones.some(
-        (zone) => allows(spec, type.name, zone, false) || allows(spec, type.name, zone, true),
+        (zone) =>
+          satisfiesConstraints(spec, type.name, zone, false) ||
+          satisfiesConstraints(spec, type.name, zone, true),
       );
       fitting ||= zones && fits(spec, type);
     }
     if (!fitting) return 'a task fits no allowed machine type';
     const count = spec.form === 'array' ? 1 : spec.tasks;
-    if (limits.cpusMax > 0 && spec.cpus * count > limits.cpusMax)
+    if (limits.maxCpus > 0 && spec.cpus * count > limits.maxCpus)
       return 'more cores than the limit of the crew';
-    if (limits.gpusMax > 0 && spec.gpus * count > limits.gpusMax)
+    if (limits.maxGpus > 0 && spec.gpus * count > limits.maxGpus)
       return 'more gpus than the limit of the crew';
     return null;
   }
@@ -100,7 +102,7 @@
   }
 
   async submit(body: unknown): Promise<UserAnswer> {
-    const parsed = parseSubmission(body, Math.round(this.context.clock.wall()));
+    const parsed = parseSubmission(body, Math.round(this.context.clock.epochMs()));
     if (!parsed.ok) return { status: 400, body: { error: parsed.reason } };
     const spec = parsed.value;
     const { id } = spec;
@@ -118,13 +120,13 @@
       if (found.kind !== 'none') return this.#tell(id, found);
     }
     const own = [jobKey(id), endedKey(id)];
-    const until = this.context.clock.mono() + this.context.patience;
+    const until = this.context.clock.monotonicMs() + this.context.patience;
     do {
       const entry = await this.#entry(spec);
       if ('status' in entry) return entry;
       const outcome = await this.context.state.commit({
-        when: [...own.map((key) => ({ key, stamp: 0 })), ...entry.when],
-        apply: [entry.write],
+        preconditions: [...own.map((key) => ({ key, modRevision: 0 })), ...entry.when],
+        mutations: [entry.write],
       });
       if (outcome.kind === 'applied') return { status: 201, body: encodeJobView({ id, stage: entry.stage }) };
       // What it awaits has ended meanwhile: that is looked at anew.
@@ -133,7 +135,7 @@
       if (outcome.kind !== 'unknown') return RETRY;
       const found = await this.#find(id);
       if (found.kind !== 'none' && found.kind !== 'unknown') return this.#tell(id, found);
-    } while (this.context.clock.mono() < until);
+    } while (this.context.clock.monotonicMs() < until);
     return RETRY;
   }
 
@@ -164,11 +166,11 @@
       // Applied late, after one of these was cancelled, it would be a job that nobody has withdrawn.
       const when = awaits.flatMap((other, i) => {
         const job = found[i];
-        return job?.kind === 'live' ? [{ key: jobKey(other), stamp: job.stamp }] : [];
+        return job?.kind === 'live' ? [{ key: jobKey(other), modRevision: job.modRevision }] : [];
       });
       return { ...live, when: when.slice(0, this.context.conditions - 2) };
     }
-    const at = Math.round(this.context.clock.wall());
+    const at = Math.round(this.context.clock.epochMs());
     const record: EndedRecord = { stage: 'withdrawn', tasks: spec.tasks, done: 0, at };
     return { when: [], write: { put: endedKey(id), value: record }, stage: 'withdrawn' };
   }
@@ -218,16 +220,16 @@
 
   async withdraw(id: string): Promise<UserAnswer> {
     if (!JOB_ID.test(id)) return NOT_FOUND;
-    const until = this.context.clock.mono() + this.context.patience;
+    const until = this.context.clock.monotonicMs() + this.context.patience;
     do {
       const found = await this.#find(id);
       if (found.kind !== 'live' && found.kind !== 'damaged') return this.#view(id, found);
       const tasks = found.kind === 'live' ? found.spec.tasks : 0;
-      const at = Math.round(this.context.clock.wall());
+      const at = Math.round(this.context.clock.epochMs());
       const record: EndedRecord = { stage: 'withdrawn', tasks, done: this.context.counts(id)?.done ?? 0, at };
       const outcome = await this.context.state.commit({
-        when: [{ key: jobKey(id), stamp: found.stamp }],
-        apply: [{ remove: jobKey(id) }, { put: endedKey(id), value: record }],
+        preconditions: [{ key: jobKey(id), modRevision: found.modRevision }],
+        mutations: [{ remove: jobKey(id) }, { put: endedKey(id), value: record }],
       });
       if (outcome.kind === 'applied') {
         this.#reads.keep(id, record);
@@ -237,7 +239,7 @@
       // It may have been carried out, and only its answer lost: its user is not sent away for that.
       const after = await this.#find(id);
       if (after.kind === 'ended') return this.#view(id, after);
-    } while (this.context.clock.mono() < until);
+    } while (this.context.clock.monotonicMs() < until);
     return RETRY;
   }
 }
--- a/src/adapters/workers.ts
+++ b/src/adapters/workers.ts
@@ -1,6 +1,6 @@
 /** Commands sent straight to workers: they only raise the token, or halt; and knocks at their doors. */
 import { connect } from 'node:net';
-import type { Report, WorkerCommand } from '../core/types.js';
+import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import { parseAddress } from '../settings.js';
 import { encodeDirect, parseReport } from '../wire/workers.js';
 import { HttpClient } from './http.js';
@@ -11,7 +11,7 @@
     token: number,
     session: number,
     commands: readonly WorkerCommand[],
-  ): Promise<Report | null>;
+  ): Promise<Heartbeat | null>;
   /** Whether the address takes a connection; null: not to be told from here. */
   isThere(address: string): Promise<boolean | null>;
 }
@@ -57,7 +57,7 @@
     token: number,
     session: number,
     commands: readonly WorkerCommand[],
-  ): Promise<Report | null> {
+  ): Promise<Heartbeat | null> {
     // A start sent this way could be executed minutes late.
     const safe = commands.filter((command) => command.op !== 'start');
     const client = new HttpClient(parseAddress(address), 1, false);
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,9 +1,9 @@
 /** Time as the service sees it; tests put a clock of their own in its place. */
 export interface Clock {
   /** Steady, in milliseconds. */
-  mono(): number;
+  monotonicMs(): number;
   /** Time of day, in milliseconds. */
-  wall(): number;
+  epochMs(): number;
   sleep(ms: number): Promise<void>;
   /** Calls back once what is ready now has been dealt with. */
   soon(call: () => void): void;
@@ -18,8 +18,8 @@
 }
 
 export const systemClock: Clock = {
-  mono: () => performance.now(),
-  wall: () => Date.now(),
+  monotonicMs: () => performance.now(),
+  epochMs: () => Date.now(),
   sleep: (ms) =>
     new Promise((resolve) => {
       setTimeout(resolve, ms);
--- a/src/controller/common.ts
+++ b/src/controller/common.ts
@@ -3,7 +3,7 @@
 import type { StateService } from '../adapters/state.js';
 import type { Workers } from '../adapters/workers.js';
 import type { Clock } from '../clock.js';
-import type { PolicyFigures } from '../core/model.js';
+import type { SchedulingPolicy } from '../core/model.js';
 import type { Log } from '../logging.js';
 import type { Owner } from '../owner.js';
 import type { PlatformSettings, Timing } from '../settings.js';
@@ -15,15 +15,15 @@
   readonly workers: Workers;
   readonly clock: Clock;
   readonly log: Log;
-  readonly policy: PolicyFigures;
+  readonly policy: SchedulingPolicy;
   /** Names this life of the node, and no other. */
   readonly incarnation: string;
 }
 
 export interface LeadershipView {
-  /** The node that leads, as far as this one knows, and the stamp of the record that says so. */
+  /** The node that leads, as far as this one knows, and the revision of the record that says so. */
   leader: string | null;
-  leaderStamp: number;
+  leaderRevision: number;
   highestTerm: number;
   /** The term this node was elected for and still means to lead; 0: none. */
   leadingTerm: number;
@@ -40,5 +40,5 @@
 /** Milliseconds since the state service last answered this node. */
 export function stateAgeMs({ ports: { state, clock } }: Common): number {
   const contact = state.contactAt();
-  return contact === null ? 0xffffffff : Math.max(0, Math.round(clock.mono() - contact));
+  return contact === null ? 0xffffffff : Math.max(0, Math.round(clock.monotonicMs() - contact));
 }
--- a/src/controller/deputy.ts
+++ b/src/controller/deputy.ts
@@ -14,7 +14,7 @@
 import type { StateService } from '../adapters/state.js';
 import type { Clock } from '../clock.js';
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
-import type { Report, WorkerCommand } from '../core/types.js';
+import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import type { Timing } from '../settings.js';
 import {
   deputyKey,
@@ -59,16 +59,19 @@
 
   /** The jobs that are known to be live, freshly enough to answer by; null: they are not known. */
   #view(): ReadonlySet<string> | null {
-    const { authority } = this.timing;
-    if (this.clock.mono() < this.#provenAt + authority) return this.#live;
-    if (this.#snapshot === null || this.clock.wall() >= this.#snapshot.at + authority - this.clocksApart)
+    const { authorityWindowMs } = this.timing;
+    if (this.clock.monotonicMs() < this.#provenAt + authorityWindowMs) return this.#live;
+    if (
+      this.#snapshot === null ||
+      this.clock.epochMs() >= this.#snapshot.at + authorityWindowMs - this.clocksApart
+    )
       return null;
     return this.#snapshot.live;
   }
 
   /** What to tell a worker, or null when this node may not answer it. */
-  async answer(report: Report): Promise<WorkerCommand[] | null> {
-    this.#usedAt = this.clock.mono();
+  async answer(report: Heartbeat): Promise<WorkerCommand[] | null> {
+    this.#usedAt = this.clock.monotonicMs();
     if (!this.#following) {
       this.#following = true;
       this.#first = this.#load().then(() => {
@@ -90,18 +93,21 @@
 
   /** Machines that this node has answered lately, in the leader's place. */
   hears(): string[] {
-    const from = this.clock.mono() - 2 * this.timing.longestReport;
+    const from = this.clock.monotonicMs() - 2 * this.timing.maxHeartbeatIntervalMs;
     return [...this.#seen].flatMap(([machine, { at }]) => (at > from ? [machine] : []));
   }
 
   /** Remembers the newest report of a machine; false: this one is not newer than it. */
-  #isNewer({ machine, session, seq }: Report): boolean {
+  #isNewer({ machine, agentEpoch, sequence }: Heartbeat): boolean {
     const known = this.#seen.get(machine);
-    if (known !== undefined && (session < known.session || (session === known.session && seq <= known.seq)))
+    if (
+      known !== undefined &&
+      (agentEpoch < known.session || (agentEpoch === known.session && sequence <= known.seq))
+    )
       return false;
     // Latest last, so that what has long been silent is forgotten first.
     this.#seen.delete(machine);
-    this.#seen.set(machine, { session, seq, at: this.clock.mono() });
+    this.#seen.set(machine, { session: agentEpoch, seq: sequence, at: this.clock.monotonicMs() });
     for (const oldest of this.#seen.keys()) {
       if (this.#seen.size <= MAX_TRACKED_MACHINES) break;
       this.#seen.delete(oldest);
@@ -112,7 +118,7 @@
   #revision = 0;
 
   async #load(): Promise<void> {
-    const sentAt = this.clock.mono();
+    const sentAt = this.clock.monotonicMs();
     const jobs = await this.state.list(JOB_PREFIX);
     if (jobs === 'unknown') return;
     this.#live.clear();
@@ -122,12 +128,12 @@
   }
 
   async #follow(): Promise<void> {
-    while (this.clock.mono() - this.#usedAt < this.timing.workerLease) {
-      const sentAt = this.clock.mono();
+    while (this.clock.monotonicMs() - this.#usedAt < this.timing.workerLeaseMs) {
+      const sentAt = this.clock.monotonicMs();
       const found =
         this.#provenAt === -Infinity
           ? 'unread'
-          : await this.state.watch(JOB_PREFIX, this.#revision, this.timing.watchWait);
+          : await this.state.watch(JOB_PREFIX, this.#revision, this.timing.watchTimeoutMs);
       if (found === 'unread' || found.kind === 'tooOld') await this.#load();
       else if (found.kind === 'changes') {
         for (const { key, value } of found.changes) {
@@ -138,7 +144,7 @@
         this.#provenAt = sentAt;
         continue;
       }
-      await this.clock.sleep(this.timing.tick);
+      await this.clock.sleep(this.timing.tickMs);
     }
     this.#following = false;
     this.#provenAt = -Infinity;
@@ -155,17 +161,20 @@
     let toldAt = -Infinity;
     while (this.#following) {
       const machines = this.hears();
-      const due = this.clock.mono() - toldAt > 2 * this.timing.longestReport;
+      const due = this.clock.monotonicMs() - toldAt > 2 * this.timing.maxHeartbeatIntervalMs;
       if (machines.length > 0 && (due || machines.length > told)) {
-        const at = this.clock.wall();
+        const at = this.clock.epochMs();
         for (const [part, some] of packMachines(machines, this.valueBytes).entries()) {
           const value: DeputyRecord = { at, machines: some };
-          await this.state.commit({ when: [], apply: [{ put: deputyKey(this.node, part), value }] });
+          await this.state.commit({
+            preconditions: [],
+            mutations: [{ put: deputyKey(this.node, part), value }],
+          });
         }
-        toldAt = this.clock.mono();
+        toldAt = this.clock.monotonicMs();
         told = machines.length;
       }
-      await this.clock.sleep(2 * this.timing.tick);
+      await this.clock.sleep(2 * this.timing.tickMs);
     }
   }
 }
--- a/src/controller/election.ts
+++ b/src/controller/election.ts
@@ -24,7 +24,7 @@
   elected(won: ElectionResult): void;
   /** Another node may lead. */
   lost(): void;
-  leaderKnown(leader: LeaderRecord | null, stamp: number): void;
+  leaderKnown(leader: LeaderRecord | null, modRevision: number): void;
 }
 
 export class Election {
@@ -58,20 +58,20 @@
       }
       case 'grant': {
         const [lease, term] = await Promise.all([
-          this.state.grant(this.machine.timing.leaderLease),
+          this.state.grant(this.machine.timing.leaderLeaseMs),
           this.#term(),
         ]);
-        this.tell({ kind: 'granted', round: effect.round, lease, term, now: this.clock.mono() });
+        this.tell({ kind: 'granted', round: effect.round, lease, term, now: this.clock.monotonicMs() });
         break;
       }
       case 'stand': {
-        const { record, lease, leaderStamp, termStamp } = effect;
+        const { record, lease, leaderRevision, termRevision } = effect;
         const [outcome, revision] = await this.#commit({
-          when: [
-            { key: LEADER_KEY, stamp: leaderStamp },
-            { key: TERM_KEY, stamp: termStamp },
+          preconditions: [
+            { key: LEADER_KEY, modRevision: leaderRevision },
+            { key: TERM_KEY, modRevision: termRevision },
           ],
-          apply: [
+          mutations: [
             { put: LEADER_KEY, value: record, lease },
             { put: TERM_KEY, value: { term: record.term } },
           ],
@@ -91,13 +91,13 @@
         await this.state.revoke(effect.lease);
         break;
       case 'name': {
-        const { record, lease, leaderStamp, termStamp } = effect;
+        const { record, lease, leaderRevision, termRevision } = effect;
         const [outcome, revision] = await this.#commit({
-          when: [
-            { key: LEADER_KEY, stamp: leaderStamp },
-            { key: TERM_KEY, stamp: termStamp },
+          preconditions: [
+            { key: LEADER_KEY, modRevision: leaderRevision },
+            { key: TERM_KEY, modRevision: termRevision },
           ],
-          apply: [{ put: LEADER_KEY, value: record, lease }],
+          mutations: [{ put: LEADER_KEY, value: record, lease }],
         });
         this.tell({ kind: 'named', round: effect.round, outcome, revision });
         break;
@@ -109,7 +109,7 @@
         this.events.lost();
         break;
       case 'leaderKnown':
-        this.events.leaderKnown(effect.leader, effect.stamp);
+        this.events.leaderKnown(effect.leader, effect.modRevision);
         break;
     }
   }
@@ -119,19 +119,23 @@
     const found = await this.state.list(LEADER_KEY);
     if (found === 'unknown') return 'unknown';
     const entry = found.entries.find(({ key }) => key === LEADER_KEY);
-    return { value: decodeLeader(entry?.value), stamp: entry?.stamp ?? 0, revision: found.revision };
+    return {
+      value: decodeLeader(entry?.value),
+      modRevision: entry?.modRevision ?? 0,
+      revision: found.revision,
+    };
   }
 
   async #leader(): Promise<Kept<LeaderRecord> | 'unknown'> {
     const read = await this.state.read(LEADER_KEY);
     if (read === 'unknown') return 'unknown';
-    return { value: decodeLeader(read.entry?.value), stamp: read.entry?.stamp ?? 0 };
+    return { value: decodeLeader(read.entry?.value), modRevision: read.entry?.modRevision ?? 0 };
   }
 
   async #term(): Promise<Kept<number> | 'unknown'> {
     const read = await this.state.read(TERM_KEY);
     if (read === 'unknown') return 'unknown';
-    return { value: decodeTerm(read.entry?.value)?.term ?? null, stamp: read.entry?.stamp ?? 0 };
+    return { value: decodeTerm(read.entry?.value)?.term ?? null, modRevision: read.entry?.modRevision ?? 0 };
   }
 
   async #commit(txn: Transaction): Promise<[Outcome, number]> {
--- a/src/controller/following.ts
+++ b/src/controller/following.ts
@@ -1,5 +1,5 @@
 /** Following: workers are sent to the leader, or answered for one that they cannot reach. */
-import type { Report } from '../core/types.js';
+import type { Heartbeat } from '../core/types.js';
 import { Routing, type Reach } from '../membership/routing.js';
 import { encodeRedirect, encodeReply } from '../wire/workers.js';
 import { stateAgeMs, type Common } from './common.js';
@@ -27,18 +27,18 @@
     const leader = standing.leader === settings.host_name ? null : standing.leader;
     return {
       leader,
-      heard: leader !== null && membership.isHeard(leader, ports.clock.mono()),
+      heard: leader !== null && membership.isHeard(leader, ports.clock.monotonicMs()),
       lostAt: leader === null ? null : membership.lostAt(leader),
-      recorded: stateAgeMs(this.common) < timing.leaderLease,
+      recorded: stateAgeMs(this.common) < timing.leaderLeaseMs,
       quiet: this.peering.isQuiet(zone),
-      others: membership.hearsBeside(leader, ports.clock.mono()),
+      others: membership.hearsBeside(leader, ports.clock.monotonicMs()),
       token: standing.highestTerm,
     };
   }
 
   /** Sends a worker to the leader, or stands in for a leader that it cannot reach. */
-  answer(report: Report, done: (status: number, body: string) => void): void {
-    const now = this.common.ports.clock.mono();
+  answer(report: Heartbeat, done: (status: number, body: string) => void): void {
+    const now = this.common.ports.clock.monotonicMs();
     const reach = this.#reach(report.zone);
     // One that reported here has left no leader by coming here again; it has if it comes back from there.
     if (!this.leaveHome(report.machine) && this.#routing.isStray(report.machine, report.token, reach, now))
@@ -52,7 +52,7 @@
   }
 
   /** Answers a worker in the leader's place, by what is known here of the live jobs. */
-  answerAlone(report: Report, done: (status: number, body: string) => void): void {
+  answerAlone(report: Heartbeat, done: (status: number, body: string) => void): void {
     const token = this.common.standing.highestTerm;
     void this.deputy.answer(report).then((commands) => {
       if (
--- a/src/controller/leading.ts
+++ b/src/controller/leading.ts
@@ -1,26 +1,26 @@
 /** Leading: what the leaders before have committed is loaded, then the jobs are followed. */
 import { readJob } from '../adapters/reads.js';
 import type { Common } from './common.js';
-import type { LoadedChunk, Recheck } from '../core/effects.js';
+import type { LoadedChunk, ReconciledRecords } from '../core/effects.js';
 import {
   decodeChunk,
   decodeDeputy,
   decodeFormat,
   decodeJob,
-  decodeMemory,
+  decodeDemand,
   DEPUTY_PREFIX,
   FORMAT_KEY,
   JOB_PREFIX,
   jobOfKey,
-  MEMORY_KEY,
-  MEMORY_PREFIX,
+  DEMAND_KEY,
+  DEMAND_PREFIX,
   parseChunkKey,
   RUN_PREFIX,
   TERM_KEY,
-  type ClassMemory,
+  type ClassDemandRecord,
   type FormatRecord,
 } from '../core/persistence/index.js';
-import type { EndedRecord, JobSpec, Stamped } from '../core/types.js';
+import type { EndedRecord, JobSpec, Versioned } from '../core/types.js';
 import type { ElectionResult } from '../membership/election.js';
 import type { Observing } from './observing.js';
 import type { Peering } from './peering.js';
@@ -28,11 +28,11 @@
 import { firstLayout, formatRecord, lastingLayout } from '../upgrade.js';
 import type { Entry } from '../wire/state.js';
 
-function decodeJobs(entries: readonly Entry[]): Stamped<JobSpec>[] {
-  const jobs: Stamped<JobSpec>[] = [];
-  for (const { value, stamp } of entries) {
+function decodeJobs(entries: readonly Entry[]): Versioned<JobSpec>[] {
+  const jobs: Versioned<JobSpec>[] = [];
+  for (const { value, modRevision } of entries) {
     const spec = decodeJob(value);
-    if (spec !== null) jobs.push({ value: spec, stamp });
+    if (spec !== null) jobs.push({ value: spec, modRevision });
   }
   return jobs;
 }
@@ -62,7 +62,7 @@
     private readonly observing: Observing,
   ) {
     this.#wellPlaced = wellPlaced(common.settings);
-    this.#startedAt = common.ports.clock.mono();
+    this.#startedAt = common.ports.clock.monotonicMs();
   }
 
   /** The nodes that are to lead rather than others. */
@@ -84,9 +84,9 @@
   /** Whether a node that is to lead rather than this one is heard, or may still be after this one's start. */
   hasBetterPlaced(): boolean {
     if (this.isWellPlaced) return false;
-    const now = this.common.ports.clock.mono();
+    const now = this.common.ports.clock.monotonicMs();
     const { membership } = this.observing;
-    const young = now - this.#startedAt < this.common.timing.longestReport;
+    const young = now - this.#startedAt < this.common.timing.maxHeartbeatIntervalMs;
     const heard = (node: string): boolean =>
       membership.lostAt(node) === null && (young || membership.isHeard(node, now));
     return [...this.#wellPlaced].some(heard);
@@ -95,15 +95,19 @@
   /** The node that is to lead rather than this one, if it has been back, and served, for a while. */
   betterPlaced(): string | null {
     const { leadership, machines } = this.common.owner.state;
-    const now = this.common.ports.clock.mono();
-    const settled = 0.4 * this.common.timing.workerLease;
+    const now = this.common.ports.clock.monotonicMs();
+    const settled = 0.4 * this.common.timing.workerLeaseMs;
     if (leadership === null || this.isWellPlaced) return null;
     if (now - leadership.since < settled) return null;
     // The next leader would wait anew for machines that are silent, and their tasks with them; and what
     // a zone brings back with it is best taken in by whoever knows what was given up meanwhile.
-    if (this.common.owner.state.quiet.size > 0) this.#quietAt = now;
-    if (now - this.#quietAt < this.common.timing.workerLease) return null;
-    if ([...machines.values()].some(({ heardAt, claims }) => heardAt === null && claims.size > 0))
+    if (this.common.owner.state.silentZones.size > 0) this.#quietAt = now;
+    if (now - this.#quietAt < this.common.timing.workerLeaseMs) return null;
+    if (
+      [...machines.values()].some(
+        ({ lastHeartbeatAt, claims }) => lastHeartbeatAt === null && claims.size > 0,
+      )
+    )
       return null;
     const { membership } = this.observing;
     return [...this.#wellPlaced].find((node) => membership.isSettled(node, settled, now)) ?? null;
@@ -115,12 +119,12 @@
    */
   async close(): Promise<void> {
     const { owner, ports, timing } = this.common;
-    owner.push({ kind: 'yield' });
-    const until = ports.clock.mono() + 2 * timing.tick;
-    while (ports.clock.mono() < until) {
-      await ports.clock.sleep(timing.tick / 8);
-      const { commit, recheck, dirtyJobs } = owner.state;
-      if (commit === null && recheck === null && dirtyJobs.start.size === 0) return;
+    owner.push({ kind: 'transferLeadership' });
+    const until = ports.clock.monotonicMs() + 2 * timing.tickMs;
+    while (ports.clock.monotonicMs() < until) {
+      await ports.clock.sleep(timing.tickMs / 8);
+      const { commit, pendingReconciliation, dirtyJobs } = owner.state;
+      if (commit === null && pendingReconciliation === null && dirtyJobs.start.size === 0) return;
     }
   }
 
@@ -131,40 +135,40 @@
     this.common.standing.leadingTerm = won.term;
     this.common.ports.log.info({ term: won.term }, 'elected');
     for (;;) {
-      const sentAt = this.common.ports.clock.mono();
+      const sentAt = this.common.ports.clock.monotonicMs();
       const [jobs, runs, memory, format] = await Promise.all([
         this.common.ports.state.list(JOB_PREFIX),
         this.common.ports.state.list(RUN_PREFIX),
         this.#readMemory(),
-        this.#readFormat(won.stamp),
+        this.#readFormat(won.modRevision),
       ]);
       if (this.common.standing.leadingTerm !== won.term || this.common.standing.highestTerm > won.term)
         return;
       if (jobs === 'unknown' || runs === 'unknown' || memory === 'unknown' || format === 'unknown') {
-        await this.common.ports.clock.sleep(this.common.timing.tick);
+        await this.common.ports.clock.sleep(this.common.timing.tickMs);
         continue;
       }
       const chunks: LoadedChunk[] = [];
-      for (const { key, value, stamp } of runs.entries) {
+      for (const { key, value, modRevision } of runs.entries) {
         const name = parseChunkKey(key);
         const record = decodeChunk(value);
         if (name !== null && record !== null)
-          chunks.push({ job: name.job, name, record: { value: record, stamp } });
+          chunks.push({ job: name.job, name, record: { value: record, modRevision } });
       }
-      const { term, stamp } = won;
+      const { term, modRevision } = won;
       this.common.owner.push({
-        kind: 'lead',
+        kind: 'becomeLeader',
         term,
-        stamp,
-        provenAt: sentAt,
+        modRevision,
+        viewConfirmedAt: sentAt,
         layout:
           format === null ? firstLayout(this.common.settings) : lastingLayout(this.common.settings, format),
-        wide: format?.wide ?? firstLayout(this.common.settings).tasks,
+        legacyChunkTasks: format?.wide ?? firstLayout(this.common.settings).tasksPerChunk,
         jobs: decodeJobs(jobs.entries),
         chunks,
-        memory,
-        quiet: this.peering.quietOfLate(),
-        haunted: won.before === 'unknown' && term > 1,
+        demandHistory: memory,
+        silentZones: this.peering.quietOfLate(),
+        previousLeaderMayBeAlive: won.before === 'unknown' && term > 1,
       });
       await this.#follow(term, jobs.revision);
       return;
@@ -172,18 +176,18 @@
   }
 
   /** What classes have shown, as either version keeps it. */
-  async #readMemory(): Promise<ClassMemory[] | 'unknown'> {
+  async #readMemory(): Promise<ClassDemandRecord[] | 'unknown'> {
     const [whole, parts] = await Promise.all([
-      this.common.ports.state.read(MEMORY_KEY),
-      this.common.ports.state.list(MEMORY_PREFIX),
+      this.common.ports.state.read(DEMAND_KEY),
+      this.common.ports.state.list(DEMAND_PREFIX),
     ]);
     if (whole === 'unknown' || parts === 'unknown') return 'unknown';
     // The later ones count where a class stands in several.
-    return [whole.entry?.value, ...parts.entries.map(({ value }) => value)].flatMap(decodeMemory);
+    return [whole.entry?.value, ...parts.entries.map(({ value }) => value)].flatMap(decodeDemand);
   }
 
   /** The format in force, null if it is not; one whose width has become too large is written anew. */
-  async #readFormat(termStamp: number): Promise<FormatRecord | null | 'unknown'> {
+  async #readFormat(termRevision: number): Promise<FormatRecord | null | 'unknown'> {
     const read = await this.common.ports.state.read(FORMAT_KEY);
     if (read === 'unknown') return 'unknown';
     const known = decodeFormat(read.entry?.value);
@@ -191,11 +195,11 @@
     const record = formatRecord(this.common.settings, known);
     if (record.tasks === known.tasks) return known;
     const outcome = await this.common.ports.state.commit({
-      when: [
-        { key: TERM_KEY, stamp: termStamp },
-        { key: FORMAT_KEY, stamp: read.entry.stamp },
+      preconditions: [
+        { key: TERM_KEY, modRevision: termRevision },
+        { key: FORMAT_KEY, modRevision: read.entry.modRevision },
       ],
-      apply: [{ put: FORMAT_KEY, value: record }],
+      mutations: [{ put: FORMAT_KEY, value: record }],
     });
     return outcome.kind === 'applied' ? record : 'unknown';
   }
@@ -204,10 +208,10 @@
   async #follow(term: number, revision: number): Promise<void> {
     let after = revision;
     while (this.common.standing.leadingTerm === term) {
-      const sentAt = this.common.ports.clock.mono();
-      const found = await this.common.ports.state.watch(JOB_PREFIX, after, this.common.timing.watchWait);
+      const sentAt = this.common.ports.clock.monotonicMs();
+      const found = await this.common.ports.state.watch(JOB_PREFIX, after, this.common.timing.watchTimeoutMs);
       if (found.kind === 'unknown') {
-        await this.common.ports.clock.sleep(this.common.timing.tick);
+        await this.common.ports.clock.sleep(this.common.timing.tickMs);
       } else if (found.kind === 'tooOld') {
         const jobs = await this.common.ports.state.list(JOB_PREFIX);
         if (jobs === 'unknown') continue;
@@ -217,15 +221,16 @@
           jobs: decodeJobs(jobs.entries),
           revision: jobs.revision,
         });
-        this.common.owner.push({ kind: 'proof', sentAt });
+        this.common.owner.push({ kind: 'viewConfirmed', sentAt });
       } else {
         after = found.revision;
-        for (const { key, value, stamp } of found.changes) {
+        for (const { key, value, modRevision } of found.changes) {
           const spec = decodeJob(value);
           if (value === undefined) this.common.owner.push({ kind: 'jobRemoved', id: jobOfKey(key) });
-          else if (spec !== null) this.common.owner.push({ kind: 'jobAdded', job: { value: spec, stamp } });
+          else if (spec !== null)
+            this.common.owner.push({ kind: 'jobAdded', job: { value: spec, modRevision } });
         }
-        this.common.owner.push({ kind: 'proof', sentAt });
+        this.common.owner.push({ kind: 'viewConfirmed', sentAt });
       }
     }
   }
@@ -241,7 +246,7 @@
         ] as const;
       }),
     );
-    this.common.owner.push({ kind: 'resolved', found: new Map(found) });
+    this.common.owner.push({ kind: 'dependenciesResolved', found: new Map(found) });
   }
 
   async recheck(ids: readonly string[], keys: readonly string[]): Promise<void> {
@@ -261,25 +266,31 @@
     for (const key of whole ? keys : []) {
       const read = await this.common.ports.state.read(key);
       if (read === 'unknown') whole = false;
-      else if (read.entry !== null) chunks.set(key, read.entry.stamp);
+      else if (read.entry !== null) chunks.set(key, read.entry.modRevision);
       if (!whole) break;
     }
-    if (!whole) await this.common.ports.clock.sleep(this.common.timing.tick);
-    this.common.owner.push({ kind: 'rechecked', found: whole ? ({ jobs, chunks } satisfies Recheck) : null });
+    if (!whole) await this.common.ports.clock.sleep(this.common.timing.tickMs);
+    this.common.owner.push({
+      kind: 'reconciled',
+      found: whole ? ({ jobs, chunks } satisfies ReconciledRecords) : null,
+    });
   }
 
   /** Reads, while some machine is silent, which of them deputies hear. */
   async #keepRelays(): Promise<void> {
     // Clocks agree within a bound, and a deputy speaks every other longest report.
-    const young = 0.5 * this.common.timing.workerLease + 2 * this.common.settings.cluster.clock_error_ms;
+    const young = 0.5 * this.common.timing.workerLeaseMs + 2 * this.common.settings.cluster.clock_error_ms;
     for (;;) {
-      await this.common.ports.clock.sleep(4 * this.common.timing.tick);
+      await this.common.ports.clock.sleep(4 * this.common.timing.tickMs);
       const { leadership, machines } = this.common.owner.state;
       if (leadership === null) continue;
-      const now = this.common.ports.clock.mono();
+      const now = this.common.ports.clock.monotonicMs();
       let silent = 0;
-      for (const { heardAt, knownAt, listed } of machines.values())
-        if (listed !== 'booting' && now - (heardAt ?? knownAt) > 1.5 * this.common.timing.longestReport)
+      for (const { lastHeartbeatAt, discoveredAt, cloudStage } of machines.values())
+        if (
+          cloudStage !== 'booting' &&
+          now - (lastHeartbeatAt ?? discoveredAt) > 1.5 * this.common.timing.maxHeartbeatIntervalMs
+        )
           silent += 1;
       if (silent === 0) continue;
       const found = await this.common.ports.state.list(DEPUTY_PREFIX);
@@ -287,8 +298,9 @@
       for (const { value } of found.entries) {
         const record = decodeDeputy(value);
         if (record === null) continue;
-        const ageMs = Math.max(0, this.common.ports.clock.wall() - record.at);
-        if (ageMs < young) this.common.owner.push({ kind: 'relayed', machines: record.machines, ageMs });
+        const ageMs = Math.max(0, this.common.ports.clock.epochMs() - record.at);
+        if (ageMs < young)
+          this.common.owner.push({ kind: 'machinesRelayed', machines: record.machines, ageMs });
       }
     }
   }
@@ -298,21 +310,21 @@
       const types = await this.common.ports.cloud.catalog();
       if (types !== null) this.common.owner.push({ kind: 'catalog', types });
       await this.common.ports.clock.sleep(
-        types === null ? this.common.timing.tick : 6 * this.common.timing.workerLease,
+        types === null ? this.common.timing.tickMs : 6 * this.common.timing.workerLeaseMs,
       );
     }
   }
 
   async #keepList(): Promise<void> {
     const pause = Math.max(
-      this.common.timing.longestReport,
+      this.common.timing.maxHeartbeatIntervalMs,
       (this.common.settings.cluster.cloud.list_lag_s * 1000) / 4,
     );
     for (;;) {
       if (this.common.owner.state.leadership !== null) {
-        const askedAt = this.common.ports.clock.mono();
+        const askedAt = this.common.ports.clock.monotonicMs();
         const machines = await this.common.ports.cloud.machines();
-        if (machines !== null) this.common.owner.push({ kind: 'listed', askedAt, machines });
+        if (machines !== null) this.common.owner.push({ kind: 'machinesListed', askedAt, machines });
       }
       await this.common.ports.clock.sleep(pause);
     }
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -24,7 +24,7 @@
 import { rulesFor } from '../rules.js';
 import { lastingLimits, timing, type PlatformSettings } from '../settings.js';
 import { lastingLayout, Upgrade } from '../upgrade.js';
-import type { Report } from '../core/types.js';
+import type { Heartbeat } from '../core/types.js';
 import type { IntakeMessage } from '../wire/intake.js';
 import type { PeerStatus } from '../wire/peers.js';
 import { encodeRedirect, encodeReply, parseReport } from '../wire/workers.js';
@@ -72,9 +72,9 @@
       log,
       (effect) => this.#carryOut(effect),
       ({ steadyMs, processorMs }) =>
-        this.#observing.membership.pace.worked(steadyMs, processorMs, clock.mono()),
+        this.#observing.membership.pace.worked(steadyMs, processorMs, clock.monotonicMs()),
     );
-    const standing: LeadershipView = { leader: null, leaderStamp: 0, highestTerm: 0, leadingTerm: 0 };
+    const standing: LeadershipView = { leader: null, leaderRevision: 0, highestTerm: 0, leadingTerm: 0 };
     this.#common = { settings, timing: times, ports, owner, standing };
     const { value_kb, txn_ops, rps } = lastingLimits(settings);
     const deputy = new Deputy(
@@ -135,7 +135,12 @@
         ),
     });
     this.#election = new Election(
-      createElection(settings.host_name, incarnation, times, this.#leading.isWellPlaced ? 0 : 4 * times.tick),
+      createElection(
+        settings.host_name,
+        incarnation,
+        times,
+        this.#leading.isWellPlaced ? 0 : 4 * times.tickMs,
+      ),
       state,
       clock,
       {
@@ -147,11 +152,11 @@
           standing.leadingTerm = 0;
           owner.push({ kind: 'resign', reason: 'another may lead' });
         },
-        leaderKnown: (leader, stamp) => {
+        leaderKnown: (leader, modRevision) => {
           if (leader !== null && leader.term > standing.highestTerm)
             this.#observing.membership.forgetStrays();
           standing.leader = leader?.node ?? null;
-          standing.leaderStamp = stamp;
+          standing.leaderRevision = modRevision;
           standing.highestTerm = Math.max(standing.highestTerm, leader?.term ?? 0);
         },
       },
@@ -159,25 +164,25 @@
       () => {
         // It would lead and hear nobody: elected again while its successor stood still, such a node cost
         // 1,787 tasks their lease.
-        if (this.#observing.isCutOff) return 8 * times.tick;
-        return this.#leading.hasBetterPlaced() ? 4 * times.tick : 0;
+        if (this.#observing.isCutOff) return 8 * times.tickMs;
+        return this.#leading.hasBetterPlaced() ? 4 * times.tickMs : 0;
       },
     );
     this.#upgrade = new Upgrade({
       settings,
       state,
       clock,
-      pause: 2 * times.longestReport,
-      termStamp: () => owner.state.leadership?.stamp ?? null,
+      pause: 2 * times.maxHeartbeatIntervalMs,
+      termRevision: () => owner.state.leadership?.modRevision ?? null,
       hearsEarlier: () => this.#peering.hearsEarlier(),
       adopted: (record) => {
         log.info(record, 'every controller reads the new format');
         state.keepTo(lastingLimits(settings));
-        owner.push({ kind: 'adopt', layout: lastingLayout(settings, record) });
+        owner.push({ kind: 'adoptLayout', layout: lastingLayout(settings, record) });
       },
     });
     // So many as the state service could answer within a quarter of what one request may take.
-    this.admission = new Admission(clock, (settings.cluster.state.rps * times.stateTimeout) / 4000);
+    this.admission = new Admission(clock, (settings.cluster.state.rps * times.storeTimeoutMs) / 4000);
     this.users = new Users({
       rps,
       valueBytes: value_kb * 1024,
@@ -187,8 +192,8 @@
       state,
       clock,
       teams: rules.teams,
-      patience: times.stateTimeout,
-      types: () => owner.state.types,
+      patience: times.storeTimeoutMs,
+      types: () => owner.state.machineTypes,
       counts: (id) => this.#peering.countOf(id),
     });
   }
@@ -236,7 +241,7 @@
     const { clock } = this.#common.ports;
     const { membership } = this.#observing;
     return this.#common.settings.others
-      .filter(({ host_name }) => membership.keepsUp(host_name, clock.mono()))
+      .filter(({ host_name }) => membership.keepsUp(host_name, clock.monotonicMs()))
       .map(({ host_name, zone }) => ({ node: host_name, zone }));
   }
 
@@ -265,7 +270,7 @@
    * take itself for refused while the leader is served.
    */
   async #keepContact(): Promise<void> {
-    const often = this.#common.timing.stateTimeout / 2;
+    const often = this.#common.timing.storeTimeoutMs / 2;
     for (;;) {
       await this.#common.ports.clock.sleep(often);
       if (stateAgeMs(this.#common) >= often) await this.#common.ports.state.read(LEADER_KEY);
@@ -277,18 +282,18 @@
 
   async #keepTicking(): Promise<void> {
     const { clock } = this.#common.ports;
-    const { tick, workerLease } = this.#common.timing;
-    let toldAt = clock.mono();
+    const { tickMs, workerLeaseMs } = this.#common.timing;
+    let toldAt = clock.monotonicMs();
     for (;;) {
-      const from = clock.mono();
-      if (from - toldAt > workerLease) {
+      const from = clock.monotonicMs();
+      if (from - toldAt > workerLeaseMs) {
         this.malformed.tell(this.#common.ports.log, 'malformed');
         toldAt = from;
       }
-      await clock.sleep(tick);
-      this.#observing.tick(Math.max(0, clock.mono() - from - tick));
+      await clock.sleep(tickMs);
+      this.#observing.tick(Math.max(0, clock.monotonicMs() - from - tickMs));
       const { doubtsItself, isBusy } = this.#observing;
-      this.#common.owner.push({ kind: 'tick', doubt: doubtsItself, busy: isBusy });
+      this.#common.owner.push({ kind: 'tick', isStalled: doubtsItself, isOverloaded: isBusy });
       this.#tellShared();
     }
   }
@@ -306,18 +311,18 @@
 
   /** The leader has crashed for all the evidence there is: its record may be replaced now. */
   #inherit(): void {
-    const { leader, leaderStamp } = this.#common.standing;
-    if (this.#inherited === leaderStamp) return;
-    this.#inherited = leaderStamp;
+    const { leader, leaderRevision } = this.#common.standing;
+    if (this.#inherited === leaderRevision) return;
+    this.#inherited = leaderRevision;
     this.#common.ports.log.info({ leader }, 'the leader has crashed, standing early');
-    void this.#standEarly(leaderStamp);
+    void this.#standEarly(leaderRevision);
   }
 
   /** A node that is not to lead lets one that is come first, if there is one: else it would hand over soon. */
-  async #standEarly(stamp: number): Promise<void> {
+  async #standEarly(modRevision: number): Promise<void> {
     const { clock } = this.#common.ports;
-    if (this.#leading.hasBetterPlaced()) await clock.sleep(this.#common.timing.tick / 2);
-    this.#election.tell({ kind: 'inherit', stamp });
+    if (this.#leading.hasBetterPlaced()) await clock.sleep(this.#common.timing.tickMs / 2);
+    this.#election.tell({ kind: 'inherit', modRevision });
   }
 
   /** Hands the leadership to another node: nothing is begun any more, all is written, the node named. */
@@ -334,7 +339,10 @@
   /** The status page; a brief one leaves out what takes a walk over jobs and machines. */
   describe(brief = false): object {
     const { state } = this.#common.owner;
-    const now = { mono: this.#common.ports.clock.mono(), wall: this.#common.ports.clock.wall() };
+    const now = {
+      monotonicMs: this.#common.ports.clock.monotonicMs(),
+      epochMs: this.#common.ports.clock.epochMs(),
+    };
     return {
       node: this.#common.settings.host_name,
       leader: state.leadership === null ? this.#common.standing.leader : this.#common.settings.host_name,
@@ -362,7 +370,7 @@
     } else this.#takeReport(report, done);
   }
 
-  #takeReport(report: Report, done: (status: number, body: string) => void): void {
+  #takeReport(report: Heartbeat, done: (status: number, body: string) => void): void {
     if (this.#common.owner.state.leadership === null) {
       this.#observing.metWorker();
       if (!this.#intake.take(report, done)) this.#following.answer(report, done);
@@ -377,10 +385,10 @@
     this.#answerAsLeader(report, done);
   }
 
-  #answerAsLeader(report: Report, done: (status: number, body: string) => void): void {
-    const from = this.#common.ports.clock.mono();
+  #answerAsLeader(report: Heartbeat, done: (status: number, body: string) => void): void {
+    const from = this.#common.ports.clock.monotonicMs();
     this.#pushReport(report, 0, (reply) => {
-      this.latencies.record('report', this.#common.ports.clock.mono() - from);
+      this.latencies.record('report', this.#common.ports.clock.monotonicMs() - from);
       if (reply.kind === 'commands') {
         done(200, encodeReply(reply.token, reply.commands));
         return;
@@ -393,10 +401,10 @@
   }
 
   /** Hands a report to the core, whose reply comes back once. */
-  #pushReport(report: Report, ageMs: number, onReply: (reply: Reply) => void): void {
+  #pushReport(report: Heartbeat, ageMs: number, onReply: (reply: Reply) => void): void {
     const reply = this.#nextReply++;
     this.#replies.set(reply, onReply);
-    this.#common.owner.push({ kind: 'report', reply, report, ageMs });
+    this.#common.owner.push({ kind: 'heartbeat', reply, heartbeat: report, ageMs });
   }
 
   #carryOut(effect: Effect): void {
@@ -408,7 +416,7 @@
         break;
       }
       case 'commit':
-        void this.#common.ports.state.commit(effect.txn).then((outcome) => {
+        void this.#common.ports.state.commit(effect.transaction).then((outcome) => {
           this.#common.owner.push({
             kind: 'committed',
             id: effect.id,
@@ -416,36 +424,38 @@
           });
         });
         break;
-      case 'resolve':
+      case 'resolveDependencies':
         void this.#leading.resolve(effect.ids);
         break;
-      case 'recheck':
+      case 'reconcile':
         void this.#leading.recheck(effect.jobs, effect.chunks);
         break;
-      case 'direct':
+      case 'sendCommands':
         void this.#common.ports.workers
-          .direct(effect.address, effect.token, effect.session, effect.commands)
+          .direct(effect.address, effect.token, effect.agentEpoch, effect.commands)
           .then((report) => {
-            if (report !== null) this.#common.owner.push({ kind: 'direct', report });
+            if (report !== null) this.#common.owner.push({ kind: 'directAnswer', heartbeat: report });
           });
         break;
       case 'probe':
         void this.#common.ports.workers.isThere(effect.address).then((met) => {
-          this.#common.owner.push({ kind: 'probed', machine: effect.machine, met });
+          this.#common.owner.push({ kind: 'probed', machine: effect.machine, isReachable: met });
         });
         break;
-      case 'rent':
+      case 'provision':
         void this.#common.ports.cloud
-          .rent(effect.request, effect.type, effect.zone, effect.spot, effect.count)
-          .then((outcome) => this.#common.owner.push({ kind: 'rented', request: effect.request, outcome }));
+          .rent(effect.requestId, effect.type, effect.zone, effect.spot, effect.count)
+          .then((outcome) =>
+            this.#common.owner.push({ kind: 'provisioned', requestId: effect.requestId, outcome }),
+          );
         break;
-      case 'return':
+      case 'terminate':
         void this.#common.ports.cloud.giveBack(effect.machines).then((ok) => {
-          this.#common.owner.push({ kind: 'returned', machines: effect.machines, ok });
+          this.#common.owner.push({ kind: 'terminated', machines: effect.machines, ok });
         });
         break;
-      case 'remember':
-        void this.#common.ports.state.commit(effect.txn);
+      case 'saveDemandHistory':
+        void this.#common.ports.state.commit(effect.transaction);
         break;
       case 'attention':
         this.#shared.attend(effect.machines);
--- a/src/controller/observing.ts
+++ b/src/controller/observing.ts
@@ -42,7 +42,7 @@
   }
 
   get #now(): number {
-    return this.common.ports.clock.mono();
+    return this.common.ports.clock.monotonicMs();
   }
 
   onPeer(view: View): void {
@@ -85,17 +85,18 @@
   tick(lateMs: number): void {
     const now = this.#now;
     this.membership.ticked(lateMs, now);
-    const { leadership, hearing, machines } = this.common.owner.state;
-    this.membership.hears(leadership === null ? null : hearing, machines.size, leadership?.since);
+    const { leadership, health, machines } = this.common.owner.state;
+    this.membership.hears(leadership === null ? null : health, machines.size, leadership?.since);
     if (leadership !== null && this.membership.isDeaf(now, stateAgeMs(this.common))) this.#ask(now, true);
     else if (leadership !== null && this.membership.isBehind(now)) this.#ask(now, false);
-    else if (this.#asks.length > 0 && now - this.#askedAt > this.common.timing.longestReport) this.#asks = [];
+    else if (this.#asks.length > 0 && now - this.#askedAt > this.common.timing.maxHeartbeatIntervalMs)
+      this.#asks = [];
     this.#conclude();
   }
 
   /** Whether it is behind its timers. */
   get isBusy(): boolean {
-    return this.membership.lateMs(this.#now) > this.common.timing.tick / 4;
+    return this.membership.lateMs(this.#now) > this.common.timing.tickMs / 4;
   }
 
   get doubtsItself(): boolean {
@@ -112,7 +113,7 @@
     const { standing, owner } = this.common;
     const { leadership } = owner.state;
     if (leadership !== null) {
-      if (leadership.closing === true) return;
+      if (leadership.isTransferring === true) return;
       const to = this.membership.yieldsTo(now, age, this.conclude.preferred());
       if (to === null) return;
       this.#cutOff ||= to.why === CUT_OFF;
@@ -142,12 +143,12 @@
   /** A few machines evenly from all of them, or from those that should speak and are not heard. */
   #sample(now: number, unheard: boolean): string[] {
     const { state } = this.common.owner;
-    const from = now - 2 * this.common.timing.tick;
+    const from = now - 2 * this.common.timing.tickMs;
     const all = [...state.machines.values()].filter(
-      ({ heardAt, address, leaving, claims }) =>
+      ({ lastHeartbeatAt, address, terminationReason, claims }) =>
         address !== '' &&
-        leaving === null &&
-        (heardAt === null ? unheard && claims.size > 0 : !unheard || heardAt < from),
+        terminationReason === null &&
+        (lastHeartbeatAt === null ? unheard && claims.size > 0 : !unheard || lastHeartbeatAt < from),
     );
     const step = Math.max(1, all.length / MOST_ASKED);
     const picked = Array.from(
@@ -159,14 +160,14 @@
 
   /** Asks the others what they meet at a few machines, and looks for itself. */
   #ask(now: number, unheard: boolean): void {
-    if (now - this.#askedAt < this.common.timing.longestReport) return;
+    if (now - this.#askedAt < this.common.timing.maxHeartbeatIntervalMs) return;
     this.#askedAt = now;
     this.#asks = this.#sample(now, unheard);
     if (this.#asks.length === 0) return;
     const round = this.membership.knocks.round + 1;
     this.membership.knocked({ round, met: 0, unmet: 0, asked: this.#asks.length, at: now });
-    const { hearing } = this.common.owner.state;
-    if (unheard) this.common.ports.log.info({ asks: this.#asks.length, ...hearing }, 'hears few workers');
+    const { health } = this.common.owner.state;
+    if (unheard) this.common.ports.log.info({ asks: this.#asks.length, ...health }, 'hears few workers');
     this.conclude.tell();
     void this.#knock(this.#asks, round);
   }
@@ -193,14 +194,14 @@
   /** What the others are told. */
   sights(): Sights {
     const now = this.#now;
-    const { hearing, leadership } = this.common.owner.state;
+    const { health, leadership } = this.common.owner.state;
     const { round, met, unmet } = this.membership.knocks;
     return {
       lateMs: this.membership.lateMs(now),
       sees: this.membership.sees(now),
       strays: this.membership.strays(now),
-      heard: leadership === null ? 0 : (hearing?.heard ?? 0),
-      expected: leadership === null ? 0 : (hearing?.expected ?? 0),
+      heard: leadership === null ? 0 : (health?.reporting ?? 0),
+      expected: leadership === null ? 0 : (health?.expected ?? 0),
       asks: leadership === null ? [] : this.#asks,
       round,
       met,
--- a/src/controller/peering.ts
+++ b/src/controller/peering.ts
@@ -2,7 +2,7 @@
 import type { LiveJobsSnapshot } from './deputy.js';
 import { stateAgeMs, type Common } from './common.js';
 import { FORMAT } from '../core/persistence/index.js';
-import { settledUntil } from '../core/jobs/index.js';
+import { resolvedUntil } from '../core/jobs/index.js';
 import { REASONS, whyWaits } from '../core/placement/index.js';
 import type { View } from '../membership/views.js';
 import type { JobCount, PeerStatus, QuietZone } from '../wire/peers.js';
@@ -41,14 +41,16 @@
     const heard = this.#heard.get(node);
     if (heard === undefined || heard.status.term !== this.term()) return false;
     const { clock } = this.common.ports;
-    return heard.status.takesReports && clock.mono() - heard.at < this.common.timing.longestReport;
+    return (
+      heard.status.takesReports && clock.monotonicMs() - heard.at < this.common.timing.maxHeartbeatIntervalMs
+    );
   }
 
   /** Whether a peer of an earlier format has been heard of late. */
   hearsEarlier(): boolean {
-    const now = this.common.ports.clock.mono();
+    const now = this.common.ports.clock.monotonicMs();
     return [...this.#heard.values()].some(
-      ({ status, at }) => status.format < FORMAT && now - at < this.common.timing.workerLease,
+      ({ status, at }) => status.format < FORMAT && now - at < this.common.timing.workerLeaseMs,
     );
   }
 
@@ -59,7 +61,7 @@
 
   /** Zones of which leaders of late heard nobody, and the steady time since. */
   quietOfLate(): Map<string, number> {
-    const from = this.common.ports.clock.mono() - 3 * this.common.timing.workerLease;
+    const from = this.common.ports.clock.monotonicMs() - 3 * this.common.timing.workerLeaseMs;
     return new Map([...this.#quiet].filter(([, since]) => since > from));
   }
 
@@ -67,7 +69,11 @@
     const job = this.common.owner.state.jobs.get(id);
     if (this.common.owner.state.leadership === null || job === undefined) return this.#counts.get(id) ?? null;
     const why = whyWaits(this.common.owner.state, job);
-    return { done: job.doneCount, running: job.running, why: why === null ? 0 : REASONS.indexOf(why) + 1 };
+    return {
+      done: job.doneCount,
+      running: job.runningCount,
+      why: why === null ? 0 : REASONS.indexOf(why) + 1,
+    };
   }
 
   term(): number {
@@ -80,7 +86,7 @@
     const counts: JobCount[] = [];
     if (state.leadership !== null) {
       for (const [id, job] of state.jobs) {
-        if (job.over !== null) continue;
+        if (job.finalStage !== null) continue;
         counts.push({ id, ...(this.countOf(id) ?? { done: 0, running: 0, why: 0 }) });
       }
     }
@@ -104,8 +110,8 @@
   /** What is known of zones that nobody is heard of: by this node as the leader, or from one. */
   #quietZones(): QuietZone[] {
     const { state } = this.common.owner;
-    const now = this.common.ports.clock.mono();
-    const known = state.leadership === null ? this.#quiet : state.quiet;
+    const now = this.common.ports.clock.monotonicMs();
+    const known = state.leadership === null ? this.#quiet : state.silentZones;
     return [...known].map(([zone, since]) => ({ zone, ageMs: Math.max(0, Math.round(now - since)) }));
   }
 
@@ -122,14 +128,14 @@
   #settledAt(): number {
     const { state } = this.common.owner;
     if (state.leadership === null) return 0;
-    return this.common.ports.clock.wall() - (this.common.ports.clock.mono() - settledUntil(state));
+    return this.common.ports.clock.epochMs() - (this.common.ports.clock.monotonicMs() - resolvedUntil(state));
   }
 
   /** Time of day of the read that proved this leader's view; 0 without leading. */
   #provenAt(): number {
     const { leadership } = this.common.owner.state;
     const { clock } = this.common.ports;
-    return leadership === null ? 0 : clock.wall() - (clock.mono() - leadership.provenAt);
+    return leadership === null ? 0 : clock.epochMs() - (clock.monotonicMs() - leadership.viewConfirmedAt);
   }
 
   /**
@@ -137,21 +143,21 @@
    * job needs one that was cancelled. Its word may have been held back: the time of day tells.
    */
   isSettled(): boolean {
-    const fresh = this.common.timing.cancel / 2 - 2 * this.common.settings.cluster.clock_error_ms;
-    const now = this.common.ports.clock.wall();
+    const fresh = this.common.timing.cancelTimeoutMs / 2 - 2 * this.common.settings.cluster.clock_error_ms;
+    const now = this.common.ports.clock.epochMs();
     if (now - this.#settledAt() < fresh) return true;
     return [...this.#heard.values()].some(({ status }) => status.leading && now - status.settledAt < fresh);
   }
 
   onPeer(status: PeerStatus): void {
-    const now = this.common.ports.clock.mono();
+    const now = this.common.ports.clock.monotonicMs();
     this.#heard.set(status.node, { status, at: now });
     if (status.term > this.common.standing.highestTerm) {
       this.common.standing.highestTerm = status.term;
-      this.common.owner.push({ kind: 'tokenSeen', token: status.term });
+      this.common.owner.push({ kind: 'higherTokenSeen', token: status.term });
     }
     if (status.hears.length > 0)
-      this.common.owner.push({ kind: 'relayed', machines: status.hears, ageMs: 0 });
+      this.common.owner.push({ kind: 'machinesRelayed', machines: status.hears, ageMs: 0 });
     if (status.term >= this.common.standing.highestTerm) this.#learnQuiet(status, now);
     if (!status.leading || status.term < this.common.standing.highestTerm) return;
     if (this.common.owner.state.leadership === null) this.common.standing.leader = status.node;
@@ -167,10 +173,10 @@
    */
   ready(): boolean {
     const { state } = this.common.owner;
-    if (state.types.size === 0) return false;
-    const stale = 2 * this.common.timing.stateTimeout;
+    if (state.machineTypes.size === 0) return false;
+    const stale = 2 * this.common.timing.storeTimeoutMs;
     if (stateAgeMs(this.common) < stale) return true;
-    const now = this.common.ports.clock.mono();
+    const now = this.common.ports.clock.monotonicMs();
     let heard = this.#heard.size === 0;
     for (const { status, at } of this.#heard.values()) {
       if (now - at < stale / 2 && status.stateAgeMs < stale / 2) return false;
--- a/src/controller/report-intake.ts
+++ b/src/controller/report-intake.ts
@@ -5,9 +5,9 @@
  * leader's own proven view, and only for machines to which the leader has nothing to tell.
  */
 import type { Clock } from '../clock.js';
-import type { Heartbeat } from '../core/fleet/index.js';
+import type { Keepalive } from '../core/fleet/index.js';
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
-import type { Report, ReportedTask } from '../core/types.js';
+import type { Heartbeat, ReportedTask } from '../core/types.js';
 import { toldEvery } from '../membership/table.js';
 import type { Timing } from '../settings.js';
 import type { AnswersMessage, ForwardedReport, IntakeMessage, Shed } from '../wire/intake.js';
@@ -31,9 +31,9 @@
   encodeAnswer(term: number, commands: AnswersMessage['answers'][number]['commands']): string;
   encodeRedirect(to: string): string;
   /** Answers in the leader's place, without it: what a forwarded report falls back to. */
-  answerAlone(report: Report, done: AnswerReport): void;
+  answerAlone(report: Heartbeat, done: AnswerReport): void;
   /** Sends a worker on, or answers it, as without shared reports. */
-  route(report: Report, done: AnswerReport): void;
+  route(report: Heartbeat, done: AnswerReport): void;
 }
 
 interface LeaderView {
@@ -61,7 +61,7 @@
 }
 
 interface PendingReport {
-  readonly report: Report;
+  readonly report: Heartbeat;
   readonly done: AnswerReport;
 }
 
@@ -84,7 +84,7 @@
 const isSameContent = (one: readonly ReportedTask[], other: readonly ReportedTask[]): boolean =>
   one.length === other.length && one.every((task, i) => isSameTask(task, other[i]));
 
-const hasExit = (report: Report): boolean => report.tasks.some(({ stage }) => stage === 'exited');
+const hasExit = (report: Heartbeat): boolean => report.tasks.some(({ stage }) => stage === 'exited');
 
 export class ReportIntake {
   #view: LeaderView | null = null;
@@ -92,7 +92,7 @@
   readonly #pending = new Map<number, PendingReport>();
   #nextReference = 1;
   #reports: ForwardedReport[] = [];
-  #heartbeats: { readonly heartbeat: Omit<Heartbeat, 'ageMs'>; readonly at: number }[] = [];
+  #heartbeats: { readonly heartbeat: Omit<Keepalive, 'ageMs'>; readonly at: number }[] = [];
   #flushing = false;
   /** Reports forwarded and answered here, for the status page. */
   forwarded = 0;
@@ -111,14 +111,17 @@
     if (view === null || following === null || !view.isSharing) return null;
     if (view.leader !== following.leader || view.term !== following.term) return null;
     const { clock, timing } = this.context;
-    return clock.mono() - view.receivedAt < SNAPSHOTS_MISSED * toldEvery(timing) ? view : null;
+    return clock.monotonicMs() - view.receivedAt < SNAPSHOTS_MISSED * toldEvery(timing) ? view : null;
   }
 
   /** Whether a worker has reported here of late; from now on it is sent elsewhere. */
   leaveHome(machine: string): boolean {
     const known = this.#known.get(machine);
     this.#known.delete(machine);
-    return known !== undefined && this.context.clock.mono() - known.seenAt < this.context.timing.workerLease;
+    return (
+      known !== undefined &&
+      this.context.clock.monotonicMs() - known.seenAt < this.context.timing.workerLeaseMs
+    );
   }
 
   /** The link to a controller is lost: if that is the leader, what waits for its answer is routed as without it. */
@@ -136,7 +139,7 @@
   }
 
   /** Takes a report in; false: it is not for this node to answer now. */
-  take(report: Report, done: AnswerReport): boolean {
+  take(report: Heartbeat, done: AnswerReport): boolean {
     const view = this.#activeView();
     if (view === null || this.#pending.size >= MAX_TRACKED_MACHINES) return false;
     if (report.token > view.term) return false;
@@ -152,24 +155,24 @@
     return true;
   }
 
-  #isNewer({ session, seq }: Report, known: KnownWorker): boolean {
-    return session > known.session || (session === known.session && seq > known.seq);
+  #isNewer({ agentEpoch, sequence }: Heartbeat, known: KnownWorker): boolean {
+    return agentEpoch > known.session || (agentEpoch === known.session && sequence > known.seq);
   }
 
-  #isNews(report: Report, known: KnownWorker | undefined, view: LeaderView): boolean {
+  #isNews(report: Heartbeat, known: KnownWorker | undefined, view: LeaderView): boolean {
     if (known === undefined || !known.isAnswered || view.attention.has(report.machine)) return true;
     // After a report that went elsewhere, what was answered there is not known here.
-    if (report.session !== known.session || report.seq !== known.seq + 1) return true;
-    if (report.token !== view.term || report.noticeS !== null || hasExit(report)) return true;
-    const age = this.context.clock.mono() - known.forwardedAt;
+    if (report.agentEpoch !== known.session || report.sequence !== known.seq + 1) return true;
+    if (report.token !== view.term || report.terminationNoticeS !== null || hasExit(report)) return true;
+    const age = this.context.clock.monotonicMs() - known.forwardedAt;
     // Whatever is known of it, within the time that a cancellation has the leader hears each machine in full.
-    return age > this.context.timing.authority || !isSameContent(report.tasks, known.tasks);
+    return age > this.context.timing.authorityWindowMs || !isSameContent(report.tasks, known.tasks);
   }
 
   /** Whether the view that the leader has told of is proven freshly enough to answer by. */
   #mayAnswer({ provenAt }: LeaderView): boolean {
     const { clock, timing, clocksApartMs } = this.context;
-    return clock.wall() < provenAt + timing.authority - clocksApartMs;
+    return clock.epochMs() < provenAt + timing.authorityWindowMs - clocksApartMs;
   }
 
   #remember(machine: string, known: KnownWorker): void {
@@ -182,7 +185,7 @@
   }
 
   /** Sends a worker to the controller that the leader has named, so that loads even out. */
-  #sheds(view: LeaderView, { machine }: Report, done: AnswerReport): boolean {
+  #sheds(view: LeaderView, { machine }: Heartbeat, done: AnswerReport): boolean {
     if (view.shed === null || view.shedLeft <= 0) return false;
     view.shedLeft -= 1;
     this.#known.delete(machine);
@@ -190,27 +193,34 @@
     return true;
   }
 
-  #answerHere(report: Report, view: LeaderView, known: KnownWorker | undefined, done: AnswerReport): void {
-    const { machine, session, seq, tasks } = report;
-    const now = this.context.clock.mono();
+  #answerHere(report: Heartbeat, view: LeaderView, known: KnownWorker | undefined, done: AnswerReport): void {
+    const { machine, agentEpoch, sequence, tasks } = report;
+    const now = this.context.clock.monotonicMs();
     this.answered += 1;
     this.#remember(machine, {
-      session,
-      seq,
+      session: agentEpoch,
+      seq: sequence,
       tasks,
       isAnswered: true,
       forwardedAt: known?.forwardedAt ?? now,
       seenAt: now,
     });
-    this.#heartbeats.push({ heartbeat: { machine, session, seq }, at: now });
+    this.#heartbeats.push({ heartbeat: { machine, agentEpoch, sequence }, at: now });
     done(200, this.context.encodeAnswer(view.term, []));
   }
 
-  #forward(report: Report, done: AnswerReport): void {
-    const { machine, session, seq, tasks } = report;
-    const now = this.context.clock.mono();
+  #forward(report: Heartbeat, done: AnswerReport): void {
+    const { machine, agentEpoch, sequence, tasks } = report;
+    const now = this.context.clock.monotonicMs();
     this.forwarded += 1;
-    this.#remember(machine, { session, seq, tasks, isAnswered: false, forwardedAt: now, seenAt: now });
+    this.#remember(machine, {
+      session: agentEpoch,
+      seq: sequence,
+      tasks,
+      isAnswered: false,
+      forwardedAt: now,
+      seenAt: now,
+    });
     this.#view?.attention.delete(machine);
     this.#enqueue({ report, done });
   }
@@ -229,7 +239,7 @@
     if (this.#flushing) return;
     this.#flushing = true;
     // Reports of a moment go together: each message costs the leader a pass over its queue.
-    void this.context.clock.sleep(this.context.timing.forwardHold).then(() => {
+    void this.context.clock.sleep(this.context.timing.forwardBatchDelayMs).then(() => {
       this.#flushing = false;
       this.flush();
     });
@@ -248,7 +258,7 @@
 
   #sendMessage({ leader, term }: LeaderView): void {
     const { clock, node, incarnation } = this.context;
-    const now = clock.mono();
+    const now = clock.monotonicMs();
     const reports = this.#takeReports();
     const heartbeats = this.#heartbeats
       .splice(0, MAX_HEARTBEATS_IN_MESSAGE)
@@ -258,7 +268,7 @@
       node,
       incarnation,
       term,
-      at: clock.wall(),
+      at: clock.epochMs(),
       reports,
       heartbeats,
     } as const;
@@ -288,10 +298,10 @@
       const waiting = this.#pending.get(reference);
       this.#pending.delete(reference);
       if (waiting === undefined) continue;
-      const { machine, session, seq, token } = waiting.report;
+      const { machine, agentEpoch, sequence, token } = waiting.report;
       const known = this.#known.get(machine);
       // A report that came before its worker had seen the token does not tell the leader the whole.
-      if (known?.session === session && known.seq === seq)
+      if (known?.session === agentEpoch && known.seq === sequence)
         known.isAnswered = able && commands.length === 0 && token === message.term;
       if (pending) this.#view?.attention.add(machine);
       if (able) waiting.done(200, this.context.encodeAnswer(message.term, commands));
@@ -311,7 +321,7 @@
         term,
         incarnation,
         number,
-        receivedAt: this.context.clock.mono(),
+        receivedAt: this.context.clock.monotonicMs(),
         provenAt: message.provenAt,
         isSharing: message.isSharing,
         attention: new Set(message.attention),
--- a/src/controller/shared-reports.ts
+++ b/src/controller/shared-reports.ts
@@ -2,7 +2,7 @@
  * The leader's side of shared reports: it answers what followers forward, tells them for which machines it has
  * something to say, and says which workers report to whom.
  */
-import type { Report, WorkerCommand } from '../core/types.js';
+import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import {
   balance,
   chooseFollower,
@@ -29,7 +29,7 @@
   isTaking(node: string): boolean;
   send(to: string, message: IntakeMessage): boolean;
   /** Hands a report to the core; the answer comes back once. */
-  push(report: Report, ageMs: number, answer: (answer: Omit<ForwardedAnswer, 'reference'>) => void): void;
+  push(report: Heartbeat, ageMs: number, answer: (answer: Omit<ForwardedAnswer, 'reference'>) => void): void;
 }
 
 /** A reply of the core to a forwarded report. */
@@ -90,13 +90,13 @@
   /** Takes in what a follower forwards. */
   receive(message: ReportsMessage): void {
     const { leadership } = this.common.owner.state;
-    const ageMs = Math.max(0, this.common.ports.clock.wall() - message.at);
+    const ageMs = Math.max(0, this.common.ports.clock.epochMs() - message.at);
     if (leadership === null || message.term !== leadership.term) return;
-    if (ageMs > MAX_AGE_SHARE * this.common.timing.workerLease) return;
+    if (ageMs > MAX_AGE_SHARE * this.common.timing.workerLeaseMs) return;
     if (message.heartbeats.length > 0) {
       for (const { machine } of message.heartbeats) this.#setHome(machine, message.node);
       const heartbeats = message.heartbeats.map((one) => ({ ...one, ageMs: one.ageMs + ageMs }));
-      this.common.owner.push({ kind: 'heartbeats', heartbeats });
+      this.common.owner.push({ kind: 'keepalives', keepalives: heartbeats });
     }
     for (const { reference, report } of message.reports) {
       this.#setHome(report.machine, message.node);
@@ -131,16 +131,16 @@
   }
 
   /** The follower that a worker is to report to from now on; null: this node answers it. */
-  redirect(report: Report): string | null {
+  redirect(report: Heartbeat): string | null {
     if (!this.#isSharing || this.#movesLeft <= 0 || this.#loads.length === 0) return null;
     const { state } = this.common.owner;
     const machine = state.machines.get(report.machine);
     // What is on its way to or from the machine is settled here first.
-    if (machine?.whole !== true || report.token !== state.leadership?.term) return null;
+    if (machine?.isReconciled !== true || report.token !== state.leadership?.term) return null;
     if (state.attention.has(machine) || report.tasks.some(({ stage }) => stage === 'exited')) return null;
     // One that has come back is kept: where it was sent it was not taken.
-    const now = this.common.ports.clock.mono();
-    if (now - (this.#sentAt.get(report.machine) ?? -Infinity) < this.common.timing.workerLease) return null;
+    const now = this.common.ports.clock.monotonicMs();
+    if (now - (this.#sentAt.get(report.machine) ?? -Infinity) < this.common.timing.workerLeaseMs) return null;
     const node = chooseFollower(this.#loads, report.zone);
     if (node === null) return null;
     this.#sentAt.set(report.machine, now);
@@ -217,7 +217,7 @@
       node: settings.host_name,
       incarnation: ports.incarnation,
       term: leadership.term,
-      at: ports.clock.wall(),
+      at: ports.clock.epochMs(),
       number: outbox.number,
       answers: content.answers,
       attention: content.attention,
@@ -235,9 +235,9 @@
     if (leadership === null) return;
     const nodes = this.#look();
     const { clock } = this.common.ports;
-    const provenAt = clock.wall() - (clock.mono() - leadership.provenAt);
+    const provenAt = clock.epochMs() - (clock.monotonicMs() - leadership.viewConfirmedAt);
     const attention = [...state.attention].map(({ name }) => name);
-    const isTold = this.#isSharing && leadership.closing !== true;
+    const isTold = this.#isSharing && leadership.isTransferring !== true;
     for (const node of nodes) {
       const outbox = this.#outboxOf(node);
       // What is sent as a whole need not be sent in part as well.
@@ -258,9 +258,9 @@
    * whom to tell.
    */
   #look(): ReadonlySet<string> {
-    const { machines, rules } = this.common.owner.state;
+    const { machines, config } = this.common.owner.state;
     const candidates = this.context.candidates();
-    const from = rules.policy.sharedReportsFrom;
+    const from = config.policy.sharedHeartbeatsMinMachines;
     const before = this.#isSharing;
     this.#isSharing = candidates.length > 0 && isSharedAt(machines.size, from, before);
     if (this.#isSharing !== before)
--- a/src/core/attention.ts
+++ b/src/core/attention.ts
@@ -8,8 +8,8 @@
 
 /** Whether a claim makes the answer to its machine's report carry a command, now or once it is durable. */
 function needsCommand(claim: LiveClaim): boolean {
-  const { job, task, sent, unwanted } = claim;
-  return !sent || job.over !== null || unwanted || isDone(job, task);
+  const { job, task, startSent, stopRequested } = claim;
+  return !startSent || job.finalStage !== null || stopRequested || isDone(job, task);
 }
 
 /** The next report of this machine is to reach the leader. */
--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,29 +1,35 @@
 /** Renting and giving back: how much, of what kind, and when. */
 import TinyQueue from 'tinyqueue';
-import { allowedWait, isIdleWork, isThrifty, latestStart } from '../jobs/aims.js';
+import { allowedWait, isBestEffort, isCostSensitive, latestStart } from '../jobs/objectives.js';
 import type { Effect } from '../effects.js';
 import { expectedEnd } from '../fleet/machines.js';
 import { expectedRun, isReady, waitingTasks } from '../jobs/jobs.js';
 import { ARRIVALS_OVER } from '../placement/headroom.js';
 import { log } from '../log.js';
-import { waitingJobs } from '../placement/queue.js';
+import { waitingJobs } from '../placement/job-queue.js';
 import {
-  allows,
-  avoids,
+  satisfiesConstraints,
+  isExcluded,
   fits,
-  freeRoom,
-  give,
-  isAtFault,
-  roomOf,
-  take,
+  freeResources,
+  release,
+  isFaultyJob,
+  resourcesOf,
+  allocate,
   type Need,
   type Room,
 } from '../placement/resources.js';
-import { onlyType, scarceClasses } from '../placement/constrained-types.js';
-import { isExitKept, type Demand, type JobState, type Machine, type Now } from '../model.js';
+import { soleType, constrainedTypesInDemand } from '../placement/constrained-types.js';
+import { isExitDurable, type Demand, type JobState, type Machine, type Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec, MachineType } from '../types.js';
-import { MEMORY_KEY, memoryKey, packMemory, TERM_KEY, type ClassMemory } from '../persistence/records.js';
+import {
+  DEMAND_KEY,
+  demandKey,
+  packDemand,
+  TERM_KEY,
+  type ClassDemandRecord,
+} from '../persistence/records.js';
 
 const MOST_PER_RENTAL = 50;
 const MOST_RETURNED = 100;
@@ -70,7 +76,7 @@
   if (fits(need, planned.free)) return planned.readyAt;
   const free = { ...planned.free };
   for (const { at, room } of planned.ends) {
-    give(free, room);
+    release(free, room);
     if (fits(need, free)) return Math.max(planned.readyAt, at);
   }
   return Infinity;
@@ -79,45 +85,48 @@
 function occupy(planned: Planned, need: Need, from: number, until: number): void {
   while ((planned.ends[0]?.at ?? Infinity) <= from) {
     const first = planned.ends.shift();
-    if (first !== undefined) give(planned.free, first.room);
+    if (first !== undefined) release(planned.free, first.room);
   }
-  take(planned.free, need);
+  allocate(planned.free, need);
   const at = planned.ends.findIndex((end) => end.at > until);
-  planned.ends.splice(at < 0 ? planned.ends.length : at, 0, { at: until, room: roomOf(need) });
+  planned.ends.splice(at < 0 ? planned.ends.length : at, 0, { at: until, room: resourcesOf(need) });
   planned.used = true;
   planned.version += 1;
 }
 
 /** Known only from a report that does not carry this leader's token: it may be a late copy of a dead one's. */
-const isRumour = ({ heardAt, whole, rentedAt, knownAt, claims }: Machine): boolean =>
-  heardAt !== null && !whole && rentedAt >= knownAt && claims.size === 0;
+const isRumour = ({ lastHeartbeatAt, isReconciled, provisionedAt, discoveredAt, claims }: Machine): boolean =>
+  lastHeartbeatAt !== null && !isReconciled && provisionedAt >= discoveredAt && claims.size === 0;
 
 function planMachines(state: CoreState, now: Now): Planned[] {
   const planned: Planned[] = [];
   for (const machine of state.machines.values()) {
-    const type = state.types.get(machine.type);
-    if (type === undefined || machine.leaving !== null || machine.takenAt !== null) continue;
+    const type = state.machineTypes.get(machine.type);
+    if (type === undefined || machine.terminationReason !== null || machine.reclaimedAt !== null) continue;
     if (machine.unresponsiveSince !== null || isRumour(machine)) continue;
     const { name, zone, spot } = machine;
-    const booted = machine.rentedAt + type.bootS * 1000;
+    const booted = machine.provisionedAt + type.bootS * 1000;
     // One that is late is expected within half a boot time from now.
-    const readyAt = machine.heardAt !== null ? now.mono : Math.max(booted, now.mono + type.bootS * 500);
+    const readyAt =
+      machine.lastHeartbeatAt !== null
+        ? now.monotonicMs
+        : Math.max(booted, now.monotonicMs + type.bootS * 500);
     const ends = [...machine.claims.values()].map((claim) => ({
       at: Math.min(expectedEnd(state, claim, now), stoppableBy(state, claim.job, now)),
-      room: roomOf(claim.job.spec),
+      room: resourcesOf(claim.job.spec),
     }));
     ends.sort((a, b) => a.at - b.at);
-    const free = freeRoom(machine, type);
+    const free = freeResources(machine, type);
     const busy = ends.length > 0;
     planned.push({ machine: name, type, zone, spot, readyAt, free, ends, busy, used: false, version: 0 });
   }
-  for (const rental of state.rentals.values()) {
-    const type = state.types.get(rental.type);
+  for (const rental of state.provisioningRequests.values()) {
+    const type = state.machineTypes.get(rental.type);
     if (type === undefined) continue;
     for (let i = 0; i < rental.count; i += 1) planned.push(newMachine(type, rental.zone, rental.spot, now));
   }
   // Busy machines come first, so that idle ones fall out of use; of these, those with fewest images.
-  const images = ({ machine }: Planned): number => state.machines.get(machine ?? '')?.images.size ?? 0;
+  const images = ({ machine }: Planned): number => state.machines.get(machine ?? '')?.cachedImages.size ?? 0;
   return planned.sort((a, b) => Number(b.busy) - Number(a.busy) || images(b) - images(a));
 }
 
@@ -126,19 +135,19 @@
  * plan finds that work another place at its end. Dear machines were rented for what could have it at once.
  */
 function stoppableBy(state: CoreState, { spec }: JobState, now: Now): number {
-  if (spec.checkpointS === 0 || !isIdleWork(state, spec)) return Infinity;
-  return now.mono + spec.saveS * 1000 + 2 * state.rules.timing.longestReport;
+  if (spec.checkpointS === 0 || !isBestEffort(state, spec)) return Infinity;
+  return now.monotonicMs + spec.saveS * 1000 + 2 * state.config.timing.maxHeartbeatIntervalMs;
 }
 
 function newMachine(type: MachineType, zone: string, spot: boolean, now: Now): Planned {
-  const readyAt = now.mono + type.bootS * 1000;
+  const readyAt = now.monotonicMs + type.bootS * 1000;
   return {
     machine: null,
     type,
     zone,
     spot,
     readyAt,
-    free: roomOf(type),
+    free: resourcesOf(type),
     ends: [],
     busy: false,
     used: false,
@@ -155,7 +164,7 @@
   now: Now,
 ): Kind[] {
   const kinds: Kind[] = [];
-  for (const type of state.types.values()) {
+  for (const type of state.machineTypes.values()) {
     if (!fits(spec, type)) continue;
     const each = Math.min(
       type.cpus / Math.max(1e-6, spec.cpus),
@@ -164,8 +173,9 @@
     const factor = (choosy && scarce.has(type.name) ? SCARCE_FACTOR : 1) / Math.max(1, Math.floor(each));
     for (const zone of type.zones) {
       for (const spot of [true, false]) {
-        if (!allows(spec, type.name, zone, spot)) continue;
-        if ((state.refusedUntil.get(kindKey(type.name, zone, spot)) ?? 0) > now.mono) continue;
+        if (!satisfiesConstraints(spec, type.name, zone, spot)) continue;
+        if ((state.provisioningBlockedUntil.get(kindKey(type.name, zone, spot)) ?? 0) > now.monotonicMs)
+          continue;
         kinds.push({ type, zone, spot, price: (spot ? type.spotPrice : type.price) * factor });
       }
     }
@@ -200,72 +210,75 @@
  * ready for as much at once would stand idle as soon as it is worked off.
  */
 function noteDemand(state: CoreState, now: Now): void {
-  const memory = state.rules.policy.headroomMemory;
+  const memory = state.config.policy.demandDecayMs;
   for (const job of state.jobs.values()) {
     const { spec } = job;
-    if (job.counted || job.over !== null || spec.form !== 'array' || !isReady(job)) continue;
-    job.counted = true;
+    if (job.isCountedInDemand || job.finalStage !== null || spec.form !== 'array' || !isReady(job)) continue;
+    job.isCountedInDemand = true;
     const known = state.demand.get(spec.jobClass);
-    const usual = known?.gap ?? memory / 8;
-    const stays = expectedRun(state, spec) + state.rules.timing.longestReport;
-    const until = now.mono - (now.wall - job.readyAt) + stays;
+    const usual = known?.meanArrivalGap ?? memory / 8;
+    const stays = expectedRun(state, spec) + state.config.timing.maxHeartbeatIntervalMs;
+    const until = now.monotonicMs - (now.epochMs - job.readyAt) + stays;
     state.demand.set(spec.jobClass, {
       spec,
       peak: known?.peak ?? 0,
       arrivals: [...(known?.arrivals ?? []), { until, job }],
-      at: known?.at ?? now.mono,
-      arrivedAt: now.mono,
-      gap: known === undefined ? usual : usual + (now.mono - known.arrivedAt - usual) / 8,
+      updatedAt: known?.updatedAt ?? now.monotonicMs,
+      lastArrivalAt: now.monotonicMs,
+      meanArrivalGap:
+        known === undefined ? usual : usual + (now.monotonicMs - known.lastArrivalAt - usual) / 8,
     });
   }
   for (const demand of state.demand.values()) {
-    demand.arrivals = demand.arrivals.filter(({ until, job }) => until > now.mono && !isAtFault(job));
+    demand.arrivals = demand.arrivals.filter(
+      ({ until, job }) => until > now.monotonicMs && !isFaultyJob(job),
+    );
     const current = demand.arrivals.reduce((sum, { job }) => sum + job.spec.tasks, 0);
-    demand.peak = Math.max(current, demand.peak * Math.exp((demand.at - now.mono) / memory));
-    demand.at = now.mono;
+    demand.peak = Math.max(current, demand.peak * Math.exp((demand.updatedAt - now.monotonicMs) / memory));
+    demand.updatedAt = now.monotonicMs;
   }
 }
 
 const MOST_CLASSES = 20;
 
 /** Keeps what was learned of the demand, so that the next leader need not learn it anew. */
-export function rememberDemand(state: CoreState, now: Now, effects: Effect[]): void {
+export function saveDemandHistory(state: CoreState, now: Now, effects: Effect[]): void {
   const lead = state.leadership;
-  if (lead === null || now.mono < state.rememberAt) return;
-  const { timing } = state.rules;
-  const small = state.layout.width !== null;
-  state.rememberAt = now.mono + timing.workerLease;
-  const classes: ClassMemory[] = [];
-  for (const [name, { spec, peak, gap }] of state.demand) {
+  if (lead === null || now.monotonicMs < state.nextDemandSaveAt) return;
+  const { timing } = state.config;
+  const small = state.layout.keyWidth !== null;
+  state.nextDemandSaveAt = now.monotonicMs + timing.workerLeaseMs;
+  const classes: ClassDemandRecord[] = [];
+  for (const [name, { spec, peak, meanArrivalGap }] of state.demand) {
     if (classes.length < MOST_CLASSES) {
       const { awaits: _, ...pattern } = spec;
-      classes.push({ spec: pattern, peak, gap, ratio: state.runRatio.get(name) ?? 1 });
+      classes.push({ spec: pattern, peak, gap: meanArrivalGap, ratio: state.runTimeRatio.get(name) ?? 1 });
     }
   }
   if (classes.length === 0) return;
-  const parts = small ? packMemory(classes, state.layout.valueBytes) : [classes];
+  const parts = small ? packDemand(classes, state.layout.maxValueBytes) : [classes];
   parts.forEach((part, index) =>
     effects.push({
-      kind: 'remember',
-      txn: {
-        when: [{ key: TERM_KEY, stamp: lead.stamp }],
-        apply: [{ put: small ? memoryKey(index) : MEMORY_KEY, value: { classes: part } }],
+      kind: 'saveDemandHistory',
+      transaction: {
+        preconditions: [{ key: TERM_KEY, modRevision: lead.modRevision }],
+        mutations: [{ put: small ? demandKey(index) : DEMAND_KEY, value: { classes: part } }],
       },
     }),
   );
 }
 
-export function recallDemand(state: CoreState, memory: readonly ClassMemory[], now: Now): void {
-  state.rememberAt = now.mono + state.rules.timing.workerLease;
+export function restoreDemandHistory(state: CoreState, memory: readonly ClassDemandRecord[], now: Now): void {
+  state.nextDemandSaveAt = now.monotonicMs + state.config.timing.workerLeaseMs;
   for (const { spec, peak, gap, ratio } of memory) {
-    state.runRatio.set(spec.jobClass, ratio);
+    state.runTimeRatio.set(spec.jobClass, ratio);
     state.demand.set(spec.jobClass, {
       spec,
       peak,
-      gap,
+      meanArrivalGap: gap,
       arrivals: [],
-      at: now.mono,
-      arrivedAt: now.mono,
+      updatedAt: now.monotonicMs,
+      lastArrivalAt: now.monotonicMs,
     });
   }
 }
@@ -343,9 +356,9 @@
 function openTo(plan: Plan, job: JobState, choosy: boolean): Open {
   const { spec } = job;
   const mayUse = (one: Planned): boolean =>
-    allows(spec, one.type.name, one.zone, one.spot) &&
+    satisfiesConstraints(spec, one.type.name, one.zone, one.spot) &&
     !(choosy && plan.scarce.has(one.type.name)) &&
-    !(one.machine !== null && avoids(job, one.machine));
+    !(one.machine !== null && isExcluded(job, one.machine));
   const open = plan.machines.filter(mayUse);
   return {
     cheap: new Openings(
@@ -360,8 +373,8 @@
 }
 
 /** What jobs of one shape have in common, as far as the plan goes; null: this one is alone in it. */
-function shapeOf({ spec, failedOn }: JobState): string | null {
-  if (failedOn.size > 0) return null;
+function shapeOf({ spec, failedMachines }: JobState): string | null {
+  if (failedMachines.size > 0) return null;
   const { cpus, gpus, memoryGb, types, zone, spot } = spec;
   return JSON.stringify([cpus, gpus, memoryGb, types, zone, spot]);
 }
@@ -371,7 +384,7 @@
   plan.machines.push(one);
   for (const { spec, choosy, open } of plan.open.values()) {
     const kept = choosy && plan.scarce.has(one.type.name);
-    if (open !== mine && (kept || !allows(spec, one.type.name, one.zone, one.spot))) continue;
+    if (open !== mine && (kept || !satisfiesConstraints(spec, one.type.name, one.zone, one.spot))) continue;
     (one.spot ? open.cheap : open.dear).add(one);
   }
 }
@@ -382,8 +395,8 @@
   const { spec } = job;
   const run = spec.form === 'service' ? Infinity : expectedRun(state, spec);
   // Idle-time work fills what is there; machines are rented for it, but no dear ones.
-  const idle = spec.spot && isIdleWork(state, spec);
-  const cheapOnly = isThrifty(state, job, now);
+  const idle = spec.spot && isBestEffort(state, spec);
+  const cheapOnly = isCostSensitive(state, job, now);
   const kinds = kindsFor(state, spec, plan.scarce, choosy, now).filter(({ spot }) => spot || !idle);
   const shape = shapeOf(job) ?? spec.id;
   const known = plan.open.get(shape) ?? { spec, choosy, open: openTo(plan, job, choosy) };
@@ -403,7 +416,7 @@
     }
     const start = best?.at ?? Infinity;
     const kind = start > latest ? pick(plan, kinds) : undefined;
-    if (kind !== undefined && start > now.mono + kind.type.bootS * 1000) {
+    if (kind !== undefined && start > now.monotonicMs + kind.type.bootS * 1000) {
       want(plan, kind, 1);
       const rented = newMachine(kind.type, kind.zone, kind.spot, now);
       addPlanned(plan, rented, known.open);
@@ -422,7 +435,7 @@
   const left = { ...room };
   let count = 0;
   while (count < MAX_TASKS_IN_ROOM && fits(need, left)) {
-    take(left, need);
+    allocate(left, need);
     count += 1;
   }
   return count;
@@ -435,17 +448,17 @@
  */
 function keepReady(plan: Plan, demand: Demand): void {
   const { state, now } = plan;
-  const { spec, peak, arrivedAt, gap } = demand;
-  const choosy = onlyType(state, spec) === null;
+  const { spec, peak, lastArrivalAt, meanArrivalGap } = demand;
+  const choosy = soleType(state, spec) === null;
   const kinds = kindsFor(state, spec, plan.scarce, choosy, now);
   const wait = allowedWait(state, spec);
   const boot = Math.min(
-    ...[...state.types.values()].map((type) => (fits(spec, type) ? type.bootS : Infinity)),
+    ...[...state.machineTypes.values()].map((type) => (fits(spec, type) ? type.bootS : Infinity)),
   );
   if (wait > boot * 1000) return;
   // None has come for long, by its own measure or by that of a boot: no more are expected.
-  if (now.mono - arrivedAt > Math.min(ARRIVALS_OVER * gap, 2000 * boot)) return;
-  const needed = Math.ceil(peak * state.rules.policy.headroom(spec));
+  if (now.monotonicMs - lastArrivalAt > Math.min(ARRIVALS_OVER * meanArrivalGap, 2000 * boot)) return;
+  const needed = Math.ceil(peak * state.config.policy.headroomFactor(spec));
   const cheap = kinds.filter(({ spot }) => spot);
   const kind = cheap[0];
   let missing = needed;
@@ -454,23 +467,23 @@
     for (const one of plan.machines) {
       // Dear machines stand in while there is no cheap one up, or none to be had.
       if ((spot || kind === undefined ? missing : missingNow) <= 0) break;
-      if (one.spot !== spot || !allows(spec, one.type.name, one.zone, spot)) continue;
+      if (one.spot !== spot || !satisfiesConstraints(spec, one.type.name, one.zone, spot)) continue;
       if (choosy && plan.scarce.has(one.type.name)) continue;
-      const room = roomOf(one.type);
+      const room = resourcesOf(one.type);
       const machine = one.machine === null ? undefined : state.machines.get(one.machine);
       for (const claim of machine?.claims.values() ?? []) {
-        const stays = expectedEnd(state, claim, now) > now.mono + wait;
-        if (stays && claim.job.spec.jobClass !== spec.jobClass) take(room, claim.job.spec);
+        const stays = expectedEnd(state, claim, now) > now.monotonicMs + wait;
+        if (stays && claim.job.spec.jobClass !== spec.jobClass) allocate(room, claim.job.spec);
       }
       const found = slots(spec, room);
       if (found > 0) one.used = true;
-      if (one.readyAt <= now.mono) missingNow -= found;
+      if (one.readyAt <= now.monotonicMs) missingNow -= found;
       if (spot || kind === undefined) missing -= found;
     }
   }
   while (missing > 0) {
     const next = pick(plan, cheap);
-    const found = next === undefined ? 0 : slots(spec, roomOf(next.type));
+    const found = next === undefined ? 0 : slots(spec, resourcesOf(next.type));
     if (next === undefined || found === 0) return;
     want(plan, next, 1);
     missing -= found;
@@ -489,12 +502,12 @@
  * Plans the waiting tasks onto machines up and booting, and rents for those that would
  * start too late. Classes that cannot wait for a boot get room ahead of their arrival.
  */
-export function rent(state: CoreState, now: Now, effects: Effect[]): void {
+export function scaleOut(state: CoreState, now: Now, effects: Effect[]): void {
   const lead = state.leadership;
-  if (lead === null || state.types.size === 0) return;
+  if (lead === null || state.machineTypes.size === 0) return;
   noteDemand(state, now);
   const queue = waitingJobs(state, now);
-  const scarce = scarceClasses(state);
+  const scarce = constrainedTypesInDemand(state);
   const machines = planMachines(state, now);
   const counts = new Map<string, number>();
   for (const { type, zone, spot } of machines) {
@@ -511,34 +524,36 @@
     open: new Map(),
   };
   for (const job of queue) {
-    if (isAtFault(job)) continue;
-    const choosy = onlyType(state, job.spec) === null;
-    const idle = isIdleWork(state, job.spec);
+    if (isFaultyJob(job)) continue;
+    const choosy = soleType(state, job.spec) === null;
+    const idle = isBestEffort(state, job.spec);
     const again = idle && job.spec.checkpointS > 0 ? job.claims.size : 0;
     planTasks(plan, job, waitingTasks(job) + again, latestStart(state, job, now), choosy);
   }
   for (const demand of state.demand.values()) keepReady(plan, demand);
-  state.inPlan.clear();
-  for (const { machine, used } of plan.machines) if (machine !== null && used) state.inPlan.add(machine);
-  if (now.mono < state.rentNotBefore) return;
+  state.plannedMachines.clear();
+  for (const { machine, used } of plan.machines)
+    if (machine !== null && used) state.plannedMachines.add(machine);
+  if (now.monotonicMs < state.provisionNotBefore) return;
   for (const { kind, count } of plan.wanted.values()) {
     // All of it at once: a fleet that is asked for in slices comes up in slices.
     for (let left = count; left > 0; left -= MOST_PER_RENTAL) {
       const rental = {
-        request: `t${lead.term}-${state.nextRequest++}`,
+        requestId: `t${lead.term}-${state.nextRequest++}`,
         type: kind.type.name,
         zone: kind.zone,
         spot: kind.spot,
         count: Math.min(left, MOST_PER_RENTAL),
       };
-      state.rentals.set(rental.request, { ...rental, askedAt: now.mono });
-      log(effects, 'rent', rental);
-      effects.push({ kind: 'rent', ...rental });
+      state.provisioningRequests.set(rental.requestId, { ...rental, requestedAt: now.monotonicMs });
+      const { requestId, ...wanted } = rental;
+      log(effects, 'rent', { request: requestId, ...wanted });
+      effects.push({ kind: 'provision', ...rental });
     }
   }
 }
 
-export function settleRental(
+export function settleProvisioning(
   state: CoreState,
   request: string,
   outcome: readonly string[] | 'refused' | 'malformed' | 'unknown',
@@ -546,61 +561,65 @@
   effects: Effect[],
   machineOf: (name: string) => Machine,
 ): void {
-  const rental = state.rentals.get(request);
+  const rental = state.provisioningRequests.get(request);
   if (rental === undefined) return;
   if (outcome === 'unknown') {
     // The same request may be repeated: it rents nothing twice.
     const { type, zone, spot, count } = rental;
-    effects.push({ kind: 'rent', request, type, zone, spot, count });
+    effects.push({ kind: 'provision', requestId: request, type, zone, spot, count });
     return;
   }
-  state.rentals.delete(request);
+  state.provisioningRequests.delete(request);
   const got = typeof outcome === 'string' ? [] : outcome;
   for (const name of got) {
-    if (state.gone.has(name)) continue;
+    if (state.terminatedMachines.has(name)) continue;
     const machine = machineOf(name);
     machine.type = rental.type;
     machine.zone = rental.zone;
     machine.spot = rental.spot;
-    machine.rentedAt = Math.min(machine.rentedAt, rental.askedAt);
+    machine.provisionedAt = Math.min(machine.provisionedAt, rental.requestedAt);
   }
   if (got.length < rental.count) {
     // What could not be had is looked for elsewhere at once.
-    if (state.planAt > 0) state.planAt = 1;
-    const type = state.types.get(rental.type);
-    state.refusedUntil.set(
+    if (state.nextPlanAt > 0) state.nextPlanAt = 1;
+    const type = state.machineTypes.get(rental.type);
+    state.provisioningBlockedUntil.set(
       kindKey(rental.type, rental.zone, rental.spot),
-      now.mono + (type?.bootS ?? 30) * 500,
+      now.monotonicMs + (type?.bootS ?? 30) * 500,
     );
   }
   log(effects, 'rented', { request, got: got.length, of: rental.count });
 }
 
 /** Sends back machines that are of no more use. */
-export function giveBack(state: CoreState, now: Now, effects: Effect[]): void {
+export function scaleIn(state: CoreState, now: Now, effects: Effect[]): void {
   const names: string[] = [];
   for (const machine of state.machines.values()) {
-    const type = state.types.get(machine.type);
+    const type = state.machineTypes.get(machine.type);
     if (
-      machine.leaving === null &&
+      machine.terminationReason === null &&
       type !== undefined &&
       machine.claims.size === 0 &&
-      machine.heardAt !== null &&
-      !state.inPlan.has(machine.name)
+      machine.lastHeartbeatAt !== null &&
+      !state.plannedMachines.has(machine.name)
     ) {
-      const hold = state.rules.policy.idleHold(type, machine.spot);
-      const paid = now.mono - machine.rentedAt >= LEAST_PAID_MS;
+      const hold = state.config.policy.idleTimeoutMs(type, machine.spot);
+      const paid = now.monotonicMs - machine.provisionedAt >= LEAST_PAID_MS;
       // What it completed would run again, were it gone before that is written and this leader with it.
-      const kept = [...machine.exits.values()].every(isExitKept);
-      if (paid && kept && now.mono - machine.idleSince > hold) machine.leaving = 'idle';
+      const kept = [...machine.exits.values()].every(isExitDurable);
+      if (paid && kept && now.monotonicMs - machine.idleSince > hold) machine.terminationReason = 'idle';
     }
-    if (machine.leaving === null) continue;
-    const asked = machine.returnAskedAt;
-    if (asked !== null && now.mono - asked < state.rules.timing.workerLease) continue;
-    machine.returnAskedAt = now.mono;
+    if (machine.terminationReason === null) continue;
+    const asked = machine.terminationRequestedAt;
+    if (asked !== null && now.monotonicMs - asked < state.config.timing.workerLeaseMs) continue;
+    machine.terminationRequestedAt = now.monotonicMs;
     names.push(machine.name);
-    log(effects, 'give back', { machine: machine.name, reason: machine.leaving, tasks: machine.claims.size });
+    log(effects, 'give back', {
+      machine: machine.name,
+      reason: machine.terminationReason,
+      tasks: machine.claims.size,
+    });
     if (names.length === MOST_RETURNED) break;
   }
-  if (names.length > 0) effects.push({ kind: 'return', machines: names });
+  if (names.length > 0) effects.push({ kind: 'terminate', machines: names });
 }
--- a/src/core/create-state.ts
+++ b/src/core/create-state.ts
@@ -2,69 +2,69 @@
 import { CapacityIndex } from './placement/capacity-index.js';
 import type { CoreState } from './state.js';
 import type { Priority } from './types.js';
-import type { LiveClaim, Rules } from './model.js';
+import type { LiveClaim, CoreConfig } from './model.js';
 
 const PRIORITIES: readonly Priority[] = [0, 1, 2, 3];
 
-export function createState(node: string, rules: Rules): CoreState {
+export function createState(node: string, rules: CoreConfig): CoreState {
   return {
     node,
-    rules,
-    layout: rules.firstLayout,
-    wide: rules.firstLayout.tasks,
-    adopting: null,
+    config: rules,
+    layout: rules.initialLayout,
+    legacyChunkTasks: rules.initialLayout.tasksPerChunk,
+    pendingLayout: null,
     leadership: null,
-    types: new Map(),
+    machineTypes: new Map(),
     jobs: new Map(),
     machines: new Map(),
-    held: new Set(),
+    pendingHeartbeats: new Set(),
     attention: new Set(),
     newAttention: [],
     dirtyJobs: { start: new Set(), end: new Set(), exit: new Set(), clean: new Set() },
-    mono: 0,
+    monotonicMs: 0,
     answerable: [],
-    waiting: new Set(),
-    joined: [],
+    waitingJobs: new Set(),
+    newlyWaitingJobs: [],
     queue: [],
-    promised: [],
-    guaranteed: new Set(),
-    out: new Map(PRIORITIES.map((priority) => [priority, new Set<LiveClaim>()])),
-    halting: new Set(),
-    present: new Map(),
-    use: new Map(),
-    holders: new Map(),
-    touched: new Set(),
+    reservedJobs: [],
+    guaranteedJobs: new Set(),
+    claimsByPriority: new Map(PRIORITIES.map((priority) => [priority, new Set<LiveClaim>()])),
+    preemptedClaims: new Set(),
+    outstandingByClass: new Map(),
+    usageByTeam: new Map(),
+    machinesByImage: new Map(),
+    changedMachines: new Set(),
     capacityIndex: new CapacityIndex(),
     unexpected: [],
     nextMachine: 0,
-    gone: new Set(),
-    rentals: new Map(),
-    refusedUntil: new Map(),
+    terminatedMachines: new Set(),
+    provisioningRequests: new Map(),
+    provisioningBlockedUntil: new Map(),
     dependents: new Map(),
-    finals: new Map(),
-    unresolved: new Map(),
-    asking: null,
-    doomed: new Map(),
-    lone: false,
-    budget: { level: 0, at: 0 },
+    finalOutcomes: new Map(),
+    unresolvedDependencies: new Map(),
+    pendingDependencyQuery: null,
+    cancelPending: new Map(),
+    writesJobsSingly: false,
+    writeBudget: { level: 0, at: 0 },
     nextRequest: 1,
-    rentNotBefore: 0,
+    provisionNotBefore: 0,
     commit: null,
-    recheck: null,
+    pendingReconciliation: null,
     commitNotBefore: 0,
     nextCommit: 1,
-    unhurried: Infinity,
-    placeDirty: false,
-    placedAt: 0,
-    planAt: 0,
-    rememberAt: 0,
+    deferrablePlacements: Infinity,
+    isPlacementDue: false,
+    lastPlacementAt: 0,
+    nextPlanAt: 0,
+    nextDemandSaveAt: 0,
     head: null,
-    runRatio: new Map(),
+    runTimeRatio: new Map(),
     demand: new Map(),
-    quiet: new Map(),
-    busy: false,
-    hearing: null,
-    inPlan: new Set(),
+    silentZones: new Map(),
+    isOverloaded: false,
+    health: null,
+    plannedMachines: new Set(),
   };
 }
 
@@ -73,40 +73,40 @@
   state.leadership = null;
   state.jobs.clear();
   state.machines.clear();
-  state.held.clear();
+  state.pendingHeartbeats.clear();
   state.attention.clear();
   state.newAttention.length = 0;
   for (const jobs of Object.values(state.dirtyJobs)) jobs.clear();
   state.answerable.length = 0;
-  state.waiting.clear();
-  state.joined.length = 0;
+  state.waitingJobs.clear();
+  state.newlyWaitingJobs.length = 0;
   state.queue = [];
-  state.promised = [];
-  state.guaranteed.clear();
-  for (const claims of state.out.values()) claims.clear();
-  state.halting.clear();
-  state.present.clear();
-  state.use.clear();
-  state.holders.clear();
-  state.touched.clear();
+  state.reservedJobs = [];
+  state.guaranteedJobs.clear();
+  for (const claims of state.claimsByPriority.values()) claims.clear();
+  state.preemptedClaims.clear();
+  state.outstandingByClass.clear();
+  state.usageByTeam.clear();
+  state.machinesByImage.clear();
+  state.changedMachines.clear();
   state.capacityIndex.clear();
   state.unexpected.length = 0;
-  state.gone.clear();
-  state.rentals.clear();
-  state.refusedUntil.clear();
+  state.terminatedMachines.clear();
+  state.provisioningRequests.clear();
+  state.provisioningBlockedUntil.clear();
   state.dependents.clear();
-  state.unresolved.clear();
-  state.asking = null;
-  state.doomed.clear();
-  state.adopting = null;
-  state.lone = false;
+  state.unresolvedDependencies.clear();
+  state.pendingDependencyQuery = null;
+  state.cancelPending.clear();
+  state.pendingLayout = null;
+  state.writesJobsSingly = false;
   state.commit = null;
-  state.recheck = null;
+  state.pendingReconciliation = null;
   state.commitNotBefore = 0;
   state.head = null;
   state.demand.clear();
-  state.quiet.clear();
-  state.hearing = null;
-  state.inPlan.clear();
-  state.planAt = 0;
+  state.silentZones.clear();
+  state.health = null;
+  state.plannedMachines.clear();
+  state.nextPlanAt = 0;
 }
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,14 +1,14 @@
 /** What goes into `step` and what comes out of it. */
-import type { Heartbeat } from './fleet/heartbeats.js';
-import type { ChunkName, ClassMemory } from './persistence/records.js';
-import type { Layout } from './model.js';
+import type { Keepalive } from './fleet/keepalives.js';
+import type { ChunkName, ClassDemandRecord } from './persistence/records.js';
+import type { RecordLayout } from './model.js';
 import type {
-  Stamped,
+  Versioned,
   ChunkRecord,
   JobSpec,
   ListedMachine,
   MachineType,
-  Report,
+  Heartbeat,
   WorkerCommand,
   EndedRecord,
   Transaction,
@@ -17,7 +17,7 @@
 export interface LoadedChunk {
   readonly job: string;
   readonly name: ChunkName;
-  readonly record: Stamped<ChunkRecord>;
+  readonly record: Versioned<ChunkRecord>;
 }
 
 export type CommitOutcome =
@@ -28,7 +28,7 @@
   | { readonly kind: 'rejected' }
   | { readonly kind: 'unknown' };
 
-export interface Recheck {
+export interface ReconciledRecords {
   readonly jobs: ReadonlyMap<string, { readonly live: boolean; readonly ended: EndedRecord | null }>;
   readonly chunks: ReadonlyMap<string, number>;
 }
@@ -38,57 +38,62 @@
    * `doubt`: this node has stood still and not caught up; nobody is judged. `busy`: it is behind its
    * timers; nothing is done that can wait.
    */
-  | { readonly kind: 'tick'; readonly doubt?: boolean; readonly busy?: boolean }
+  | { readonly kind: 'tick'; readonly isStalled?: boolean; readonly isOverloaded?: boolean }
   /** The leadership is handed over: nothing new is begun. */
-  | { readonly kind: 'yield' }
+  | { readonly kind: 'transferLeadership' }
   /** `ageMs`: how long ago it arrived at the follower that forwards it. */
-  | { readonly kind: 'report'; readonly reply: number; readonly report: Report; readonly ageMs?: number }
-  | { readonly kind: 'direct'; readonly report: Report }
+  | {
+      readonly kind: 'heartbeat';
+      readonly reply: number;
+      readonly heartbeat: Heartbeat;
+      readonly ageMs?: number;
+    }
+  | { readonly kind: 'directAnswer'; readonly heartbeat: Heartbeat }
   /** Whether a knock at a machine met somebody; null: there is no word of it. */
-  | { readonly kind: 'probed'; readonly machine: string; readonly met: boolean | null }
+  | { readonly kind: 'probed'; readonly machine: string; readonly isReachable: boolean | null }
   | {
-      readonly kind: 'lead';
+      readonly kind: 'becomeLeader';
       readonly term: number;
-      readonly stamp: number;
-      readonly provenAt: number;
-      readonly layout: Layout;
-      readonly wide: number;
-      readonly jobs: readonly Stamped<JobSpec>[];
+      readonly modRevision: number;
+      readonly viewConfirmedAt: number;
+      readonly layout: RecordLayout;
+      readonly legacyChunkTasks: number;
+      readonly jobs: readonly Versioned<JobSpec>[];
       readonly chunks: readonly LoadedChunk[];
-      readonly memory: readonly ClassMemory[];
+      readonly demandHistory: readonly ClassDemandRecord[];
       /** Zones of which the leaders before heard nobody, and the steady time since. */
-      readonly quiet?: ReadonlyMap<string, number>;
+      readonly silentZones?: ReadonlyMap<string, number>;
       /** The leader before may be alive, blind and still answering workers. */
-      readonly haunted?: boolean;
+      readonly previousLeaderMayBeAlive?: boolean;
     }
   /** Followers have answered these machines' reports, which brought no news. */
-  | { readonly kind: 'heartbeats'; readonly heartbeats: readonly Heartbeat[] }
+  | { readonly kind: 'keepalives'; readonly keepalives: readonly Keepalive[] }
   /** A deputy has heard these machines, so long ago. */
-  | { readonly kind: 'relayed'; readonly machines: readonly string[]; readonly ageMs: number }
+  | { readonly kind: 'machinesRelayed'; readonly machines: readonly string[]; readonly ageMs: number }
   | { readonly kind: 'resign'; readonly reason: string }
-  | { readonly kind: 'tokenSeen'; readonly token: number }
-  | { readonly kind: 'proof'; readonly sentAt: number }
-  | { readonly kind: 'jobAdded'; readonly job: Stamped<JobSpec> }
+  | { readonly kind: 'higherTokenSeen'; readonly token: number }
+  | { readonly kind: 'viewConfirmed'; readonly sentAt: number }
+  | { readonly kind: 'jobAdded'; readonly job: Versioned<JobSpec> }
   | { readonly kind: 'jobRemoved'; readonly id: string }
   /** The jobs read anew, complete as of the revision. */
-  | { readonly kind: 'jobsReplaced'; readonly jobs: readonly Stamped<JobSpec>[]; readonly revision: number }
+  | { readonly kind: 'jobsReplaced'; readonly jobs: readonly Versioned<JobSpec>[]; readonly revision: number }
   /** How awaited jobs stand: their committed end, still live, never accepted, or no answer. */
   | {
-      readonly kind: 'resolved';
+      readonly kind: 'dependenciesResolved';
       readonly found: ReadonlyMap<string, EndedRecord | 'live' | 'none' | 'unknown'>;
     }
   /** Every controller reads what this version writes. */
-  | { readonly kind: 'adopt'; readonly layout: Layout }
+  | { readonly kind: 'adoptLayout'; readonly layout: RecordLayout }
   | { readonly kind: 'committed'; readonly id: number; readonly outcome: CommitOutcome }
-  | { readonly kind: 'rechecked'; readonly found: Recheck | null }
+  | { readonly kind: 'reconciled'; readonly found: ReconciledRecords | null }
   | { readonly kind: 'catalog'; readonly types: readonly MachineType[] }
-  | { readonly kind: 'listed'; readonly askedAt: number; readonly machines: readonly ListedMachine[] }
+  | { readonly kind: 'machinesListed'; readonly askedAt: number; readonly machines: readonly ListedMachine[] }
   | {
-      readonly kind: 'rented';
-      readonly request: string;
+      readonly kind: 'provisioned';
+      readonly requestId: string;
       readonly outcome: readonly string[] | 'refused' | 'malformed' | 'unknown';
     }
-  | { readonly kind: 'returned'; readonly machines: readonly string[]; readonly ok: boolean };
+  | { readonly kind: 'terminated'; readonly machines: readonly string[]; readonly ok: boolean };
 
 export type Reply =
   | { readonly kind: 'commands'; readonly token: number; readonly commands: readonly WorkerCommand[] }
@@ -96,29 +101,29 @@
 
 export type Effect =
   | { readonly kind: 'reply'; readonly reply: number; readonly body: Reply }
-  | { readonly kind: 'commit'; readonly id: number; readonly txn: Transaction }
-  | { readonly kind: 'recheck'; readonly jobs: readonly string[]; readonly chunks: readonly string[] }
-  | { readonly kind: 'resolve'; readonly ids: readonly string[] }
+  | { readonly kind: 'commit'; readonly id: number; readonly transaction: Transaction }
+  | { readonly kind: 'reconcile'; readonly jobs: readonly string[]; readonly chunks: readonly string[] }
+  | { readonly kind: 'resolveDependencies'; readonly ids: readonly string[] }
   | {
-      readonly kind: 'direct';
+      readonly kind: 'sendCommands';
       readonly machine: string;
       readonly address: string;
       readonly token: number;
-      readonly session: number;
+      readonly agentEpoch: number;
       readonly commands: readonly WorkerCommand[];
     }
   /** Asks whether anybody is at the address. */
   | { readonly kind: 'probe'; readonly machine: string; readonly address: string }
   | {
-      readonly kind: 'rent';
-      readonly request: string;
+      readonly kind: 'provision';
+      readonly requestId: string;
       readonly type: string;
       readonly zone: string;
       readonly spot: boolean;
       readonly count: number;
     }
-  | { readonly kind: 'return'; readonly machines: readonly string[] }
-  | { readonly kind: 'remember'; readonly txn: Transaction }
+  | { readonly kind: 'terminate'; readonly machines: readonly string[] }
+  | { readonly kind: 'saveDemandHistory'; readonly transaction: Transaction }
   /** There has come to be something to say to these machines: their next reports are to reach the leader. */
   | { readonly kind: 'attention'; readonly machines: readonly string[] }
   | { readonly kind: 'steppedDown'; readonly reason: string }
--- a/src/core/fleet/heartbeats.ts
+++ b/src/core/fleet/keepalives.ts
@@ -6,27 +6,27 @@
 import type { CoreState } from '../state.js';
 
 /** One machine's latest report without news, as a follower tells of it. */
-export interface Heartbeat {
+export interface Keepalive {
   readonly machine: string;
-  readonly session: number;
-  readonly seq: number;
+  readonly agentEpoch: number;
+  readonly sequence: number;
   /** Milliseconds from its arrival at the follower until now. */
   readonly ageMs: number;
 }
 
 /** Takes in a heartbeat of a machine whose reports this leader has taken in itself; others change nothing. */
-export function takeHeartbeat(state: CoreState, heartbeat: Heartbeat, now: Now): void {
+export function applyKeepalive(state: CoreState, heartbeat: Keepalive, now: Now): void {
   const machine = state.machines.get(heartbeat.machine);
-  if (machine === undefined || !machine.whole || machine.heardAt === null) return;
-  if (heartbeat.session !== machine.session || heartbeat.seq <= machine.seq) return;
-  const at = now.mono - heartbeat.ageMs;
-  machine.seq = heartbeat.seq;
-  machine.heardAt = Math.max(machine.heardAt, at);
-  machine.unmet = 0;
-  machine.lapsed = false;
+  if (machine === undefined || !machine.isReconciled || machine.lastHeartbeatAt === null) return;
+  if (heartbeat.agentEpoch !== machine.agentEpoch || heartbeat.sequence <= machine.heartbeatSequence) return;
+  const at = now.monotonicMs - heartbeat.ageMs;
+  machine.heartbeatSequence = heartbeat.sequence;
+  machine.lastHeartbeatAt = Math.max(machine.lastHeartbeatAt, at);
+  machine.failedProbes = 0;
+  machine.leaseExpired = false;
   // The follower answers at once, and forwards the next report if it does not come in its time.
-  machine.answeredAt = machine.heardAt;
-  machine.told = [];
+  machine.lastAnsweredAt = machine.lastHeartbeatAt;
+  machine.unacknowledgedStarts = [];
   machine.unresponsiveSince = null;
   machine.missedResponses = 0;
 }
--- a/src/core/fleet/machines.ts
+++ b/src/core/fleet/machines.ts
@@ -1,8 +1,8 @@
 /** Machines: what their reports prove, what they are told, and when they are given up. */
-import { losesBy } from '../jobs/aims.js';
+import { losesObjectiveWithin } from '../jobs/objectives.js';
 import { needAttention, settleAttention } from '../attention.js';
 import type { Effect } from '../effects.js';
-import { noteError, noteSuccess } from './faults.js';
+import { recordTaskFailure, recordTaskSuccess } from './fault-attribution.js';
 import {
   isUnresponsive,
   isMassUnresponsive,
@@ -11,25 +11,25 @@
   observeResponse,
 } from './response-tracking.js';
 import { expectedRun } from '../jobs/jobs.js';
-import { isDurable, recordStrayDone, releaseClaim } from '../persistence/write-back.js';
+import { isDurable, recordUnclaimedCompletion, releaseClaim } from '../persistence/write-back.js';
 import { MAX_TRACKED_MACHINES } from '../limits.js';
 import { log } from '../log.js';
-import { isHanging, isUnmet, probe } from './probing.js';
+import { isHanging, isUnreachable, probeIfOverdue } from './probes.js';
 import { summarizeHealth } from './health-summary.js';
-import { noRoom } from '../placement/resources.js';
+import { noResources } from '../placement/resources.js';
 import {
   isDone,
-  isExitKept,
+  isExitDurable,
   taskKey,
   type Leadership,
   type LiveClaim,
   type Machine,
   type Now,
 } from '../model.js';
-import { mayAct, type CoreState } from '../state.js';
-import type { ListedMachine, Report, ReportedTask, WorkerCommand } from '../types.js';
+import { hasFreshView, type CoreState } from '../state.js';
+import type { ListedMachine, Heartbeat, ReportedTask, WorkerCommand } from '../types.js';
 
-export function machineNamed(state: CoreState, name: string, now: Now): Machine {
+export function getOrCreateMachine(state: CoreState, name: string, now: Now): Machine {
   const known = state.machines.get(name);
   if (known !== undefined) return known;
   const machine: Machine = {
@@ -38,95 +38,95 @@
     type: '',
     zone: '',
     spot: true,
-    rentedAt: now.mono,
-    session: 0,
-    seq: 0,
-    heardAt: null,
-    metSince: null,
-    answeredAt: null,
-    told: [],
+    provisionedAt: now.monotonicMs,
+    agentEpoch: 0,
+    heartbeatSequence: 0,
+    lastHeartbeatAt: null,
+    firstHeartbeatAt: null,
+    lastAnsweredAt: null,
+    unacknowledgedStarts: [],
     unresponsiveSince: null,
     missedResponses: 0,
-    relayedAt: null,
-    lapsed: false,
-    knownAt: now.mono,
-    whole: false,
-    takenAt: null,
-    listed: null,
+    lastRelayedAt: null,
+    leaseExpired: false,
+    discoveredAt: now.monotonicMs,
+    isReconciled: false,
+    reclaimedAt: null,
+    cloudStage: null,
     claims: new Map(),
-    used: noRoom(),
-    order: state.nextMachine++,
+    allocated: noResources(),
+    discoveryOrder: state.nextMachine++,
     exits: new Map(),
-    reported: [],
-    images: new Map(),
-    idleSince: now.mono,
-    erredJobs: new Set(),
-    leaving: null,
-    returnAskedAt: null,
-    held: null,
-    raisedAt: null,
-    knocking: false,
-    unmet: 0,
-    metAt: null,
+    reportedTasks: [],
+    cachedImages: new Map(),
+    idleSince: now.monotonicMs,
+    failedJobs: new Set(),
+    terminationReason: null,
+    terminationRequestedAt: null,
+    pendingHeartbeat: null,
+    tokenSentAt: null,
+    isProbing: false,
+    failedProbes: 0,
+    lastReachableAt: null,
   };
   state.machines.set(name, machine);
   return machine;
 }
 
 /** Keeps a report until it is answered. */
-export function hold(state: CoreState, machine: Machine, reply: number, now: Now): void {
-  machine.held = { reply, since: now.mono };
-  state.held.add(machine);
+export function holdHeartbeat(state: CoreState, machine: Machine, reply: number, now: Now): void {
+  machine.pendingHeartbeat = { reply, since: now.monotonicMs };
+  state.pendingHeartbeats.add(machine);
   state.answerable.push(machine);
 }
 
 /** The report that waits for an answer, which the caller gives now; null if there is none. */
-export function release(state: CoreState, machine: Machine): Machine['held'] {
-  const { held } = machine;
-  machine.held = null;
-  state.held.delete(machine);
-  return held;
+export function takePendingHeartbeat(state: CoreState, machine: Machine): Machine['pendingHeartbeat'] {
+  const { pendingHeartbeat } = machine;
+  machine.pendingHeartbeat = null;
+  state.pendingHeartbeats.delete(machine);
+  return pendingHeartbeat;
 }
 
-export function leave(machine: Machine, reason: string): void {
-  machine.leaving ??= reason;
+export function markForTermination(machine: Machine, reason: string): void {
+  machine.terminationReason ??= reason;
 }
 
 /** Whether new tasks may be put on a machine now. */
-export function isUsable(state: CoreState, machine: Machine, now: Now): boolean {
+export function isSchedulable(state: CoreState, machine: Machine, now: Now): boolean {
   return (
-    machine.whole &&
-    machine.leaving === null &&
+    machine.isReconciled &&
+    machine.terminationReason === null &&
     machine.unresponsiveSince === null &&
-    machine.takenAt === null &&
-    machine.heardAt !== null &&
-    now.mono - machine.heardAt < 2 * state.rules.timing.longestReport &&
-    state.types.has(machine.type)
+    machine.reclaimedAt === null &&
+    machine.lastHeartbeatAt !== null &&
+    now.monotonicMs - machine.lastHeartbeatAt < 2 * state.config.timing.maxHeartbeatIntervalMs &&
+    state.machineTypes.has(machine.type)
   );
 }
 
 function dropImage(state: CoreState, machine: Machine, image: string): void {
-  machine.images.delete(image);
-  const holders = state.holders.get(image);
+  machine.cachedImages.delete(image);
+  const holders = state.machinesByImage.get(image);
   holders?.delete(machine);
-  if (holders?.size === 0) state.holders.delete(image);
+  if (holders?.size === 0) state.machinesByImage.delete(image);
 }
 
 function dropImages(state: CoreState, machine: Machine): void {
-  for (const image of [...machine.images.keys()]) dropImage(state, machine, image);
+  for (const image of [...machine.cachedImages.keys()]) dropImage(state, machine, image);
 }
 
 /** Remembers that a machine holds an image, dropping the least recently used. */
 function useImage(state: CoreState, machine: Machine, image: string, gb: number): void {
-  machine.images.delete(image);
-  machine.images.set(image, gb);
-  const holders = state.holders.get(image);
-  if (holders === undefined) state.holders.set(image, new Set([machine]));
+  machine.cachedImages.delete(image);
+  machine.cachedImages.set(image, gb);
+  const holders = state.machinesByImage.get(image);
+  if (holders === undefined) state.machinesByImage.set(image, new Set([machine]));
   else holders.add(machine);
-  const room = state.types.get(machine.type)?.cacheGb ?? 0;
+  const room = state.machineTypes.get(machine.type)?.cacheGb ?? 0;
   let held = 0;
-  for (const size of machine.images.values()) held += size;
-  for (const [oldest, size] of machine.images) {
+  for (const size of machine.cachedImages.values()) held += size;
+  for (const [oldest, size] of machine.cachedImages) {
     if (held <= room || oldest === image) break;
     dropImage(state, machine, oldest);
     held -= size;
@@ -137,21 +137,21 @@
   const { job } = claim;
   switch (task.exit) {
     case 'done': {
-      noteSuccess(state, machine, job);
+      recordTaskSuccess(state, machine, job);
       if (claim.runningSince !== null && job.spec.estimateS > 0) {
-        const ratio = (now.mono - claim.runningSince) / (job.spec.estimateS * 1000);
-        const seen = state.runRatio.get(job.spec.jobClass) ?? 1;
-        state.runRatio.set(job.spec.jobClass, seen + (Math.min(4, ratio) - seen) / 16);
+        const ratio = (now.monotonicMs - claim.runningSince) / (job.spec.estimateS * 1000);
+        const seen = state.runTimeRatio.get(job.spec.jobClass) ?? 1;
+        state.runTimeRatio.set(job.spec.jobClass, seen + (Math.min(4, ratio) - seen) / 16);
       }
       break;
     }
     case 'error':
-      noteError(state, machine, job, now);
+      recordTaskFailure(state, machine, job, now);
       break;
     case 'no_room':
     case 'busy':
     case 'unknown':
-      job.retryAt = Math.max(job.retryAt, now.mono + state.rules.timing.longestReport);
+      job.retryAt = Math.max(job.retryAt, now.monotonicMs + state.config.timing.maxHeartbeatIntervalMs);
       break;
     default:
       break;
@@ -168,9 +168,9 @@
     noteExit(state, machine, claim, task, now);
     const chunk = releaseClaim(state, claim, task.exit === 'done');
     machine.exits.set(name, { job, chunk, version: chunk.version });
-  } else if (job !== null && job.over === null && task.exit === 'done' && !isDone(job, task.task)) {
+  } else if (job !== null && job.finalStage === null && task.exit === 'done' && !isDone(job, task.task)) {
     // Its result is kept, whoever started it.
-    const chunk = recordStrayDone(state, job, task.task);
+    const chunk = recordUnclaimedCompletion(state, job, task.task);
     machine.exits.set(name, { job, chunk, version: chunk.version });
   } else {
     machine.exits.set(name, { job: null, chunk: null, version: 0 });
@@ -180,30 +180,30 @@
 function noteStage(state: CoreState, machine: Machine, claim: LiveClaim, task: ReportedTask, now: Now): void {
   const { spec } = claim.job;
   if (claim.stage !== task.stage) {
-    if (claim.stage === 'running') claim.job.running -= 1;
-    if (task.stage === 'running') claim.job.running += 1;
+    if (claim.stage === 'running') claim.job.runningCount -= 1;
+    if (task.stage === 'running') claim.job.runningCount += 1;
     claim.stage = task.stage;
     if (task.stage === 'running' && claim.runningSince === null) {
-      claim.runningSince = now.mono;
-      claim.expectedEnd = now.mono + expectedRun(state, spec);
+      claim.runningSince = now.monotonicMs;
+      claim.expectedEnd = now.monotonicMs + expectedRun(state, spec);
       useImage(state, machine, spec.image, spec.imageGb);
     }
   }
-  claim.sent = true;
+  claim.startSent = true;
 }
 
 /** Drops from a machine every claim of which there is proof that it is not there. */
-function applyProof(state: CoreState, machine: Machine, report: Report, whole: boolean): void {
+function applyProof(state: CoreState, machine: Machine, report: Heartbeat, whole: boolean): void {
   const listed = new Set<string>();
   for (const task of report.tasks) listed.add(`${taskKey(task.job, task.task)}#${task.attempt}`);
   for (const [key, claim] of [...machine.claims]) {
-    if (claim.session < report.session) {
+    if (claim.agentEpoch < report.agentEpoch) {
       // A new session: the worker has killed and forgotten all of the one before.
       releaseClaim(state, claim, false);
     } else if (whole && !listed.has(`${key}#${claim.attempt}`)) {
       // This report is newer than any start sent, and no older leader's response can
       // still be accepted: the task is not on the machine.
-      const pointless = claim.job.over !== null || claim.unwanted || isDone(claim.job, claim.task);
+      const pointless = claim.job.finalStage !== null || claim.stopRequested || isDone(claim.job, claim.task);
       if (claim.stage !== null || pointless) releaseClaim(state, claim, false);
     }
   }
@@ -211,32 +211,32 @@
 }
 
 /** Takes in a report. False: it is not newer than what is known and changes nothing. */
-export function takeReport(
+export function applyHeartbeat(
   state: CoreState,
-  report: Report,
+  report: Heartbeat,
   now: Now,
   effects: Effect[],
   direct: boolean,
 ): boolean {
-  if (state.gone.has(report.machine)) return false;
+  if (state.terminatedMachines.has(report.machine)) return false;
   const known = state.machines.has(report.machine);
-  const machine = machineNamed(state, report.machine, now);
-  if (report.session < machine.session) return false;
-  if (report.session === machine.session && report.seq <= machine.seq) return false;
+  const machine = getOrCreateMachine(state, report.machine, now);
+  if (report.agentEpoch < machine.agentEpoch) return false;
+  if (report.agentEpoch === machine.agentEpoch && report.sequence <= machine.heartbeatSequence) return false;
   if (!known) state.unexpected.push(report.machine);
-  if (machine.heardAt === null || machine.type === '') {
+  if (machine.lastHeartbeatAt === null || machine.type === '') {
     machine.type = report.type;
     machine.zone = report.zone;
     machine.spot = report.spot;
-    machine.idleSince = now.mono;
-    state.placeDirty = true;
+    machine.idleSince = now.monotonicMs;
+    state.isPlacementDue = true;
   }
   if (!direct) observeResponse(state, machine, report, now);
-  const expired = report.session > machine.session && machine.session > 0;
+  const expired = report.agentEpoch > machine.agentEpoch && machine.agentEpoch > 0;
   if (expired) dropImages(state, machine);
   machine.address = report.address;
-  machine.session = report.session;
-  machine.seq = report.seq;
+  machine.agentEpoch = report.agentEpoch;
+  machine.heartbeatSequence = report.sequence;
   const token = state.leadership?.term ?? 0;
   // The answer to a direct command may overtake a start that is still on its way in
   // the response to a report, so only reports prove that something is absent.
@@ -244,23 +244,23 @@
   // It answers us, whoever hears its reports: another controller may be holding it, unless its lease
   // runs out. One that reached no controller was kept for as long as it answered.
   if (direct) {
-    machine.lapsed ||= expired;
-    if (!machine.lapsed) machine.relayedAt = now.mono;
+    machine.leaseExpired ||= expired;
+    if (!machine.leaseExpired) machine.lastRelayedAt = now.monotonicMs;
   } else {
-    machine.lapsed = false;
-    machine.metSince ??= now.mono;
+    machine.leaseExpired = false;
+    machine.firstHeartbeatAt ??= now.monotonicMs;
     if (isSignOfLife(state, machine, whole, now)) {
-      machine.heardAt = now.mono;
-      machine.unmet = 0;
+      machine.lastHeartbeatAt = now.monotonicMs;
+      machine.failedProbes = 0;
     }
-    if (whole && !machine.whole) state.placeDirty = true;
-    machine.whole = whole;
+    if (whole && !machine.isReconciled) state.isPlacementDue = true;
+    machine.isReconciled = whole;
   }
   // Of an old report, a notice may be old as well.
-  if (report.noticeS !== null && machine.takenAt === null && (whole || direct)) {
-    machine.takenAt = now.mono + report.noticeS * 1000;
-    state.placeDirty = true;
-    log(effects, 'machine will be taken', { machine: machine.name, inS: report.noticeS });
+  if (report.terminationNoticeS !== null && machine.reclaimedAt === null && (whole || direct)) {
+    machine.reclaimedAt = now.monotonicMs + report.terminationNoticeS * 1000;
+    state.isPlacementDue = true;
+    log(effects, 'machine will be taken', { machine: machine.name, inS: report.terminationNoticeS });
   }
   for (const task of report.tasks) {
     if (task.stage === 'exited') {
@@ -271,16 +271,16 @@
     if (claim !== undefined && claim.attempt === task.attempt) noteStage(state, machine, claim, task, now);
   }
   applyProof(state, machine, report, whole);
-  machine.reported = report.tasks;
-  state.touched.add(machine);
-  if (machine.claims.size > 0) machine.idleSince = now.mono;
+  machine.reportedTasks = report.tasks;
+  state.changedMachines.add(machine);
+  if (machine.claims.size > 0) machine.idleSince = now.monotonicMs;
   return true;
 }
 
 /** Whether some start for this machine is still waiting to be committed. */
 export function awaitsCommit(state: CoreState, machine: Machine): boolean {
   for (const claim of machine.claims.values()) {
-    if (!claim.sent && claim.job.over === null && !isDurable(state, claim)) return true;
+    if (!claim.startSent && claim.job.finalStage === null && !isDurable(state, claim)) return true;
   }
   return false;
 }
@@ -289,45 +289,45 @@
 export function commandsFor(state: CoreState, machine: Machine): WorkerCommand[] {
   const commands: WorkerCommand[] = [];
   const listed = new Set<string>();
-  for (const { job, task, attempt, stage } of machine.reported) {
+  for (const { job, task, attempt, stage } of machine.reportedTasks) {
     const key = taskKey(job, task);
     listed.add(key);
     if (stage === 'exited') {
       const exit = machine.exits.get(`${key}#${attempt}`);
-      if (exit !== undefined && isExitKept(exit)) commands.push({ op: 'forget', job, task, attempt });
+      if (exit !== undefined && isExitDurable(exit)) commands.push({ op: 'forget', job, task, attempt });
       continue;
     }
     const claim = machine.claims.get(key);
     if (
       claim === undefined ||
       claim.attempt !== attempt ||
-      claim.job.over !== null ||
+      claim.job.finalStage !== null ||
       isDone(claim.job, task)
     ) {
       commands.push({ op: 'stop', job, task, attempt, graceS: 0 });
-    } else if (claim.unwanted && stage !== 'saving') {
+    } else if (claim.stopRequested && stage !== 'saving') {
       commands.push({ op: 'stop', job, task, attempt, graceS: claim.job.spec.saveS });
     }
   }
   // A job of the view may have been cancelled since: nothing is started by one that is not fresh.
-  if (!machine.whole || !mayAct(state)) return commands;
+  if (!machine.isReconciled || !hasFreshView(state)) return commands;
   for (const [key, claim] of [...machine.claims]) {
-    if (claim.session !== machine.session) continue;
+    if (claim.agentEpoch !== machine.agentEpoch) continue;
     const { job, task, attempt } = claim;
-    if (job.over !== null || claim.unwanted || isDone(job, task)) {
+    if (job.finalStage !== null || claim.stopRequested || isDone(job, task)) {
       // Never sent by anyone, and now never to be.
-      if (!claim.sent) releaseClaim(state, claim, false);
+      if (!claim.startSent) releaseClaim(state, claim, false);
     } else if (!listed.has(key) && isDurable(state, claim)) {
-      claim.sent = true;
+      claim.startSent = true;
       commands.push({ op: 'start', job: job.spec.id, task, attempt });
     }
   }
   return commands;
 }
 
-export function answer(state: CoreState, machine: Machine, effects: Effect[]): void {
+export function answerHeartbeat(state: CoreState, machine: Machine, effects: Effect[]): void {
   const lead = state.leadership;
-  const held = release(state, machine);
+  const held = takePendingHeartbeat(state, machine);
   if (held === null || lead === null) return;
   const commands = commandsFor(state, machine);
   settleAttention(state, machine);
@@ -345,28 +345,28 @@
 }
 
 /** The cloud has confirmed that these machines, and all that was on them, are gone. */
-export function dropReturned(state: CoreState, names: readonly string[], effects: Effect[]): void {
+export function removeTerminated(state: CoreState, names: readonly string[], effects: Effect[]): void {
   for (const name of names) {
-    state.gone.add(name);
+    state.terminatedMachines.add(name);
     const machine = state.machines.get(name);
     if (machine === undefined) continue;
     for (const claim of [...machine.claims.values()]) releaseClaim(state, claim, false);
-    const held = release(state, machine);
+    const held = takePendingHeartbeat(state, machine);
     if (held !== null) effects.push({ kind: 'reply', reply: held.reply, body: { kind: 'unable' } });
     dropImages(state, machine);
     state.machines.delete(name);
     state.attention.delete(machine);
-    state.touched.add(machine);
-    state.placeDirty = true;
+    state.changedMachines.add(machine);
+    state.isPlacementDue = true;
   }
-  for (const oldest of state.gone) {
-    if (state.gone.size <= MAX_TRACKED_MACHINES) break;
-    state.gone.delete(oldest);
+  for (const oldest of state.terminatedMachines) {
+    if (state.terminatedMachines.size <= MAX_TRACKED_MACHINES) break;
+    state.terminatedMachines.delete(oldest);
   }
 }
 
 /** Machines in the cloud's list that nobody here knew are taken on. */
-export function takeList(
+export function applyListing(
   state: CoreState,
   listed: readonly ListedMachine[],
   now: Now,
@@ -374,21 +374,21 @@
 ): void {
   const taken: string[] = [];
   for (const entry of listed) {
-    if (state.gone.has(entry.name)) continue;
+    if (state.terminatedMachines.has(entry.name)) continue;
     const known = state.machines.has(entry.name);
-    const machine = machineNamed(state, entry.name, now);
+    const machine = getOrCreateMachine(state, entry.name, now);
     // A new leader hears machines before it sees them listed, and their age with them.
-    machine.rentedAt = Math.min(machine.rentedAt, now.mono - entry.ageS * 1000);
+    machine.provisionedAt = Math.min(machine.provisionedAt, now.monotonicMs - entry.ageS * 1000);
     if (!known) taken.push(entry.name);
     if (machine.type === '') {
       machine.type = entry.type;
       machine.zone = entry.zone;
       machine.spot = entry.spot;
-      state.placeDirty = true;
+      state.isPlacementDue = true;
     }
     if (machine.address === '') machine.address = entry.address;
-    machine.listed = entry.stage;
-    if (entry.stage === 'failed') leave(machine, 'failed');
+    machine.cloudStage = entry.stage;
+    if (entry.stage === 'failed') markForTermination(machine, 'failed');
   }
   // One line an event: a takeover wrote hundreds.
   if (taken.length > 0)
@@ -397,8 +397,8 @@
 
 /** The session to show a machine this leader's token in; a wrong guess is answered with the right one. */
 function sessionOf(machine: Machine): number {
-  if (machine.session > 0) return machine.session;
-  for (const { session } of machine.claims.values()) return session;
+  if (machine.agentEpoch > 0) return machine.agentEpoch;
+  for (const { agentEpoch } of machine.claims.values()) return agentEpoch;
   return 1;
 }
 
@@ -406,20 +406,24 @@
 const SCOUTS = 0.25;
 
 /** How many machines may be called now: a few at a time, for each costs a connection. */
-function callsLeft(state: CoreState, lead: Leadership, now: Now): Leadership['calls'] {
-  const { timing, mostCalls } = state.rules;
-  const { calls } = lead;
-  const settled = now.mono - lead.since > timing.longestReport;
+function callsLeft(state: CoreState, lead: Leadership, now: Now): Leadership['directCallBudget'] {
+  const { timing, maxDirectCallsPerInterval } = state.config;
+  const { directCallBudget } = lead;
+  const settled = now.monotonicMs - lead.since > timing.maxHeartbeatIntervalMs;
   if (!settled) {
-    if (lead.haunted === true && calls.at === lead.since) {
-      calls.left = Math.ceil(SCOUTS * mostCalls);
-      calls.at = now.mono;
+    if (lead.previousLeaderMayBeAlive === true && directCallBudget.at === lead.since) {
+      directCallBudget.left = Math.ceil(SCOUTS * maxDirectCallsPerInterval);
+      directCallBudget.at = now.monotonicMs;
     }
-    return calls;
+    return directCallBudget;
   }
-  calls.left = Math.min(mostCalls, calls.left + (mostCalls * (now.mono - calls.at)) / timing.longestReport);
-  calls.at = now.mono;
-  return calls;
+  directCallBudget.left = Math.min(
+    maxDirectCallsPerInterval,
+    directCallBudget.left +
+      (maxDirectCallsPerInterval * (now.monotonicMs - directCallBudget.at)) / timing.maxHeartbeatIntervalMs,
+  );
+  directCallBudget.at = now.monotonicMs;
+  return directCallBudget;
 }
 
 /**
@@ -429,29 +433,37 @@
  * machines for 25 s. The others have a report's time to come by themselves: called all at once, they
  * cost a leader on a small processor what it needed to hear them, and 190 tasks their lease.
  */
-export function raiseTokens(state: CoreState, now: Now, effects: Effect[]): void {
+export function announceToken(state: CoreState, now: Now, effects: Effect[]): void {
   const lead = state.leadership;
   if (lead === null) return;
-  const { timing } = state.rules;
+  const { timing } = state.config;
   const calls = callsLeft(state, lead, now);
   if (calls.left < 1) return;
   for (const machine of state.machines.values()) {
     if (calls.left < 1) return;
-    if (machine.whole || machine.address === '' || machine.leaving !== null) continue;
+    if (machine.isReconciled || machine.address === '' || machine.terminationReason !== null) continue;
     // Whoever claims to be a machine is connected to only once the cloud, or a claim, knows it:
     // a flood of reports under invented names would otherwise take every socket.
-    if (machine.listed !== 'running' && machine.claims.size === 0) continue;
+    if (machine.cloudStage !== 'running' && machine.claims.size === 0) continue;
     // The answer to its report raises the token by itself.
-    if (machine.heardAt !== null && now.mono - machine.heardAt < 2 * timing.longestReport) continue;
-    if (machine.raisedAt !== null && now.mono - machine.raisedAt < 2 * timing.longestReport) continue;
-    machine.raisedAt = now.mono;
+    if (
+      machine.lastHeartbeatAt !== null &&
+      now.monotonicMs - machine.lastHeartbeatAt < 2 * timing.maxHeartbeatIntervalMs
+    )
+      continue;
+    if (
+      machine.tokenSentAt !== null &&
+      now.monotonicMs - machine.tokenSentAt < 2 * timing.maxHeartbeatIntervalMs
+    )
+      continue;
+    machine.tokenSentAt = now.monotonicMs;
     calls.left -= 1;
     effects.push({
-      kind: 'direct',
+      kind: 'sendCommands',
       machine: machine.name,
       address: machine.address,
       token: lead.term,
-      session: sessionOf(machine),
+      agentEpoch: sessionOf(machine),
       commands: [],
     });
   }
@@ -461,8 +473,8 @@
 export function expectedEnd(state: CoreState, claim: LiveClaim, now: Now): number {
   const { spec } = claim.job;
   if (spec.form === 'service') return Infinity;
-  if (claim.expectedEnd > now.mono) return claim.expectedEnd;
-  return now.mono + state.rules.policy.overrunAllowance(spec);
+  if (claim.expectedEnd > now.monotonicMs) return claim.expectedEnd;
+  return now.monotonicMs + state.config.policy.overrunAllowanceMs(spec);
 }
 
 /**
@@ -470,13 +482,14 @@
  * again the sooner. What can save does so, as late as it safely can.
  */
 function drain(state: CoreState, machine: Machine, takenAt: number, now: Now): void {
-  const { longestReport } = state.rules.timing;
+  const { maxHeartbeatIntervalMs } = state.config.timing;
   for (const claim of machine.claims.values()) {
     const { spec } = claim.job;
-    if (claim.unwanted || expectedEnd(state, claim, now) <= takenAt) continue;
-    const saves = spec.checkpointS > 0 && spec.saveS * 1000 + 2 * longestReport < takenAt - now.mono;
+    if (claim.stopRequested || expectedEnd(state, claim, now) <= takenAt) continue;
+    const saves =
+      spec.checkpointS > 0 && spec.saveS * 1000 + 2 * maxHeartbeatIntervalMs < takenAt - now.monotonicMs;
     if (saves) continue;
-    claim.unwanted = true;
+    claim.stopRequested = true;
     needAttention(state, machine.name);
   }
 }
@@ -484,7 +497,7 @@
 /** Whether something on a machine that may be of use only much later should rather run again now. */
 function isMissed(state: CoreState, machine: Machine, wait: number, now: Now): boolean {
   for (const { job } of machine.claims.values())
-    if (job.over === null && losesBy(state, job, wait, now)) return true;
+    if (job.finalStage === null && losesObjectiveWithin(state, job, wait, now)) return true;
   return false;
 }
 
@@ -497,82 +510,89 @@
   let loses = 0;
   let keeps = 0;
   for (const { job } of machine.claims.values()) {
-    if (job.over === null && losesBy(state, job, wait, now)) loses += 1;
+    if (job.finalStage === null && losesObjectiveWithin(state, job, wait, now)) loses += 1;
     else keeps += 1;
   }
   return loses <= keeps;
 }
 
 function hasEndedWork({ claims }: Machine): boolean {
-  for (const { job } of claims.values()) if (job.over !== null) return true;
+  for (const { job } of claims.values()) if (job.finalStage !== null) return true;
   return false;
 }
 
 /** Gives up machines that are silent, never came up, or hold cancelled work out of reach. */
-export function judgeMachines(state: CoreState, now: Now, effects: Effect[]): void {
-  const { timing } = state.rules;
-  const { awake, apart, deaf, mostSilent, mostUnheard } = summarizeHealth(state, now);
+export function detectFailures(state: CoreState, now: Now, effects: Effect[]): void {
+  const { timing } = state.config;
+  const { reachableZones, partitionedZones, hearsNobody, isMassSilence, isMassNeverReported } =
+    summarizeHealth(state, now);
   const deafTogether = isMassUnresponsive(state);
-  const usual = mostSilent ? timing.silence : timing.shortSilence;
+  const usual = isMassSilence ? timing.silenceTimeoutMs : timing.shortSilenceTimeoutMs;
   // Many that a new leader never heard are one event, not many: the leader before, blind but within
   // its authority, may hold them alive. It gave back 200 of them with 773 tasks. One without tasks
   // loses nothing, and is as likely gone from a list that lags.
-  const heldElsewhere = timing.authority + timing.workerLease + timing.longestReport;
+  const heldElsewhere = timing.authorityWindowMs + timing.workerLeaseMs + timing.maxHeartbeatIntervalMs;
   // How long a machine of a zone that is apart may be silent. It may well come back, but once its
   // lease must be over, and not even a deputy has told of it, what its tasks would miss by waiting
   // they need not. Sooner, 236 machines at work behind a cut of 20 s were given back with 1601
   // tasks; and a leader that hears nobody at all has its own fault to wait for.
   const patienceApart = (machine: Machine, silent: number): number => {
-    const longest = 3 * timing.workerLease;
-    return !deaf && silent > timing.silence && isMissed(state, machine, longest - silent, now)
-      ? timing.silence
+    const longest = 3 * timing.workerLeaseMs;
+    return !hearsNobody && silent > timing.silenceTimeoutMs && isMissed(state, machine, longest - silent, now)
+      ? timing.silenceTimeoutMs
       : longest;
   };
   for (const machine of state.machines.values()) {
-    if (machine.leaving !== null) continue;
-    probe(state, machine, awake, now, effects);
-    if (isUnmet(machine)) {
-      leave(machine, 'out of reach');
+    if (machine.terminationReason !== null) continue;
+    probeIfOverdue(state, machine, reachableZones, now, effects);
+    if (isUnreachable(machine)) {
+      markForTermination(machine, 'out of reach');
       continue;
     }
-    const type = state.types.get(machine.type);
+    const type = state.machineTypes.get(machine.type);
     const boot = (type?.bootS ?? 60) * 1000;
-    if (machine.heardAt === null) {
-      if (machine.relayedAt !== null && now.mono - machine.relayedAt < timing.silence) continue;
-      const expected = machine.listed === 'running' || machine.claims.size > 0;
-      const since = apart.has(machine.zone) ? state.quiet.get(machine.zone) : undefined;
-      const unheard = now.mono - Math.min(machine.knownAt, since ?? Infinity);
-      const patience = apart.has(machine.zone)
+    if (machine.lastHeartbeatAt === null) {
+      if (machine.lastRelayedAt !== null && now.monotonicMs - machine.lastRelayedAt < timing.silenceTimeoutMs)
+        continue;
+      const expected = machine.cloudStage === 'running' || machine.claims.size > 0;
+      const since = partitionedZones.has(machine.zone) ? state.silentZones.get(machine.zone) : undefined;
+      const unheard = now.monotonicMs - Math.min(machine.discoveredAt, since ?? Infinity);
+      const patience = partitionedZones.has(machine.zone)
         ? patienceApart(machine, unheard)
-        : mostUnheard && machine.listed === 'running' && machine.claims.size > 0
+        : isMassNeverReported && machine.cloudStage === 'running' && machine.claims.size > 0
           ? heldElsewhere
-          : timing.silence;
+          : timing.silenceTimeoutMs;
       // Where leaders change often each begins the wait anew, and cancelled work keeps its limit meanwhile.
       const holdsEnded =
-        !apart.has(machine.zone) && !mostUnheard && unheard > timing.shortSilence && hasEndedWork(machine);
+        !partitionedZones.has(machine.zone) &&
+        !isMassNeverReported &&
+        unheard > timing.shortSilenceTimeoutMs &&
+        hasEndedWork(machine);
       if (expected) {
-        if (unheard > patience || holdsEnded) leave(machine, 'never heard');
-      } else if (now.mono - machine.rentedAt > 3 * boot && unheard > timing.silence) {
-        leave(machine, 'never came up');
+        if (unheard > patience || holdsEnded) markForTermination(machine, 'never heard');
+      } else if (now.monotonicMs - machine.provisionedAt > 3 * boot && unheard > timing.silenceTimeoutMs) {
+        markForTermination(machine, 'never came up');
       }
       continue;
     }
-    const silent = now.mono - Math.max(machine.heardAt, machine.relayedAt ?? 0);
-    if (machine.takenAt !== null) {
-      if (now.mono > machine.takenAt && silent > 1.5 * timing.longestReport) leave(machine, 'taken');
-      else drain(state, machine, machine.takenAt, now);
+    const silent = now.monotonicMs - Math.max(machine.lastHeartbeatAt, machine.lastRelayedAt ?? 0);
+    if (machine.reclaimedAt !== null) {
+      if (now.monotonicMs > machine.reclaimedAt && silent > 1.5 * timing.maxHeartbeatIntervalMs)
+        markForTermination(machine, 'taken');
+      else drain(state, machine, machine.reclaimedAt, now);
     }
     if (!deafTogether && isUnresponsive(state, machine, now)) {
-      leave(machine, 'deaf');
+      markForTermination(machine, 'deaf');
       continue;
     }
     const hangs = isHanging(state, machine, now);
-    const patience = apart.has(machine.zone)
+    const patience = partitionedZones.has(machine.zone)
       ? patienceApart(machine, silent)
-      : hangs && isWorthWaiting(state, machine, timing.silence - silent, now)
-        ? timing.silence
+      : hangs && isWorthWaiting(state, machine, timing.silenceTimeoutMs - silent, now)
+        ? timing.silenceTimeoutMs
         : usual;
-    if (silent > patience) leave(machine, hangs ? 'hanging' : 'silent');
-    else if (silent > 0.5 * timing.silence && hasEndedWork(machine)) leave(machine, 'silent with ended work');
+    if (silent > patience) markForTermination(machine, hangs ? 'hanging' : 'silent');
+    else if (silent > 0.5 * timing.silenceTimeoutMs && hasEndedWork(machine))
+      markForTermination(machine, 'silent with ended work');
   }
 }
--- a/src/core/fleet/probing.ts
+++ b/src/core/fleet/probes.ts
@@ -11,15 +11,15 @@
 const KNOCKS = 2;
 
 const isOverdue = (state: CoreState, machine: Machine, now: Now): boolean =>
-  now.mono - Math.max(machine.heardAt ?? machine.knownAt, machine.relayedAt ?? 0) >
-  1.25 * state.rules.timing.longestReport;
+  now.monotonicMs - Math.max(machine.lastHeartbeatAt ?? machine.discoveredAt, machine.lastRelayedAt ?? 0) >
+  1.25 * state.config.timing.maxHeartbeatIntervalMs;
 
 /** Whether a machine should be up and speaking: it was heard, or has been at work for a leader before. */
-export const shouldSpeak = ({ leaving, heardAt, claims }: Machine): boolean =>
-  leaving === null && (heardAt !== null || claims.size > 0);
+export const isExpectedToReport = ({ terminationReason, lastHeartbeatAt, claims }: Machine): boolean =>
+  terminationReason === null && (lastHeartbeatAt !== null || claims.size > 0);
 
 /** Knocks at a machine that owes a report, if its zone is one of these. */
-export function probe(
+export function probeIfOverdue(
   state: CoreState,
   machine: Machine,
   awake: ReadonlySet<string>,
@@ -27,15 +27,16 @@
   effects: Effect[],
 ): void {
   // A cut explains what was met until now, and its end must not be taken for deaths.
-  if (!awake.has(machine.zone)) machine.unmet = 0;
+  if (!awake.has(machine.zone)) machine.failedProbes = 0;
   else if (
-    !machine.knocking &&
-    (machine.metAt === null || now.mono - machine.metAt > state.rules.timing.longestReport) &&
+    !machine.isProbing &&
+    (machine.lastReachableAt === null ||
+      now.monotonicMs - machine.lastReachableAt > state.config.timing.maxHeartbeatIntervalMs) &&
     machine.address !== '' &&
-    shouldSpeak(machine) &&
+    isExpectedToReport(machine) &&
     isOverdue(state, machine, now)
   ) {
-    machine.knocking = true;
+    machine.isProbing = true;
     effects.push({ kind: 'probe', machine: machine.name, address: machine.address });
   }
 }
@@ -44,17 +45,18 @@
 export function settleProbe(state: CoreState, name: string, met: boolean | null, now: Now): void {
   const machine = state.machines.get(name);
   if (machine === undefined) return;
-  machine.knocking = false;
+  machine.isProbing = false;
   if (met === true) {
-    machine.unmet = 0;
-    machine.metAt = now.mono;
+    machine.failedProbes = 0;
+    machine.lastReachableAt = now.monotonicMs;
   }
   // It may have been heard, here or by a deputy, since the knock.
-  else if (met === false && isOverdue(state, machine, now)) machine.unmet += 1;
+  else if (met === false && isOverdue(state, machine, now)) machine.failedProbes += 1;
 }
 
 /** Whether somebody was met there of late, though it owes a report: it hangs, or another controller hears it. */
-export const isHanging = (state: CoreState, { metAt }: Machine, now: Now): boolean =>
-  metAt !== null && now.mono - metAt < 2 * state.rules.timing.longestReport;
+export const isHanging = (state: CoreState, { lastReachableAt }: Machine, now: Now): boolean =>
+  lastReachableAt !== null &&
+  now.monotonicMs - lastReachableAt < 2 * state.config.timing.maxHeartbeatIntervalMs;
 
-export const isUnmet = (machine: Machine): boolean => machine.unmet >= KNOCKS;
+export const isUnreachable = (machine: Machine): boolean => machine.failedProbes >= KNOCKS;
--- a/src/core/fleet/response-tracking.ts
+++ b/src/core/fleet/response-tracking.ts
@@ -6,7 +6,7 @@
  */
 import { taskKey, type Machine, type Now } from '../model.js';
 import type { CoreState } from '../state.js';
-import type { Report } from '../types.js';
+import type { Heartbeat } from '../types.js';
 
 /** One that got its answer speaks again within so many of the longest times between two reports. */
 const IN_RHYTHM = 1.25;
@@ -18,8 +18,8 @@
 
 /** Remembers an answer. One that was given late may have been dropped for that: it says nothing. */
 export function recordResponse(state: CoreState, machine: Machine, starts: readonly string[]): void {
-  machine.answeredAt = state.busy ? null : state.mono;
-  machine.told = state.busy ? [] : starts;
+  machine.lastAnsweredAt = state.isOverloaded ? null : state.monotonicMs;
+  machine.unacknowledgedStarts = state.isOverloaded ? [] : starts;
 }
 
 /** Whether a machine has not heard what it is told for so long that it is of no use. */
@@ -28,30 +28,30 @@
   { unresponsiveSince, missedResponses }: Machine,
   now: Now,
 ): boolean =>
-  !state.busy &&
+  !state.isOverloaded &&
   unresponsiveSince !== null &&
   missedResponses >= MISSES &&
-  now.mono - unresponsiveSince > state.rules.timing.silence;
+  now.monotonicMs - unresponsiveSince > state.config.timing.silenceTimeoutMs;
 
 /** What a report that is newer than the latest says of the answers before it. */
-export function observeResponse(state: CoreState, machine: Machine, report: Report, now: Now): void {
-  const { longestReport, workerLease } = state.rules.timing;
-  const { answeredAt, session, told } = machine;
-  if (answeredAt === null) return;
-  const since = now.mono - answeredAt;
+export function observeResponse(state: CoreState, machine: Machine, report: Heartbeat, now: Now): void {
+  const { maxHeartbeatIntervalMs, workerLeaseMs } = state.config.timing;
+  const { lastAnsweredAt, agentEpoch, unacknowledgedStarts } = machine;
+  if (lastAnsweredAt === null) return;
+  const since = now.monotonicMs - lastAnsweredAt;
   const listed = new Set(report.tasks.map(({ job, task, attempt }) => `${taskKey(job, task)}#${attempt}`));
   // It has one report under way at a time: this one was sent after the answer came, or was given up.
-  const missed = report.session === session && told.some((start) => !listed.has(start));
-  const heard = told.some((start) => listed.has(start));
-  const expired = report.session > session && session > 0 && since < workerLease;
-  if (heard || (!missed && !expired && since <= IN_RHYTHM * longestReport)) {
+  const missed = report.agentEpoch === agentEpoch && unacknowledgedStarts.some((start) => !listed.has(start));
+  const heard = unacknowledgedStarts.some((start) => listed.has(start));
+  const expired = report.agentEpoch > agentEpoch && agentEpoch > 0 && since < workerLeaseMs;
+  if (heard || (!missed && !expired && since <= IN_RHYTHM * maxHeartbeatIntervalMs)) {
     machine.unresponsiveSince = null;
     machine.missedResponses = 0;
   } else if (missed || expired) {
-    machine.unresponsiveSince ??= now.mono;
+    machine.unresponsiveSince ??= now.monotonicMs;
     machine.missedResponses += 1;
   }
-  machine.told = [];
+  machine.unacknowledgedStarts = [];
 }
 
 /**
@@ -60,9 +60,12 @@
  * were late, and a worker that drops every answer has lost its tasks by now.
  */
 export function isSignOfLife(state: CoreState, machine: Machine, whole: boolean, now: Now): boolean {
-  const { metSince, answeredAt } = machine;
+  const { firstHeartbeatAt, lastAnsweredAt } = machine;
   return (
-    whole || answeredAt === null || metSince === null || now.mono - metSince < state.rules.timing.workerLease
+    whole ||
+    lastAnsweredAt === null ||
+    firstHeartbeatAt === null ||
+    now.monotonicMs - firstHeartbeatAt < state.config.timing.workerLeaseMs
   );
 }
 
@@ -70,8 +73,8 @@
 export function isMassUnresponsive(state: CoreState): boolean {
   let known = 0;
   let deaf = 0;
-  for (const { heardAt, leaving, unresponsiveSince } of state.machines.values()) {
-    if (heardAt === null || leaving !== null) continue;
+  for (const { lastHeartbeatAt, terminationReason, unresponsiveSince } of state.machines.values()) {
+    if (lastHeartbeatAt === null || terminationReason !== null) continue;
     known += 1;
     if (unresponsiveSince !== null) deaf += 1;
   }
--- a/src/core/jobs/pipelines.ts
+++ b/src/core/jobs/dependencies.ts
@@ -4,8 +4,8 @@
  * be withdrawn. Both are final, so what was once learned stays true. Jobs that need others
  * are indexed by those, so that an end costs no more than what it sets free.
  */
-import { expectedRun, isReady, recount, startLatency } from './jobs.js';
-import type { Final, JobState, Now } from '../model.js';
+import { expectedRun, isReady, updateTaskCounts, startLatency } from './jobs.js';
+import type { FinalOutcome, JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import { markDirty } from '../persistence/dirty-jobs.js';
 import type { EndedRecord, FinalStage } from '../types.js';
@@ -19,38 +19,38 @@
 const LAST_TASK = 1.3;
 
 /** What the view held at its latest proof had been settled: what is learned now came after. */
-const sinceProof = (state: CoreState): number => state.leadership?.provenAt ?? 0;
+const sinceProof = (state: CoreState): number => state.leadership?.viewConfirmedAt ?? 0;
 
 function ask(state: CoreState, id: string, since = sinceProof(state)): void {
-  if (!state.unresolved.has(id)) state.unresolved.set(id, { since, notBefore: 0 });
+  if (!state.unresolvedDependencies.has(id)) state.unresolvedDependencies.set(id, { since, notBefore: 0 });
 }
 
 /** To be withdrawn: one that it needs is. It cannot have a task out, for that one was never done. */
 function doom(state: CoreState, job: JobState, since: number): void {
-  if (job.over !== null || state.doomed.has(job)) return;
-  state.doomed.set(job, since);
+  if (job.finalStage !== null || state.cancelPending.has(job)) return;
+  state.cancelPending.set(job, since);
   markDirty(state, job);
 }
 
-function settle(state: CoreState, job: JobState, final: Final, id: string, since: number): void {
+function settle(state: CoreState, job: JobState, final: FinalOutcome, id: string, since: number): void {
   if (final.stage === 'withdrawn') {
     doom(state, job, since);
     return;
   }
-  job.waitsFor.delete(id);
+  job.pendingDependencies.delete(id);
   job.readyAt = Math.max(job.readyAt, final.at);
   if (!isReady(job)) return;
-  recount(state, job);
-  state.placeDirty = true;
+  updateTaskCounts(state, job);
+  state.isPlacementDue = true;
   // At the next tick; 0 would say that there is no plan yet.
-  if (state.planAt > 0) state.planAt = 1;
+  if (state.nextPlanAt > 0) state.nextPlanAt = 1;
 }
 
 /** Enters a new job into the index, and asks for the ends of what it awaits. */
-export function joinPipeline(state: CoreState, job: JobState): void {
+export function registerDependencies(state: CoreState, job: JobState): void {
   for (const id of job.spec.awaits ?? []) {
-    job.waitsFor.add(id);
-    const final = state.finals.get(id);
+    job.pendingDependencies.add(id);
+    const final = state.finalOutcomes.get(id);
     if (final !== undefined) {
       settle(state, job, final, id, sinceProof(state));
       continue;
@@ -58,7 +58,7 @@
     const others = state.dependents.get(id);
     if (others === undefined) state.dependents.set(id, new Set([job]));
     else others.add(job);
-    if (state.jobs.get(id)?.over !== null) ask(state, id);
+    if (state.jobs.get(id)?.finalStage !== null) ask(state, id);
   }
   passBack(state, job, DEEPEST);
 }
@@ -71,13 +71,13 @@
   if (depth === 0) return;
   const { spec } = job;
   const own = spec.deadlineS === null ? Infinity : spec.submittedAt + spec.deadlineS * 1000;
-  const by = Math.min(own, job.dueAt) - expectedStay(state, job);
+  const by = Math.min(own, job.inheritedDeadline) - expectedStay(state, job);
   for (const id of spec.awaits ?? []) {
     const needed = state.jobs.get(id);
-    if (needed === undefined || needed.over !== null) continue;
-    if (needed.priority <= job.priority && needed.dueAt <= by) continue;
+    if (needed === undefined || needed.finalStage !== null) continue;
+    if (needed.priority <= job.priority && needed.inheritedDeadline <= by) continue;
     needed.priority = job.priority < needed.priority ? job.priority : needed.priority;
-    needed.dueAt = Math.min(needed.dueAt, by);
+    needed.inheritedDeadline = Math.min(needed.inheritedDeadline, by);
     passBack(state, needed, depth - 1);
   }
 }
@@ -87,83 +87,83 @@
   startLatency(state) + LAST_TASK * expectedRun(state, spec);
 
 /** A job has left the queue. Without its committed record, what waits for it learns only from that. */
-export function leavePipeline(state: CoreState, job: JobState, final: Final | null): void {
+export function unregisterDependencies(state: CoreState, job: JobState, final: FinalOutcome | null): void {
   const { id, awaits } = job.spec;
-  const since = state.doomed.get(job);
-  state.doomed.delete(job);
+  const since = state.cancelPending.get(job);
+  state.cancelPending.delete(job);
   for (const needed of awaits ?? []) {
     const others = state.dependents.get(needed);
     others?.delete(job);
     if (others?.size !== 0) continue;
     state.dependents.delete(needed);
-    state.unresolved.delete(needed);
+    state.unresolvedDependencies.delete(needed);
   }
   if (final !== null) learnFinal(state, id, final, since);
   else if (state.dependents.has(id)) ask(state, id, since);
 }
 
 /** What the committed record of a job says of its end. */
-function learnFinal(state: CoreState, id: string, final: Final, since = sinceProof(state)): void {
-  state.finals.delete(id);
-  state.finals.set(id, final);
+function learnFinal(state: CoreState, id: string, final: FinalOutcome, since = sinceProof(state)): void {
+  state.finalOutcomes.delete(id);
+  state.finalOutcomes.set(id, final);
   const remembered = Math.max(MIN_REMEMBERED_ENDS, 2 * state.jobs.size);
-  for (const oldest of state.finals.keys()) {
-    if (state.finals.size <= remembered) break;
-    state.finals.delete(oldest);
+  for (const oldest of state.finalOutcomes.keys()) {
+    if (state.finalOutcomes.size <= remembered) break;
+    state.finalOutcomes.delete(oldest);
   }
-  const from = Math.min(since, state.unresolved.get(id)?.since ?? Infinity);
-  state.unresolved.delete(id);
+  const from = Math.min(since, state.unresolvedDependencies.get(id)?.since ?? Infinity);
+  state.unresolvedDependencies.delete(id);
   const waiting = state.dependents.get(id);
   if (waiting === undefined) return;
   state.dependents.delete(id);
   for (const job of waiting) settle(state, job, final, id, from);
 }
 
-export const finalOf = (record: EndedRecord, now: Now): Final => ({
+export const finalOutcomeOf = (record: EndedRecord, now: Now): FinalOutcome => ({
   stage: record.stage,
-  at: Math.min(record.at ?? now.wall, now.wall),
+  at: Math.min(record.at ?? now.epochMs, now.epochMs),
 });
 
-export const finalNow = (stage: FinalStage, now: Now): Final => ({ stage, at: now.wall });
+export const finalOutcomeNow = (stage: FinalStage, now: Now): FinalOutcome => ({ stage, at: now.epochMs });
 
 /** Awaited jobs whose records are to be read now; some at a time. */
-export function nextQuestion(state: CoreState, now: Now): readonly string[] | null {
-  if (state.asking !== null || state.unresolved.size === 0) return null;
+export function nextDependencyQuery(state: CoreState, now: Now): readonly string[] | null {
+  if (state.pendingDependencyQuery !== null || state.unresolvedDependencies.size === 0) return null;
   const ids: string[] = [];
-  for (const [id, { notBefore }] of state.unresolved) {
-    if (notBefore > now.mono) continue;
+  for (const [id, { notBefore }] of state.unresolvedDependencies) {
+    if (notBefore > now.monotonicMs) continue;
     ids.push(id);
     if (ids.length === MOST_ASKED) break;
   }
   if (ids.length === 0) return null;
-  state.asking = ids;
+  state.pendingDependencyQuery = ids;
   return ids;
 }
 
-export function settleQuestion(
+export function settleDependencyQuery(
   state: CoreState,
   found: ReadonlyMap<string, EndedRecord | 'live' | 'none' | 'unknown'>,
   now: Now,
 ): void {
-  state.asking = null;
-  const { tick, workerLease } = state.rules.timing;
+  state.pendingDependencyQuery = null;
+  const { tickMs, workerLeaseMs } = state.config.timing;
   for (const [id, answer] of found) {
     if (typeof answer !== 'string') {
-      learnFinal(state, id, finalOf(answer, now));
+      learnFinal(state, id, finalOutcomeOf(answer, now));
       continue;
     }
-    const question = state.unresolved.get(id);
+    const question = state.unresolvedDependencies.get(id);
     if (question === undefined) continue;
     // One that the view shows by now tells of its end by itself.
-    if (answer === 'live' && state.jobs.get(id)?.over === null) state.unresolved.delete(id);
-    else question.notBefore = now.mono + (answer === 'none' ? workerLease : tick);
+    if (answer === 'live' && state.jobs.get(id)?.finalStage === null) state.unresolvedDependencies.delete(id);
+    else question.notBefore = now.monotonicMs + (answer === 'none' ? workerLeaseMs : tickMs);
   }
 }
 
 /** Steady time up to which every cancellation has gone through its pipeline, as this leader sees it. */
-export function settledUntil(state: CoreState): number {
-  let until = state.leadership?.provenAt ?? 0;
-  for (const { since } of state.unresolved.values()) until = Math.min(until, since);
-  for (const since of state.doomed.values()) until = Math.min(until, since);
+export function resolvedUntil(state: CoreState): number {
+  let until = state.leadership?.viewConfirmedAt ?? 0;
+  for (const { since } of state.unresolvedDependencies.values()) until = Math.min(until, since);
+  for (const since of state.cancelPending.values()) until = Math.min(until, since);
   return until;
 }
