--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -7,7 +7,7 @@
   MachineType,
   Priority,
   ReportedTask,
-  Room,
+  Resources,
   TaskStage,
 } from './types.js';
 
@@ -15,77 +15,77 @@
 export const WRITE_REASONS = ['start', 'end', 'exit', 'clean'] as const;
 export type WriteReason = (typeof WRITE_REASONS)[number];
 
-/** `mono`: steady clock, `wall`: time of day; both in milliseconds. */
+/** `monotonicMs`: steady clock, `epochMs`: time of day; both in milliseconds. */
 export interface Now {
-  readonly mono: number;
-  readonly wall: number;
+  readonly monotonicMs: number;
+  readonly epochMs: number;
 }
 
-export interface TeamLimits {
-  readonly cpus: number;
-  readonly cpusMax: number;
-  readonly gpus: number;
-  readonly gpusMax: number;
+export interface TeamQuota {
+  readonly guaranteedCpus: number;
+  readonly maxCpus: number;
+  readonly guaranteedGpus: number;
+  readonly maxGpus: number;
 }
 
-export interface Rules {
+export interface CoreConfig {
   readonly timing: Timing;
-  readonly teams: ReadonlyMap<string, TeamLimits>;
+  readonly teams: ReadonlyMap<string, TeamQuota>;
   /** What the settings' objectives ask for, by class. */
-  readonly aims: ReadonlyMap<string, ClassAims>;
+  readonly objectives: ReadonlyMap<string, ClassObjectives>;
   /** How the versions before write, and this one until every controller reads what it would write. */
-  readonly firstLayout: Layout;
-  readonly listLag: number;
+  readonly initialLayout: RecordLayout;
+  readonly listLagMs: number;
   /** Machines that are called within the longest time between two reports. */
-  readonly mostCalls: number;
-  readonly policy: PolicyFigures;
+  readonly maxDirectCallsPerInterval: number;
+  readonly policy: SchedulingPolicy;
 }
 
 /** The aims of a class; any number of each kind, each list in ascending order. */
-export interface ClassAims {
+export interface ClassObjectives {
   /** Milliseconds from being ready within which a task is to start. */
-  readonly starts: readonly number[];
+  readonly startTargetsMs: readonly number[];
   /** Multiples of the deadline by which a job is to be done. */
-  readonly deadlines: readonly number[];
+  readonly deadlineMultiples: readonly number[];
   /** Milliseconds from being ready within which a job is to be done. */
-  readonly finishes: readonly number[];
+  readonly finishTargetsMs: readonly number[];
 }
 
 /** How run records are cut, and how much is written at once. */
-export interface Layout {
+export interface RecordLayout {
   /** Width as it stands in the keys of chunks; null: the first versions' keys, which do not say. */
-  readonly width: number | null;
+  readonly keyWidth: number | null;
   /** Tasks of a chunk. */
-  readonly tasks: number;
+  readonly tasksPerChunk: number;
   /** Most changes in a transaction. */
-  readonly txnOps: number;
+  readonly maxMutations: number;
   /** Most bytes of a value. */
-  readonly valueBytes: number;
+  readonly maxValueBytes: number;
   /** Changes a second that a leader keeps to, and how many it may save up. */
-  readonly writeRate: number;
+  readonly writesPerSecond: number;
   readonly writeBurst: number;
 }
 
 /** What operators may change; see `policy`. */
-export interface PolicyFigures {
+export interface SchedulingPolicy {
   /** Expected run time of a task of this job, in milliseconds. */
-  readonly expectedRun: (job: JobSpec) => number;
+  readonly expectedRunMs: (job: JobSpec) => number;
   /** A task past its expected end is expected to run on for so long, in milliseconds. */
-  readonly overrunAllowance: (job: JobSpec) => number;
+  readonly overrunAllowanceMs: (job: JobSpec) => number;
   /** Longest wait of a new leader before it places, in milliseconds. */
-  readonly placingWait: number;
+  readonly maxPlacementDelayMs: number;
   /** How long an idle machine of this type is kept, in milliseconds. */
-  readonly idleHold: (type: MachineType, spot: boolean) => number;
+  readonly idleTimeoutMs: (type: MachineType, spot: boolean) => number;
   /** A ready job is to be served at least so often, in milliseconds, whatever its priority or size. */
-  readonly startBound: (job: JobSpec) => number;
+  readonly maxWaitMs: (job: JobSpec) => number;
   /** Share of a job's deadline slack that it may spend waiting for room. */
-  readonly deadlineSlack: (job: JobSpec) => number;
+  readonly deadlineSlackShare: (job: JobSpec) => number;
   /** Room kept ready for a class that cannot wait for a boot, over the most it used of late. */
-  readonly headroom: (job: JobSpec) => number;
+  readonly headroomFactor: (job: JobSpec) => number;
   /** Time in which the memory of that most fades to a third, in milliseconds. */
-  readonly headroomMemory: number;
+  readonly demandDecayMs: number;
   /** Number of machines from which on followers take reports, too. */
-  readonly sharedReportsFrom: number;
+  readonly sharedHeartbeatsMinMachines: number;
 }
 
 /** A task put on a machine and not yet proven gone from it. */
@@ -94,93 +94,93 @@
   readonly task: number;
   readonly attempt: number;
   readonly machine: string;
-  readonly session: number;
-  readonly madeAt: number;
+  readonly agentEpoch: number;
+  readonly createdAt: number;
   /** Version of its chunk that first held it: durable once that is committed. */
   version: number;
   /** A start may have been sent, by this leader or one before. */
-  sent: boolean;
+  startSent: boolean;
   /** What the worker last reported of it. */
   stage: TaskStage | null;
   /** Steady time of its first report as running. */
   runningSince: number | null;
   expectedEnd: number;
   /** It was promised its room: the last to be stopped for others. */
-  readonly owed: boolean;
+  readonly isReserved: boolean;
   /** To be stopped although its job goes on. */
-  unwanted: boolean;
+  stopRequested: boolean;
 }
 
 export interface Chunk {
   readonly index: number;
   /** 0: the key does not exist; null: unknown until it is read again. */
-  stamp: number | null;
+  modRevision: number | null;
   version: number;
-  committed: number;
+  committedVersion: number;
   /** Version that the latest claim in it came with. */
-  claimed: number;
+  claimedVersion: number;
   /** Steady time since which changes that can wait have waited to be written. */
-  waitsFrom: number | null;
+  dirtySince: number | null;
   /** Not written before: the state service would not take it. */
   blockedUntil: number;
 }
 
 /** A run record of another width: what today's chunks do not hold of its tasks is in it. */
-export interface OlderChunk {
+export interface SupersededChunk {
   /** Null: unknown until it is read again. */
-  stamp: number | null;
+  modRevision: number | null;
   readonly first: number;
   readonly end: number;
 }
 
 export interface JobState {
   readonly spec: JobSpec;
-  readonly stamp: number;
-  over: FinalStage | null;
+  readonly modRevision: number;
+  finalStage: FinalStage | null;
   /** Jobs that it awaits and that are not known to be done; it is ready when there are none. */
-  readonly waitsFor: Set<string>;
+  readonly pendingDependencies: Set<string>;
   /** Time of day from which it could start: its submission, or the end of the last job it awaits. */
   readyAt: number;
   /** Its own priority, or the highest of those that need it. */
   priority: Priority;
   /** Time of day by which jobs that need it want it done; Infinity: none does. */
-  dueAt: number;
+  inheritedDeadline: number;
   /** Tasks of it that wait for a machine, and those out or waiting, as last counted. */
-  waiting: number;
-  present: number;
+  waitingCount: number;
+  outstanding: number;
   /** Tasks that their workers report as running. */
-  running: number;
+  runningCount: number;
   /** What its next write is for; null: there is nothing to be written. */
-  rank: WriteReason | null;
+  writeReason: WriteReason | null;
   /** Steady time from which only exits have waited to be written. */
   exitsSince: number;
   /** Steady time at which a task of it was last put on a machine; -Infinity: never. */
-  servedAt: number;
+  lastPlacedAt: number;
   /** Steady time at which a task of it was last stopped to make room; -Infinity: never. */
-  stoppedAt: number;
+  lastPreemptedAt: number;
   /** It stands in the order of the queue. */
-  queued: boolean;
+  isQueued: boolean;
   /** Its arrival, or becoming ready, has been counted in the demand. */
-  counted: boolean;
-  readonly done: Uint8Array;
+  isCountedInDemand: boolean;
+  readonly doneBits: Uint8Array;
   doneCount: number;
   readonly attempts: Map<number, number>;
   readonly claims: Map<number, LiveClaim>;
   /** Tasks to place again, lowest first; before those from `cursor` on. */
-  readonly again: number[];
-  cursor: number;
+  readonly retryTasks: number[];
+  nextNewTask: number;
   readonly chunks: Map<number, Chunk>;
   /** By key; each goes once today's chunks hold all that is known of its tasks. */
-  readonly older: Map<string, OlderChunk>;
+  readonly supersededChunks: Map<string, SupersededChunk>;
   /** Tries in a row since it was found to be at fault, and when to try again. */
-  tries: number;
+  failedAttempts: number;
   retryAt: number;
   /** Machines on which it has failed since a task of it last completed. */
-  readonly failedOn: Set<string>;
+  readonly failedMachines: Set<string>;
 }
 
 /** Where a job stands within its priority: by group, then by `key`. */
-export interface Standing {
+export interface QueuePosition {
   readonly job: JobState;
   /** 0: within its team's guarantee. */
   readonly rank: number;
@@ -189,13 +189,13 @@
   readonly key: number;
 }
 
-export interface TeamUse {
+export interface TeamUsage {
   cpus: number;
   gpus: number;
   tasks: number;
 }
 
-export interface Exit {
+export interface RecordedExit {
   readonly job: JobState | null;
   readonly chunk: Chunk | null;
   readonly version: number;
@@ -208,95 +208,95 @@
   zone: string;
   spot: boolean;
   /** Steady time of its rental request, as far as known. */
-  rentedAt: number;
-  session: number;
-  seq: number;
+  provisionedAt: number;
+  agentEpoch: number;
+  heartbeatSequence: number;
   /** Steady time of its last report; null before the first that this leader saw. */
-  heardAt: number | null;
+  lastHeartbeatAt: number | null;
   /** Steady time of the first report that this leader saw, and of its latest answer to one. */
-  metSince: number | null;
-  answeredAt: number | null;
+  firstHeartbeatAt: number | null;
+  lastAnsweredAt: number | null;
   /** Starts in that answer, as `job/task#attempt`; the next report shows them if it came. */
-  told: readonly string[];
+  unacknowledgedStarts: readonly string[];
   /** Steady time since which there is reason to think that it does not hear its answers; null: none. */
   unresponsiveSince: number | null;
   /** Answers in a row that it seems not to have heard. */
   missedResponses: number;
   /** Steady time at which a deputy last told of it. */
-  relayedAt: number | null;
+  lastRelayedAt: number | null;
   /** It answers when called, and its lease ran out since it was last heard: nobody holds it. */
-  lapsed: boolean;
+  leaseExpired: boolean;
   /** Its silence counts from here when it was never heard. */
-  knownAt: number;
+  discoveredAt: number;
   /** Its latest report carried this leader's token: the whole truth about it. */
-  whole: boolean;
+  isReconciled: boolean;
   /** Steady time at which the cloud takes it away. */
-  takenAt: number | null;
-  listed: ListedMachine['stage'] | null;
+  reclaimedAt: number | null;
+  cloudStage: ListedMachine['stage'] | null;
   readonly claims: Map<string, LiveClaim>;
   /** Room that its claims take. */
-  readonly used: Room;
+  readonly allocated: Resources;
   /** Its place in the order of becoming known. */
-  readonly order: number;
-  readonly exits: Map<string, Exit>;
-  reported: readonly ReportedTask[];
+  readonly discoveryOrder: number;
+  readonly exits: Map<string, RecordedExit>;
+  reportedTasks: readonly ReportedTask[];
   /** Images it is believed to hold, most recently used last. */
-  readonly images: Map<string, number>;
+  readonly cachedImages: Map<string, number>;
   idleSince: number;
   /** Jobs that have failed on it, and not elsewhere, since the last completion. */
-  readonly erredJobs: Set<string>;
+  readonly failedJobs: Set<string>;
   /** Why it gets no more work and goes back; null while it is of use. */
-  leaving: string | null;
-  returnAskedAt: number | null;
+  terminationReason: string | null;
+  terminationRequestedAt: number | null;
   /** The report waiting for an answer. */
-  held: { readonly reply: number; readonly since: number } | null;
-  raisedAt: number | null;
+  pendingHeartbeat: { readonly reply: number; readonly since: number } | null;
+  tokenSentAt: number | null;
   /** It is being knocked at, and so many knocks in a row have met nobody. */
-  knocking: boolean;
-  unmet: number;
+  isProbing: boolean;
+  failedProbes: number;
   /** Steady time at which a knock last met somebody. */
-  metAt: number | null;
+  lastReachableAt: number | null;
 }
 
-export interface Rental {
-  readonly request: string;
+export interface ProvisioningRequest {
+  readonly requestId: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly count: number;
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 export interface Leadership {
   readonly term: number;
-  readonly stamp: number;
+  readonly modRevision: number;
   readonly since: number;
   authorityUntil: number;
   /** Steady time of sending the latest read that proved the view of the jobs. */
-  provenAt: number;
+  viewConfirmedAt: number;
   /** It is being handed over: nothing new is begun. */
-  closing?: boolean;
+  isTransferring?: boolean;
   /** The leader before may be alive, blind and still answering workers. */
-  readonly haunted?: boolean;
+  readonly previousLeaderMayBeAlive?: boolean;
   /** Machines that may be called still, as of `at`. */
-  readonly calls: { left: number; at: number };
+  readonly directCallBudget: { left: number; at: number };
 }
 
-export interface Head {
+export interface HeadReservation {
   readonly job: string;
   readonly machines: readonly string[];
-  readonly shadow: number | null;
+  readonly shadowTime: number | null;
   readonly reason: string;
 }
 
 /** How a leader hears its machines. */
-export interface Hearing {
+export interface HealthCounts {
   /** Machines heard within the longest time between two reports, and those that should have been. */
-  readonly heard: number;
+  readonly reporting: number;
   readonly expected: number;
   /** Machines that should be up, and those of them that this leader has never heard. */
-  readonly up: number;
-  readonly unheard: number;
+  readonly running: number;
+  readonly neverReported: number;
   /** Milliseconds since any of them was heard. */
   readonly silentMs: number;
 }
@@ -308,10 +308,10 @@
   peak: number;
   /** Tasks that came of late, and when they would have ended had they started at once. */
   arrivals: readonly { readonly until: number; readonly job: JobState }[];
-  at: number;
+  updatedAt: number;
   /** Steady time of its latest arrival, and the usual gap between two, in milliseconds. */
-  arrivedAt: number;
-  gap: number;
+  lastArrivalAt: number;
+  meanArrivalGap: number;
 }
 
 export interface CommitInFlight {
@@ -322,25 +322,28 @@
     readonly version: number;
     readonly removed: boolean;
   }[];
-  readonly ending: readonly JobState[];
-  readonly withdrawing: readonly JobState[];
-  readonly older: readonly { readonly job: JobState; readonly key: string }[];
+  readonly completing: readonly JobState[];
+  readonly cancelling: readonly JobState[];
+  readonly superseded: readonly { readonly job: JobState; readonly key: string }[];
 }
 
 /** How a job ended, and when (time of day in milliseconds). */
-export interface Final {
+export interface FinalOutcome {
   readonly stage: FinalStage;
   readonly at: number;
 }
 export const taskKey = (job: string, task: number): string => `${job}/${task}`;
 
 export function isDone(job: JobState, task: number): boolean {
-  return ((job.done[task >> 3] ?? 0) & (1 << (task & 7))) !== 0;
+  return ((job.doneBits[task >> 3] ?? 0) & (1 << (task & 7))) !== 0;
 }
 
 /** Whether an exit has reached the state service, so that the worker may forget it. */
-export function isExitKept(exit: Exit): boolean {
+export function isExitDurable(exit: RecordedExit): boolean {
   return (
-    exit.job === null || exit.job.over !== null || exit.chunk === null || exit.version <= exit.chunk.committed
+    exit.job === null ||
+    exit.job.finalStage !== null ||
+    exit.chunk === null ||
+    exit.version <= exit.chunk.committedVersion
   );
 }
--- a/src/core/persistence/dirty-jobs.ts
+++ b/src/core/persistence/dirty-jobs.ts
@@ -7,31 +7,31 @@
 import type { CoreState } from '../state.js';
 
 /** Whether a chunk holds a claim whose start waits for its commit. */
-export const holdsStart = (chunk: Chunk): boolean => chunk.claimed > chunk.committed;
+export const hasUncommittedStart = (chunk: Chunk): boolean => chunk.claimedVersion > chunk.committedVersion;
 
 function writeReasonOf(state: CoreState, job: JobState): WriteReason {
-  if (job.over !== null) return 'clean';
-  if (isComplete(job) || state.doomed.has(job)) return 'end';
-  for (const chunk of job.chunks.values()) if (holdsStart(chunk)) return 'start';
+  if (job.finalStage !== null) return 'clean';
+  if (isComplete(job) || state.cancelPending.has(job)) return 'end';
+  for (const chunk of job.chunks.values()) if (hasUncommittedStart(chunk)) return 'start';
   // Records of another width go when what replaces them is there.
-  return job.older.size > 0 ? 'clean' : 'exit';
+  return job.supersededChunks.size > 0 ? 'clean' : 'exit';
 }
 
 /** Something of a job has changed: puts it where its next write belongs. */
 export function markDirty(state: CoreState, job: JobState): void {
   const rank = writeReasonOf(state, job);
-  if (rank === job.rank) return;
+  if (rank === job.writeReason) return;
   markClean(state, job);
-  job.rank = rank;
+  job.writeReason = rank;
   state.dirtyJobs[rank].add(job);
-  if (rank === 'exit') job.exitsSince = state.mono;
+  if (rank === 'exit') job.exitsSince = state.monotonicMs;
 }
 
 /** Nothing of a job is left to be written. */
 export function markClean(state: CoreState, job: JobState): void {
-  if (job.rank === null) return;
-  state.dirtyJobs[job.rank].delete(job);
-  job.rank = null;
+  if (job.writeReason === null) return;
+  state.dirtyJobs[job.writeReason].delete(job);
+  job.writeReason = null;
 }
 
 export const hasDirtyJobs = ({ dirtyJobs }: CoreState): boolean =>
@@ -41,12 +41,12 @@
  * Jobs that have something to write, in the order in which it is written. Exits wait a
  * little for others to share their write, those that have waited longest first.
  */
-export function* toWrite(state: CoreState): Generator<JobState> {
-  const { dirtyJobs, rules } = state;
+export function* jobsToWrite(state: CoreState): Generator<JobState> {
+  const { dirtyJobs, config } = state;
   yield* [...dirtyJobs.start].sort((a, b) => a.priority - b.priority);
   yield* [...dirtyJobs.end];
   for (const job of [...dirtyJobs.exit]) {
-    if (state.mono - job.exitsSince < rules.timing.exitHold) break;
+    if (state.monotonicMs - job.exitsSince < config.timing.exitBatchDelayMs) break;
     yield job;
   }
   yield* [...dirtyJobs.clean];
--- a/src/core/persistence/records.ts
+++ b/src/core/persistence/records.ts
@@ -7,10 +7,10 @@
 export const TERM_KEY = 'term';
 export const LEADER_KEY = 'leader';
 /** What a leader has learned of the demand, for the next one. */
-export const MEMORY_KEY = 'memory';
+export const DEMAND_KEY = 'memory';
 /** The same in pieces, once values may have to be small. */
-export const MEMORY_PREFIX = 'memory/';
-export const memoryKey = (part: number): string => MEMORY_PREFIX + part;
+export const DEMAND_PREFIX = 'memory/';
+export const demandKey = (part: number): string => DEMAND_PREFIX + part;
 export const DEPUTY_PREFIX = 'deputy/';
 /** What a node's program can read, declared by itself. */
 export const VERSION_PREFIX = 'version/';
@@ -93,7 +93,7 @@
 export function encodeChunk(record: ChunkRecord): unknown {
   const claims: Record<string, ClaimRow> = {};
   for (const [task, claim] of Object.entries(record.claims)) {
-    claims[task] = [claim.attempt, claim.machine, claim.session, claim.madeAt];
+    claims[task] = [claim.attempt, claim.machine, claim.agentEpoch, claim.createdAt];
   }
   return {
     of: [record.team, record.cpus, record.gpus, record.memoryGb],
@@ -107,13 +107,13 @@
  * The same in little room: claims grouped by machine and session, each as
  * `task.attempt.age`, the age in tenths of seconds before `at`.
  */
-export function encodeSmallChunk(record: ChunkRecord): unknown {
+export function encodeCompactChunk(record: ChunkRecord): unknown {
   let at = 0;
-  for (const claim of Object.values(record.claims)) at = Math.max(at, claim.madeAt);
+  for (const claim of Object.values(record.claims)) at = Math.max(at, claim.createdAt);
   const on: Record<string, string> = {};
-  for (const [task, { attempt, machine, session, madeAt }] of Object.entries(record.claims)) {
-    const key = `${machine}:${session}`;
-    const told = `${task}.${attempt}.${Math.round((at - madeAt) / 100)}`;
+  for (const [task, { attempt, machine, agentEpoch, createdAt }] of Object.entries(record.claims)) {
+    const key = `${machine}:${agentEpoch}`;
+    const told = `${task}.${attempt}.${Math.round((at - createdAt) / 100)}`;
     on[key] = on[key] === undefined ? told : `${on[key]} ${told}`;
   }
   return {
@@ -133,7 +133,7 @@
     for (const told of tasks.split(' ')) {
       const [task, attempt, age] = told.split('.').map(Number);
       if (!isCount(task) || !isCount(attempt) || !isCount(age)) return null;
-      claims[task] = { attempt, machine, session: Number(session), madeAt: at - 100 * age };
+      claims[task] = { attempt, machine, agentEpoch: Number(session), createdAt: at - 100 * age };
     }
   }
   return claims;
@@ -150,7 +150,7 @@
   else {
     for (const [task, row] of Object.entries(asObject(raw['claims']) ?? {})) {
       const [attempt, machine, session, madeAt] = row as ClaimRow;
-      out[task] = { attempt, machine, session, madeAt };
+      out[task] = { attempt, machine, agentEpoch: session, createdAt: madeAt };
     }
   }
   if (attempts === null || out === null) return null;
@@ -174,17 +174,17 @@
 }
 
 /** What one class has shown of itself. */
-export interface ClassMemory {
+export interface ClassDemandRecord {
   readonly spec: JobSpec;
   readonly peak: number;
   readonly gap: number;
   readonly ratio: number;
 }
 
-export function decodeMemory(value: unknown): ClassMemory[] {
+export function decodeDemand(value: unknown): ClassDemandRecord[] {
   const classes = asObject(value)?.['classes'];
   if (!Array.isArray(classes)) return [];
-  return (classes as unknown[]).filter((entry): entry is ClassMemory => {
+  return (classes as unknown[]).filter((entry): entry is ClassDemandRecord => {
     const raw = asObject(entry);
     return (
       raw !== null &&
@@ -216,8 +216,10 @@
 /** Bytes of a record around the list that fills it. */
 const ENVELOPE = 64;
 
-export const packMemory = (classes: readonly ClassMemory[], valueBytes: number): ClassMemory[][] =>
-  pack(classes, valueBytes - ENVELOPE);
+export const packDemand = (
+  classes: readonly ClassDemandRecord[],
+  valueBytes: number,
+): ClassDemandRecord[][] => pack(classes, valueBytes - ENVELOPE);
 
 export const packMachines = (machines: readonly string[], valueBytes: number): string[][] =>
   pack(machines, valueBytes - ENVELOPE);
--- a/src/core/placement/capacity-index.ts
+++ b/src/core/placement/capacity-index.ts
@@ -3,9 +3,9 @@
  * task is found without looking at the machines that are full.
  */
 import TinyQueue from 'tinyqueue';
-import { fits, give, noRoom, take } from './resources.js';
+import { fits, release, noResources, allocate } from './resources.js';
 import type { LiveClaim, Machine } from '../model.js';
-import type { JobSpec, MachineType, Need, Room } from '../types.js';
+import type { JobSpec, MachineType, ResourceRequest, Resources } from '../types.js';
 
 /** Steps in which the room of a machine is told, for the index. */
 const STEPS = 32;
@@ -14,7 +14,7 @@
 /** Room kept for a blocked job on one machine: all of it until `shadow`, `extra` from then on. */
 export interface Hold {
   readonly shadow: number;
-  readonly extra: Room;
+  readonly extra: Resources;
 }
 
 /** A machine as placing sees it. */
@@ -22,9 +22,9 @@
   readonly machine: Machine;
   readonly type: MachineType;
   /** What no task takes and nothing is kept for. */
-  readonly free: Room;
+  readonly free: Resources;
   /** What is kept for hurried tasks to come. */
-  readonly kept: Room;
+  readonly kept: Resources;
   /** Steady time at which the last of its tasks is expected to end. */
   busyUntil: number;
   /** Changes with its room, its tasks or what is kept on it. */
@@ -37,7 +37,7 @@
 export interface Shadow {
   /** Infinity: never. */
   readonly at: number;
-  readonly room: Room;
+  readonly room: Resources;
 }
 
 interface Known {
@@ -51,7 +51,7 @@
   readonly #known = new Map<NodeCapacity, Known>();
   readonly #queue = new TinyQueue<Known>(
     [],
-    (a, b) => a.shadow.at - b.shadow.at || a.site.machine.order - b.site.machine.order,
+    (a, b) => a.shadow.at - b.shadow.at || a.site.machine.discoveryOrder - b.site.machine.discoveryOrder,
   );
   #read = 0;
 
@@ -154,7 +154,7 @@
   }
 
   /** When a task of a kind would fit each site; kept until times have moved on. */
-  shadows(need: Need, look: (site: NodeCapacity) => Shadow): Shadows {
+  shadows(need: ResourceRequest, look: (site: NodeCapacity) => Shadow): Shadows {
     const key = `${need.cpus}/${need.gpus}/${need.memoryGb}`;
     let known = this.#shadows.get(key);
     if (known === undefined) {
@@ -198,8 +198,8 @@
       const made = {
         machine,
         type,
-        free: noRoom(),
-        kept: noRoom(),
+        free: noResources(),
+        kept: noResources(),
         busyUntil: 0,
         version: 0,
         group,
@@ -218,13 +218,13 @@
   /** Works out the free room of a site anew, and puts it in its place in the index. */
   settle(site: NodeCapacity): void {
     const { machine, type, free, kept, group } = site;
-    free.cpus = type.cpus - machine.used.cpus;
-    free.gpus = type.gpus - machine.used.gpus;
-    free.memoryGb = type.memoryGb - machine.used.memoryGb;
+    free.cpus = type.cpus - machine.allocated.cpus;
+    free.gpus = type.gpus - machine.allocated.gpus;
+    free.memoryGb = type.memoryGb - machine.allocated.memoryGb;
     // What is kept gives way to what is there.
-    if (!fits(kept, free)) Object.assign(kept, noRoom());
+    if (!fits(kept, free)) Object.assign(kept, noResources());
     const whole = stepOf(type, free.cpus);
-    take(free, kept);
+    allocate(free, kept);
     const open = stepOf(type, free.cpus);
     group.open[site.steps.open]?.delete(site);
     group.whole[site.steps.whole]?.delete(site);
@@ -241,7 +241,7 @@
 
   /** Keeps room for one more task of a class on a site. */
   keep(site: NodeCapacity, spec: JobSpec): void {
-    give(site.kept, spec);
+    release(site.kept, spec);
     this.#kept.set(spec.jobClass, this.keptFor(spec) + 1);
     this.settle(site);
   }
@@ -260,7 +260,7 @@
     this.#kept.clear();
     for (const site of this.#capacityIndex.values()) {
       if (site.kept.cpus === 0 && site.kept.memoryGb === 0 && site.kept.gpus === 0) continue;
-      Object.assign(site.kept, noRoom());
+      Object.assign(site.kept, noResources());
       this.settle(site);
     }
   }
@@ -280,7 +280,7 @@
  * CapacityIndex of a group that may have room for a need, the tightest first. `whole` counts what
  * is kept as free.
  */
-export function* tightest(group: Group, need: Need, whole: boolean): Generator<NodeCapacity> {
+export function* tightestFirst(group: Group, need: ResourceRequest, whole: boolean): Generator<NodeCapacity> {
   const steps = whole ? group.whole : group.open;
   for (let step = stepOf(group.type, need.cpus - EPSILON); step < steps.length; step += 1) {
     const capacityIndex = steps[step];
--- a/src/core/placement/easy.ts
+++ b/src/core/placement/easy.ts
@@ -3,20 +3,37 @@
  * its shadow time, and later tasks may start now if they end before it or fit the
  * extra room. Room is counted per machine and resource.
  */
-import { isHurried, isIdleWork, isPressed, isThrifty, losesBy, startBy } from '../jobs/aims.js';
-import { expectedEnd, isUsable } from '../fleet/machines.js';
+import {
+  isStartSensitive,
+  isBestEffort,
+  isDeadlineAtRisk,
+  isCostSensitive,
+  losesObjectiveWithin,
+  startDeadline,
+} from '../jobs/objectives.js';
+import { expectedEnd, isSchedulable } from '../fleet/machines.js';
 import { expectedRun, nextTask, waitingTasks } from '../jobs/jobs.js';
-import { keepRoom } from './headroom.js';
+import { reserveHeadroom } from './headroom.js';
 import { claimTask } from '../persistence/write-back.js';
-import { makeRoom } from './preemption.js';
-import { unservedFor } from './reservations.js';
-import { currentQueue } from './queue.js';
-import { allows, avoids, fetchTime, fits, give, isAtFault, roomOf, sum, take } from './resources.js';
-import { onlyType, scarceTypes } from './constrained-types.js';
-import { tightest, type Hold, type Shadow, type NodeCapacity } from './capacity-index.js';
-import type { Head, JobState, LiveClaim, Machine, Now, TeamUse } from '../model.js';
+import { preemptFor } from './preemption.js';
+import { waitedMs } from './reservations.js';
+import { currentQueue } from './job-queue.js';
+import {
+  satisfiesConstraints,
+  isExcluded,
+  imageFetchMs,
+  fits,
+  release,
+  isFaultyJob,
+  resourcesOf,
+  addResources,
+  allocate,
+} from './resources.js';
+import { soleType, constrainedTypes } from './constrained-types.js';
+import { tightestFirst, type Hold, type Shadow, type NodeCapacity } from './capacity-index.js';
+import type { HeadReservation, JobState, LiveClaim, Machine, Now, TeamUsage } from '../model.js';
 import type { CoreState } from '../state.js';
-import type { Need } from '../types.js';
+import type { ResourceRequest } from '../types.js';
 
 const EPSILON = 1e-6;
 /** What an ordinary machine costs a choice against a cheap one that fits as well. */
@@ -80,10 +97,10 @@
  * ends, collecting the room they free, until enough tasks of the job fit. Null when
  * that never happens.
  */
-export function collectRoom(
+export function reserveAcrossMachines(
   state: CoreState,
   capacityIndex: readonly NodeCapacity[],
-  need: Need,
+  need: ResourceRequest,
   count: number,
   now: Now,
 ): Reservation {
@@ -91,7 +108,7 @@
   const fitting = (site: NodeCapacity): number => {
     const trial = { ...(room.get(site) ?? site.free) };
     let found = 0;
-    for (; found < count && fits(need, trial); found += 1) take(trial, need);
+    for (; found < count && fits(need, trial); found += 1) allocate(trial, need);
     return found;
   };
   const counts = new Map(capacityIndex.map((site) => [site, fitting(site)]));
@@ -102,12 +119,12 @@
       [...site.machine.claims.values()].map((claim) => ({ site, claim, at: expectedEnd(state, claim, now) })),
     )
     .sort((a, b) => a.at - b.at);
-  let at = now.mono;
+  let at = now.monotonicMs;
   for (const end of ends) {
     if (total >= count || end.at === Infinity) break;
     at = end.at;
     const free = room.get(end.site);
-    if (free !== undefined) give(free, end.claim.job.spec);
+    if (free !== undefined) release(free, end.claim.job.spec);
     const found = fitting(end.site);
     total += found - (counts.get(end.site) ?? 0);
     counts.set(end.site, found);
@@ -119,23 +136,23 @@
     const taken = Math.min(left, counts.get(site) ?? 0);
     if (taken === 0) break;
     const extra = { ...(room.get(site) ?? site.free) };
-    for (let i = 0; i < taken; i += 1) take(extra, need);
+    for (let i = 0; i < taken; i += 1) allocate(extra, need);
     holds.set(site, { shadow: at, extra });
     left -= taken;
   }
   return { at, holds };
 }
 
-function holdOf({ at, room }: Shadow, need: Need): Hold {
+function holdOf({ at, room }: Shadow, need: ResourceRequest): Hold {
   const extra = { ...room };
-  take(extra, need);
+  allocate(extra, need);
   return { shadow: at, extra };
 }
 
 /** When one task that needs so much would fit a machine, and what is free there then. */
-export function shadowOn(state: CoreState, site: NodeCapacity, need: Need, now: Now): Shadow {
-  const room = roomOf(site.free);
-  if (fits(need, room)) return { at: now.mono, room };
+export function shadowOn(state: CoreState, site: NodeCapacity, need: ResourceRequest, now: Now): Shadow {
+  const room = resourcesOf(site.free);
+  if (fits(need, room)) return { at: now.monotonicMs, room };
   if (!fits(need, site.type)) return { at: Infinity, room };
   const ends: { at: number; claim: LiveClaim }[] = [];
   for (const claim of site.machine.claims.values()) {
@@ -144,7 +161,7 @@
   }
   ends.sort((x, y) => x.at - y.at);
   for (const { at, claim } of ends) {
-    give(room, claim.job.spec);
+    release(room, claim.job.spec);
     if (fits(need, room)) return { at, room };
   }
   return { at: Infinity, room };
@@ -157,7 +174,7 @@
  */
 export function earliestShadow(
   state: CoreState,
-  need: Need,
+  need: ResourceRequest,
   now: Now,
   able: (site: NodeCapacity) => boolean,
 ): Reservation {
@@ -168,7 +185,7 @@
 }
 
 /** The paper's two tests, on a machine on which room is held. */
-export function mayBackfill(hold: Hold, need: Need, end: number): boolean {
+export function mayBackfill(hold: Hold, need: ResourceRequest, end: number): boolean {
   return end <= hold.shadow || fits(need, hold.extra);
 }
 
@@ -187,20 +204,20 @@
   /** The lowest priority among jobs that room is so held for. */
   readonly scarcePriority: number;
   /** Needs for which no machine has room in this pass, with what is kept and without. */
-  readonly nowhere: { readonly need: Need; readonly whole: boolean }[];
+  readonly nowhere: { readonly need: ResourceRequest; readonly whole: boolean }[];
 }
 
 /** Whether a job keeps off room held for jobs that only one type can take. */
 function yields({ state, now, scarce, scarcePriority }: Pass, job: JobState): boolean {
-  if (scarce.size === 0 || onlyType(state, job.spec) !== null) return false;
+  if (scarce.size === 0 || soleType(state, job.spec) !== null) return false;
   // One of higher priority about to miss an aim goes first.
-  return !(job.priority < scarcePriority && isPressed(state, job, now));
+  return !(job.priority < scarcePriority && isDeadlineAtRisk(state, job, now));
 }
 
 /** A start travels in the answer to a report; so long until the next is due at the latest. */
 function untilReport(state: CoreState, machine: Machine, now: Now): number {
-  if (machine.held !== null || machine.heardAt === null) return 0;
-  return Math.max(0, machine.heardAt + state.rules.timing.longestReport - now.mono);
+  if (machine.pendingHeartbeat !== null || machine.lastHeartbeatAt === null) return 0;
+  return Math.max(0, machine.lastHeartbeatAt + state.config.timing.maxHeartbeatIntervalMs - now.monotonicMs);
 }
 
 /** What one job's tasks go by when a machine is chosen for them. */
@@ -222,10 +239,13 @@
     job,
     run: expectedRun(state, job.spec),
     choosy: yields(pass, job),
-    thrifty: isThrifty(state, job, now) && !state.promised.includes(job),
-    idle: isIdleWork(state, job.spec),
-    startBy: startBy(state, job, now),
-    whole: isHurried(state, job.spec) || isPressed(state, job, now) || state.promised.includes(job),
+    thrifty: isCostSensitive(state, job, now) && !state.reservedJobs.includes(job),
+    idle: isBestEffort(state, job.spec),
+    startBy: startDeadline(state, job, now),
+    whole:
+      isStartSensitive(state, job.spec) ||
+      isDeadlineAtRisk(state, job, now) ||
+      state.reservedJobs.includes(job),
   };
 }
 
@@ -240,12 +260,16 @@
   const { machine, type } = site;
   const { job, run } = wish;
   const { spec } = job;
-  const free = wish.whole ? sum(site.free, site.kept) : site.free;
-  if (!fits(spec, free) || !allows(spec, machine.type, machine.zone, machine.spot) || !open(machine.zone))
+  const free = wish.whole ? addResources(site.free, site.kept) : site.free;
+  if (
+    !fits(spec, free) ||
+    !satisfiesConstraints(spec, machine.type, machine.zone, machine.spot) ||
+    !open(machine.zone)
+  )
     return null;
-  if (avoids(job, machine.name) || !isUsable(state, machine, now)) return null;
-  const fetch = fetchTime(machine, type, spec, now);
-  const end = spec.form === 'service' ? Infinity : now.mono + fetch + run;
+  if (isExcluded(job, machine.name) || !isSchedulable(state, machine, now)) return null;
+  const fetch = imageFetchMs(machine, type, spec, now);
+  const end = spec.form === 'service' ? Infinity : now.monotonicMs + fetch + run;
   if (wish.thrifty && !machine.spot && end > site.busyUntil) return null;
   for (const { job: owner, holds } of pass.held) {
     const hold = owner === job ? undefined : holds.get(site);
@@ -258,9 +282,9 @@
   // Tight fits first, so that large rooms stay whole; a fetch costs its share of the run.
   const left = (site.free.cpus - spec.cpus) / Math.max(EPSILON, pass.largest);
   // A machine that is busy until then anyway costs nothing more; another is paid for longer.
-  const longer = Math.max(0, end - Math.max(now.mono, site.busyUntil)) / (fetch + run + 1);
+  const longer = Math.max(0, end - Math.max(now.monotonicMs, site.busyUntil)) / (fetch + run + 1);
   const missed =
-    wish.startBy < Infinity && now.mono + untilReport(state, machine, now) + fetch > wish.startBy;
+    wish.startBy < Infinity && now.monotonicMs + untilReport(state, machine, now) + fetch > wish.startBy;
   const score =
     (missed ? MISS_PENALTY : 0) +
     left +
@@ -304,11 +328,11 @@
     let roomy = false;
     let left = MOST_WEIGHED;
     for (const group of state.capacityIndex.groups) {
-      if (!allows(spec, group.type.name, group.zone, group.spot)) {
+      if (!satisfiesConstraints(spec, group.type.name, group.zone, group.spot)) {
         roomy = true;
         continue;
       }
-      for (const site of tightest(group, spec, this.wish.whole)) {
+      for (const site of tightestFirst(group, spec, this.wish.whole)) {
         roomy = true;
         if (!this.#add(site) || --left > 0) continue;
         this.#more = true;
@@ -321,7 +345,7 @@
       return;
     }
     left = MOST_WEIGHED;
-    for (const machine of state.holders.get(spec.image) ?? []) {
+    for (const machine of state.machinesByImage.get(spec.image) ?? []) {
       const site = state.capacityIndex.of(machine);
       if (site !== undefined && !this.#found.has(site) && this.#add(site) && --left === 0) break;
     }
@@ -334,7 +358,7 @@
       if (
         best === null ||
         one.score < best.score ||
-        (one.score === best.score && one.site.machine.order < best.site.machine.order)
+        (one.score === best.score && one.site.machine.discoveryOrder < best.site.machine.discoveryOrder)
       )
         best = one;
     }
@@ -361,8 +385,8 @@
   // What was kept for tasks like it is its own first.
   if (!fits(spec, site.free)) {
     state.capacityIndex.used(spec);
-    const free = sum(site.free, site.kept);
-    take(free, spec);
+    const free = addResources(site.free, site.kept);
+    allocate(free, spec);
     const kept = { cpus: 0, gpus: 0, memoryGb: 0 };
     for (const amount of ['cpus', 'gpus', 'memoryGb'] as const) {
       kept[amount] = Math.min(site.kept[amount], free[amount]);
@@ -370,10 +394,10 @@
     }
     Object.assign(site.kept, kept);
     Object.assign(site.free, free);
-  } else take(site.free, spec);
+  } else allocate(site.free, spec);
   site.busyUntil = Math.max(site.busyUntil, end);
   state.capacityIndex.changed(site);
-  for (const hold of holdsOn(pass, job, site)) if (end > hold.shadow) take(hold.extra, spec);
+  for (const hold of holdsOn(pass, job, site)) if (end > hold.shadow) allocate(hold.extra, spec);
 }
 
 /** Places what must start together, all of it or nothing. */
@@ -391,7 +415,7 @@
     if (found === null) {
       for (const { site, end } of placed) {
         state.capacityIndex.settle(site);
-        for (const hold of holdsOn(pass, job, site)) if (end > hold.shadow) give(hold.extra, job.spec);
+        for (const hold of holdsOn(pass, job, site)) if (end > hold.shadow) release(hold.extra, job.spec);
       }
       return null;
     }
@@ -413,9 +437,9 @@
     return (
       !off.has(site) &&
       !pass.held.some(({ job: owner, holds }) => owner !== job && holds.has(site)) &&
-      isUsable(state, machine, now) &&
-      allows(spec, machine.type, machine.zone, machine.spot) &&
-      !avoids(job, machine.name) &&
+      isSchedulable(state, machine, now) &&
+      satisfiesConstraints(spec, machine.type, machine.zone, machine.spot) &&
+      !isExcluded(job, machine.name) &&
       open(machine.zone)
     );
   };
@@ -428,24 +452,24 @@
   const count = together(job);
   if (count === 1) return earliestShadow(state, spec, now, able);
   const capacityIndex = [...state.capacityIndex.all].filter(able);
-  if (!spec.oneZone) return collectRoom(state, capacityIndex, spec, count, now);
+  if (!spec.oneZone) return reserveAcrossMachines(state, capacityIndex, spec, count, now);
   let best: Reservation = null;
   for (const zone of new Set(capacityIndex.map(({ machine }) => machine.zone))) {
     const within = capacityIndex.filter(({ machine }) => machine.zone === zone);
-    const found = collectRoom(state, within, spec, count, now);
+    const found = reserveAcrossMachines(state, within, spec, count, now);
     if (found !== null && (best === null || found.at < best.at)) best = found;
   }
   return best;
 }
 
 function withinLimits(state: CoreState, job: JobState, count: number): boolean {
-  const limits = state.rules.teams.get(job.spec.team);
+  const limits = state.config.teams.get(job.spec.team);
   if (limits === undefined) return true;
   const { cpus, gpus } = job.spec;
-  const used: Pick<TeamUse, 'cpus' | 'gpus'> = state.use.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
+  const used: Pick<TeamUsage, 'cpus' | 'gpus'> = state.usageByTeam.get(job.spec.team) ?? { cpus: 0, gpus: 0 };
   return (
-    (limits.cpusMax <= 0 || used.cpus + count * cpus <= limits.cpusMax + EPSILON) &&
-    (limits.gpusMax <= 0 || used.gpus + count * gpus <= limits.gpusMax + EPSILON)
+    (limits.maxCpus <= 0 || used.cpus + count * cpus <= limits.maxCpus + EPSILON) &&
+    (limits.maxGpus <= 0 || used.gpus + count * gpus <= limits.maxGpus + EPSILON)
   );
 }
 
@@ -453,7 +477,8 @@
 function isSite(state: CoreState, machine: Machine, now: Now): boolean {
   // Dear machines run dry unless the plan still has a use for them.
   return (
-    isUsable(state, machine, now) && (machine.spot || state.planAt === 0 || state.inPlan.has(machine.name))
+    isSchedulable(state, machine, now) &&
+    (machine.spot || state.nextPlanAt === 0 || state.plannedMachines.has(machine.name))
   );
 }
 
@@ -465,13 +490,13 @@
   const endOf = (claim: LiveClaim): number => expectedEnd(state, claim, now);
   const changed: NodeCapacity[] = [];
   const refresh = (machine: Machine): void => {
-    const type = state.types.get(machine.type);
+    const type = state.machineTypes.get(machine.type);
     if (type === undefined || !state.machines.has(machine.name) || !isSite(state, machine, now))
       state.capacityIndex.remove(machine);
     else changed.push(state.capacityIndex.update(machine, type, endOf));
   };
-  for (const machine of state.touched) refresh(machine);
-  state.touched.clear();
+  for (const machine of state.changedMachines) refresh(machine);
+  state.changedMachines.clear();
   if (!all) return changed;
   state.capacityIndex.forgetShadows();
   for (const machine of state.machines.values()) refresh(machine);
@@ -505,27 +530,27 @@
 /** Whether others may be stopped for a job: it is owed its room, or would miss an aim. */
 function isEntitled({ state, now, held }: Pass, job: JobState): boolean {
   // Told at the next report, saved, and proven gone by the one after: later would be too late.
-  const making = 4 * state.rules.timing.longestReport;
+  const making = 4 * state.config.timing.maxHeartbeatIntervalMs;
   // What ends anyway comes too late for what was promised.
   const isLate = (): boolean => {
     const at = held.find(({ job: owner }) => owner === job)?.at ?? Infinity;
-    return unservedFor(job, now) + (at - now.mono) + making > state.rules.policy.startBound(job.spec);
+    return waitedMs(job, now) + (at - now.monotonicMs) + making > state.config.policy.maxWaitMs(job.spec);
   };
   return (
-    state.guaranteed.has(job) ||
-    isPressed(state, job, now) ||
-    (state.promised.includes(job) && isLate()) ||
-    losesBy(state, job, making, now)
+    state.guaranteedJobs.has(job) ||
+    isDeadlineAtRisk(state, job, now) ||
+    (state.reservedJobs.includes(job) && isLate()) ||
+    losesObjectiveWithin(state, job, making, now)
   );
 }
 
 /** One pass over the queue: starts what may start, and says what the head waits for. */
 export function place(state: CoreState, now: Now, timesMoved: boolean): void {
-  if (timesMoved) state.unhurried = state.busy ? MOST_WHEN_BUSY : Infinity;
+  if (timesMoved) state.deferrablePlacements = state.isOverloaded ? MOST_WHEN_BUSY : Infinity;
   const changed = refreshSites(state, now, timesMoved);
   const queue = currentQueue(state, now);
-  keepRoom(state, now, changed);
-  const scarceJobs = scarceTypes(state, queue);
+  reserveHeadroom(state, now, changed);
+  const scarceJobs = constrainedTypes(state, queue);
   const scarcePriority = Math.min(...[...scarceJobs.values()].map((job) => job.priority));
   const pass: Pass = {
     state,
@@ -536,20 +561,26 @@
     scarcePriority,
     nowhere: [],
   };
-  for (const job of state.promised) {
-    if (job.waiting === 0 || !isInTurn(state, job)) continue;
+  for (const job of state.reservedJobs) {
+    if (job.waitingCount === 0 || !isInTurn(state, job)) continue;
     const found = reserveFor(pass, job);
     if (found !== null) pass.held.push({ job, ...found });
   }
-  let head: Head | null = null;
+  let head: HeadReservation | null = null;
   let cleared = 0;
   for (const job of queue) {
     if (!isInTurn(state, job)) continue;
     // One at fault takes what is left over, and holds nothing for itself.
-    if (placeJob(pass, job) || isAtFault(job)) continue;
+    if (placeJob(pass, job) || isFaultyJob(job)) continue;
     if (timesMoved && cleared < MOST_CLEARED && isEntitled(pass, job)) {
       cleared += 1;
-      makeRoom(state, job, together(job) === 1 ? waitingTasks(job) : together(job), ableFor(pass, job), now);
+      preemptFor(
+        state,
+        job,
+        together(job) === 1 ? waitingTasks(job) : together(job),
+        ableFor(pass, job),
+        now,
+      );
     }
     if (head !== null) continue;
     const reservation = reserveFor(pass, job);
@@ -558,7 +589,7 @@
     head = {
       job: job.spec.id,
       machines: [...holds.keys()].map(({ machine }) => machine.name),
-      shadow: reservation?.at ?? null,
+      shadowTime: reservation?.at ?? null,
       reason: reservation === null ? 'no machine here could ever take it' : 'waits for running tasks to end',
     };
   }
@@ -589,8 +620,8 @@
   const zoned = spec.oneZone || spec.spread;
   let candidates: Candidates | null = null;
   while (waitingTasks(job) > 0) {
-    if (!withinLimits(state, job, 1) || (isAtFault(job) && job.claims.size > 0)) return true;
-    if (!wish.whole && state.unhurried <= 0) return true;
+    if (!withinLimits(state, job, 1) || (isFaultyJob(job) && job.claims.size > 0)) return true;
+    if (!wish.whole && state.deferrablePlacements <= 0) return true;
     // Where one task lies decides on the zones of the others.
     if (candidates === null || zoned) candidates = new Candidates(pass, wish, zoneRule(state, job));
     const found = candidates.best();
@@ -598,7 +629,7 @@
     const { site, end } = found;
     occupy(pass, job, site, end);
     claim(site, end);
-    if (!wish.whole) state.unhurried -= 1;
+    if (!wish.whole) state.deferrablePlacements -= 1;
     state.capacityIndex.settle(site);
     candidates.again(found);
   }
--- a/src/core/placement/headroom.ts
+++ b/src/core/placement/headroom.ts
@@ -2,9 +2,9 @@
  * Room kept free for classes that cannot wait for a boot: the head's reservation, turned to
  * arrivals to come.
  */
-import { isHurried } from '../jobs/aims.js';
-import { allows, fits } from './resources.js';
-import { onlyType, scarceClasses } from './constrained-types.js';
+import { isStartSensitive } from '../jobs/objectives.js';
+import { satisfiesConstraints, fits } from './resources.js';
+import { soleType, constrainedTypesInDemand } from './constrained-types.js';
 import type { NodeCapacity } from './capacity-index.js';
 import type { Demand, Now } from '../model.js';
 import type { CoreState } from '../state.js';
@@ -17,12 +17,12 @@
 
 /** How many tasks of a class room is to be kept for, beside those that are there. */
 function missingOf(state: CoreState, demand: Demand, now: Now): number {
-  const { spec, peak, arrivedAt, gap } = demand;
-  if (now.mono - arrivedAt > ARRIVALS_OVER * gap) return 0;
+  const { spec, peak, lastArrivalAt, meanArrivalGap } = demand;
+  if (now.monotonicMs - lastArrivalAt > ARRIVALS_OVER * meanArrivalGap) return 0;
   // Others wait for the same room then, and many of them will be late.
-  const short = [...state.refusedUntil.values()].some((until) => until > now.mono);
+  const short = [...state.provisioningBlockedUntil.values()].some((until) => until > now.monotonicMs);
   const share = short ? KEPT_WHEN_SHORT : 1;
-  return Math.ceil(share * peak) - (state.present.get(spec.jobClass) ?? 0);
+  return Math.ceil(share * peak) - (state.outstandingByClass.get(spec.jobClass) ?? 0);
 }
 
 /**
@@ -31,25 +31,25 @@
  * have to be fetched first. Now and then among all capacityIndex; in between, for what is missing
  * still, among those on which something has changed.
  */
-export function keepRoom(state: CoreState, now: Now, changed: Iterable<NodeCapacity> | null): void {
+export function reserveHeadroom(state: CoreState, now: Now, changed: Iterable<NodeCapacity> | null): void {
   if (changed === null) state.capacityIndex.letGoAll();
-  const hurried = [...state.demand.values()].filter(({ spec }) => isHurried(state, spec));
+  const hurried = [...state.demand.values()].filter(({ spec }) => isStartSensitive(state, spec));
   const missing = hurried.map(
     (demand) => missingOf(state, demand, now) - state.capacityIndex.keptFor(demand.spec),
   );
   if (!missing.some((count) => count > 0)) return;
-  const only = scarceClasses(state);
+  const only = constrainedTypesInDemand(state);
   const rich = [...(changed ?? state.capacityIndex.all)].sort(
-    (a, b) => b.machine.images.size - a.machine.images.size,
+    (a, b) => b.machine.cachedImages.size - a.machine.cachedImages.size,
   );
   hurried.forEach(({ spec }, index) => {
-    const choosy = onlyType(state, spec) === null;
+    const choosy = soleType(state, spec) === null;
     let left = missing[index] ?? 0;
     for (const site of rich) {
       if (left <= 0) break;
       // What others can run on nothing else is not kept from them.
       if (choosy && only.has(site.machine.type)) continue;
-      if (!allows(spec, site.machine.type, site.machine.zone, site.machine.spot)) continue;
+      if (!satisfiesConstraints(spec, site.machine.type, site.machine.zone, site.machine.spot)) continue;
       for (; left > 0 && fits(spec, site.free); left -= 1) state.capacityIndex.keep(site, spec);
     }
   });
--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -4,6 +4,6 @@
 export * from './easy.js';
 export * from './headroom.js';
 export * from './preemption.js';
-export * from './queue.js';
+export * from './job-queue.js';
 export * from './reservations.js';
 export * from './resources.js';
--- a/src/core/placement/reservations.ts
+++ b/src/core/placement/reservations.ts
@@ -6,7 +6,7 @@
  * against it too. A team's guarantee is the other promise: jobs that fit into it wait for no other team.
  */
 import { isReady } from '../jobs/jobs.js';
-import { isAtFault } from './resources.js';
+import { isFaultyJob } from './resources.js';
 import type { JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
@@ -17,31 +17,31 @@
 const EPSILON = 1e-6;
 
 /** Milliseconds since a job was ready, or since a task of it was last put on a machine. */
-export const unservedFor = (job: JobState, now: Now): number =>
-  Math.min(now.wall - job.readyAt, now.mono - job.servedAt);
+export const waitedMs = (job: JobState, now: Now): number =>
+  Math.min(now.epochMs - job.readyAt, now.monotonicMs - job.lastPlacedAt);
 
 /**
  * Works out whose wait nears the bound, longest first. Of those of a class that have begun, only the one
  * that came first is promised more: six arrays served by turns ended all at once, and too late.
  */
-export function choosePromised(state: CoreState, now: Now): void {
+export function chooseReserved(state: CoreState, now: Now): void {
   const due: { readonly job: JobState; readonly waited: number }[] = [];
   const first = new Map<string, JobState>();
-  for (const job of state.waiting) {
-    if (isAtFault(job)) continue;
+  for (const job of state.waitingJobs) {
+    if (isFaultyJob(job)) continue;
     const { jobClass } = job.spec;
-    const waited = unservedFor(job, now);
-    if (job.servedAt > -Infinity && job.stamp < (first.get(jobClass)?.stamp ?? Infinity))
+    const waited = waitedMs(job, now);
+    if (job.lastPlacedAt > -Infinity && job.modRevision < (first.get(jobClass)?.modRevision ?? Infinity))
       first.set(jobClass, job);
-    if (waited > PROMISED_AFTER * state.rules.policy.startBound(job.spec)) due.push({ job, waited });
+    if (waited > PROMISED_AFTER * state.config.policy.maxWaitMs(job.spec)) due.push({ job, waited });
   }
   due.sort((a, b) => b.waited - a.waited);
   // By class: the backlog of one, waiting longest, kept another's arrays from beginning within the bound.
   const promised = new Map<string, number>();
-  state.promised = due.flatMap(({ job }) => {
+  state.reservedJobs = due.flatMap(({ job }) => {
     const { jobClass } = job.spec;
     const count = promised.get(jobClass) ?? 0;
-    const counts = job.servedAt === -Infinity || first.get(jobClass) === job;
+    const counts = job.lastPlacedAt === -Infinity || first.get(jobClass) === job;
     if (!counts || count >= MOST_PROMISED) return [];
     promised.set(jobClass, count + 1);
     return [job];
@@ -59,12 +59,12 @@
 export type Reason = (typeof REASONS)[number];
 
 export function whyWaits(state: CoreState, job: JobState): Reason | null {
-  if (job.over !== null) return null;
-  if (isAtFault(job)) return 'fails wherever it is tried';
-  if (job.waiting === 0) return null;
-  if (state.promised.includes(job)) return 'its room is reserved';
+  if (job.finalStage !== null) return null;
+  if (isFaultyJob(job)) return 'fails wherever it is tried';
+  if (job.waitingCount === 0) return null;
+  if (state.reservedJobs.includes(job)) return 'its room is reserved';
   if (state.head?.job === job.spec.id) return 'first in the queue';
-  return job.stoppedAt > job.servedAt ? 'stopped for more urgent work' : 'waits for room';
+  return job.lastPreemptedAt > job.lastPlacedAt ? 'stopped for more urgent work' : 'waits for room';
 }
 
 /**
@@ -73,17 +73,18 @@
  */
 export function chooseGuaranteed(state: CoreState): void {
   const left = new Map<string, { cpus: number; gpus: number }>();
-  for (const [name, { cpus, gpus }] of state.rules.teams)
-    if (cpus > 0 || gpus > 0) left.set(name, { cpus, gpus });
-  state.guaranteed.clear();
+  for (const [name, { guaranteedCpus, guaranteedGpus }] of state.config.teams)
+    if (guaranteedCpus > 0 || guaranteedGpus > 0)
+      left.set(name, { cpus: guaranteedCpus, gpus: guaranteedGpus });
+  state.guaranteedJobs.clear();
   if (left.size === 0) return;
   for (const job of state.jobs.values()) {
-    const { spec, over, doneCount } = job;
+    const { spec, finalStage, doneCount } = job;
     const room = left.get(spec.team);
-    if (room === undefined || over !== null || !isReady(job)) continue;
+    if (room === undefined || finalStage !== null || !isReady(job)) continue;
     const tasks = spec.tasks - doneCount;
     room.cpus -= tasks * spec.cpus;
     room.gpus -= tasks * spec.gpus;
-    if (room.cpus > -EPSILON && room.gpus > -EPSILON && !isAtFault(job)) state.guaranteed.add(job);
+    if (room.cpus > -EPSILON && room.gpus > -EPSILON && !isFaultyJob(job)) state.guaranteedJobs.add(job);
   }
 }
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -1,18 +1,24 @@
 /** One batch of commands into the state, and the effects that follow. */
-import { giveBack, recallDemand, rememberDemand, rent, settleRental } from './autoscaling/autoscaler.js';
+import {
+  scaleIn,
+  restoreDemandHistory,
+  saveDemandHistory,
+  scaleOut,
+  settleProvisioning,
+} from './autoscaling/autoscaler.js';
 import { place } from './placement/easy.js';
 import type { Command, Effect } from './effects.js';
 import {
-  answer,
+  answerHeartbeat,
   awaitsCommit,
-  dropReturned,
-  hold,
-  judgeMachines,
-  machineNamed,
-  raiseTokens,
-  release,
-  takeList,
-  takeReport,
+  removeTerminated,
+  holdHeartbeat,
+  detectFailures,
+  getOrCreateMachine,
+  announceToken,
+  takePendingHeartbeat,
+  applyListing,
+  applyHeartbeat,
 } from './fleet/machines.js';
 import {
   addJob,
@@ -21,27 +27,27 @@
   loadChunks,
   nextCommit,
   settleCommit,
-  settleRecheck,
+  settleReconciliation,
 } from './persistence/write-back.js';
-import { takeHeartbeat } from './fleet/heartbeats.js';
+import { applyKeepalive } from './fleet/keepalives.js';
 import { log } from './log.js';
-import { nextQuestion, settleQuestion } from './jobs/pipelines.js';
-import { settleProbe } from './fleet/probing.js';
-import { chooseGuaranteed, choosePromised } from './placement/reservations.js';
-import { sortQueue } from './placement/queue.js';
+import { nextDependencyQuery, settleDependencyQuery } from './jobs/dependencies.js';
+import { settleProbe } from './fleet/probes.js';
+import { chooseGuaranteed, chooseReserved } from './placement/reservations.js';
+import { sortQueue } from './placement/job-queue.js';
 import type { LiveClaim, Machine, Now } from './model.js';
-import { mayAct, type CoreState } from './state.js';
+import { hasFreshView, type CoreState } from './state.js';
 import { forgetLeadership } from './create-state.js';
 
 function resign(state: CoreState, reason: string, effects: Effect[]): void {
   if (state.leadership === null) return;
-  for (const machine of [...state.held]) refuse(state, machine, effects);
+  for (const machine of [...state.pendingHeartbeats]) refuse(state, machine, effects);
   forgetLeadership(state);
   effects.push({ kind: 'steppedDown', reason });
 }
 
 function refuse(state: CoreState, machine: Machine, effects: Effect[]): void {
-  const held = release(state, machine);
+  const held = takePendingHeartbeat(state, machine);
   if (held !== null) effects.push({ kind: 'reply', reply: held.reply, body: { kind: 'unable' } });
 }
 
@@ -49,89 +55,96 @@
   const job = state.jobs.get(id);
   // One that is being ended by us is settled by the answer to that. One of which a write is looked up is
   // not waited for: while the look-up went unanswered, each later proof kept its tasks alive.
-  const { ending = [], withdrawing = [] } = state.commit ?? {};
-  const ours = [...ending, ...withdrawing].some(({ spec }) => spec.id === id);
-  if (job !== undefined && job.over === null && !ours) endJob(state, job, 'withdrawn', null);
+  const { completing = [], cancelling = [] } = state.commit ?? {};
+  const ours = [...completing, ...cancelling].some(({ spec }) => spec.id === id);
+  if (job !== undefined && job.finalStage === null && !ours) endJob(state, job, 'withdrawn', null);
 }
 
 function hasAuthority(state: CoreState, now: Now): boolean {
-  return state.leadership !== null && now.mono < state.leadership.authorityUntil;
+  return state.leadership !== null && now.monotonicMs < state.leadership.authorityUntil;
 }
 
 /** A machine was heard when its report came to a controller, not when the leader has read it. */
 function noteAge(state: CoreState, name: string, ageMs: number): void {
   const machine = state.machines.get(name);
-  if (machine?.heardAt != null) machine.heardAt -= ageMs;
+  if (machine?.lastHeartbeatAt != null) machine.lastHeartbeatAt -= ageMs;
 }
 
 function onReport(
   state: CoreState,
-  command: Extract<Command, { kind: 'report' }>,
+  command: Extract<Command, { kind: 'heartbeat' }>,
   now: Now,
   effects: Effect[],
 ): void {
-  const { report, reply } = command;
+  const { heartbeat, reply } = command;
   const unable = (): void => {
     effects.push({ kind: 'reply', reply, body: { kind: 'unable' } });
   };
   const lead = state.leadership;
-  if (lead !== null && report.token > lead.term) {
-    resign(state, `worker ${report.machine} has seen token ${report.token}`, effects);
+  if (lead !== null && heartbeat.token > lead.term) {
+    resign(state, `worker ${heartbeat.machine} has seen token ${heartbeat.token}`, effects);
   }
   // What it tells is as true without authority to answer. Passed over through a whole outage, a fleet
   // looked silent at its end: 550 live machines were given back within three seconds.
-  const isNews = state.leadership !== null && takeReport(state, report, now, effects, false);
-  if (isNews) noteAge(state, report.machine, command.ageMs ?? 0);
+  const isNews = state.leadership !== null && applyHeartbeat(state, heartbeat, now, effects, false);
+  if (isNews) noteAge(state, heartbeat.machine, command.ageMs ?? 0);
   if (!isNews || !hasAuthority(state, now)) {
     unable();
     return;
   }
-  const machine = machineNamed(state, report.machine, now);
+  const machine = getOrCreateMachine(state, heartbeat.machine, now);
   // The worker has given up on its earlier report, and drops what would answer it.
   refuse(state, machine, effects);
-  hold(state, machine, reply, now);
+  holdHeartbeat(state, machine, reply, now);
 }
 
 function apply(state: CoreState, command: Command, now: Now, effects: Effect[]): void {
-  const machineOf = (name: string): Machine => machineNamed(state, name, now);
+  const machineOf = (name: string): Machine => getOrCreateMachine(state, name, now);
   switch (command.kind) {
     case 'tick':
-      state.busy = command.busy === true;
-      if (state.leadership?.closing !== true && command.doubt !== true && mayAct(state))
-        judgeMachines(state, now, effects);
+      state.isOverloaded = command.isOverloaded === true;
+      if (state.leadership?.isTransferring !== true && command.isStalled !== true && hasFreshView(state))
+        detectFailures(state, now, effects);
       break;
-    case 'report':
+    case 'heartbeat':
       onReport(state, command, now, effects);
       break;
-    case 'direct':
+    case 'directAnswer':
       if (state.leadership === null) break;
-      if (command.report.token > state.leadership.term) {
-        resign(state, `worker ${command.report.machine} has seen token ${command.report.token}`, effects);
-      } else takeReport(state, command.report, now, effects, true);
+      if (command.heartbeat.token > state.leadership.term) {
+        resign(
+          state,
+          `worker ${command.heartbeat.machine} has seen token ${command.heartbeat.token}`,
+          effects,
+        );
+      } else applyHeartbeat(state, command.heartbeat, now, effects, true);
       break;
-    case 'lead': {
+    case 'becomeLeader': {
       forgetLeadership(state);
       state.leadership = {
         term: command.term,
-        stamp: command.stamp,
-        since: now.mono,
-        authorityUntil: command.provenAt + state.rules.timing.authority,
-        provenAt: command.provenAt,
-        haunted: command.haunted ?? false,
-        calls: { left: 0, at: now.mono },
+        modRevision: command.modRevision,
+        since: now.monotonicMs,
+        authorityUntil: command.viewConfirmedAt + state.config.timing.authorityWindowMs,
+        viewConfirmedAt: command.viewConfirmedAt,
+        previousLeaderMayBeAlive: command.previousLeaderMayBeAlive ?? false,
+        directCallBudget: { left: 0, at: now.monotonicMs },
       };
       state.layout = command.layout;
-      state.wide = command.wide;
-      for (const [zone, since] of command.quiet ?? []) state.quiet.set(zone, since);
-      state.budget.at = now.mono;
+      state.legacyChunkTasks = command.legacyChunkTasks;
+      for (const [zone, since] of command.silentZones ?? []) state.silentZones.set(zone, since);
+      state.writeBudget.at = now.monotonicMs;
       state.nextRequest = 1;
       // The list may not show yet what the leader before has rented; the very first has none before it.
-      state.rentNotBefore = command.term === 1 ? now.mono : now.mono + 2 * state.rules.timing.longestReport;
+      state.provisionNotBefore =
+        command.term === 1
+          ? now.monotonicMs
+          : now.monotonicMs + 2 * state.config.timing.maxHeartbeatIntervalMs;
       // In the order of arrival, so that those that wait find what they wait for.
-      for (const job of [...command.jobs].sort((a, b) => a.stamp - b.stamp)) addJob(state, job);
+      for (const job of [...command.jobs].sort((a, b) => a.modRevision - b.modRevision)) addJob(state, job);
       loadChunks(state, command.chunks, now, machineOf);
-      recallDemand(state, command.memory, now);
-      state.placeDirty = true;
+      restoreDemandHistory(state, command.demandHistory, now);
+      state.isPlacementDue = true;
       log(effects, 'leading', {
         term: command.term,
         jobs: command.jobs.length,
@@ -139,36 +152,36 @@
       });
       break;
     }
-    case 'yield':
-      if (state.leadership !== null) state.leadership.closing = true;
+    case 'transferLeadership':
+      if (state.leadership !== null) state.leadership.isTransferring = true;
       break;
     case 'resign':
       resign(state, command.reason, effects);
       break;
-    case 'tokenSeen':
+    case 'higherTokenSeen':
       if (state.leadership !== null && command.token > state.leadership.term) {
         resign(state, `a peer has seen token ${command.token}`, effects);
       }
       break;
-    case 'proof':
+    case 'viewConfirmed':
       if (state.leadership !== null) {
         state.leadership.authorityUntil = Math.max(
           state.leadership.authorityUntil,
-          command.sentAt + state.rules.timing.authority,
+          command.sentAt + state.config.timing.authorityWindowMs,
         );
-        state.leadership.provenAt = Math.max(state.leadership.provenAt, command.sentAt);
+        state.leadership.viewConfirmedAt = Math.max(state.leadership.viewConfirmedAt, command.sentAt);
       }
       break;
-    case 'resolved':
-      settleQuestion(state, command.found, now);
+    case 'dependenciesResolved':
+      settleDependencyQuery(state, command.found, now);
       break;
-    case 'adopt':
-      if (state.leadership !== null) state.adopting = command.layout;
+    case 'adoptLayout':
+      if (state.leadership !== null) state.pendingLayout = command.layout;
       break;
     case 'jobAdded':
       if (state.leadership === null) break;
       addJob(state, command.job);
-      state.planAt = Math.min(state.planAt, now.mono);
+      state.nextPlanAt = Math.min(state.nextPlanAt, now.monotonicMs);
       break;
     case 'jobRemoved':
       removeJob(state, command.id);
@@ -178,7 +191,7 @@
       const live = new Set(command.jobs.map((job) => job.value.id));
       for (const job of command.jobs) addJob(state, job);
       for (const [id, job] of state.jobs) {
-        if (job.stamp <= command.revision && !live.has(id)) removeJob(state, id);
+        if (job.modRevision <= command.revision && !live.has(id)) removeJob(state, id);
       }
       break;
     }
@@ -189,36 +202,36 @@
         resign(state, 'the term has been raised', effects);
       }
       break;
-    case 'rechecked':
-      settleRecheck(state, command.found, now, effects);
+    case 'reconciled':
+      settleReconciliation(state, command.found, now, effects);
       break;
-    case 'relayed':
+    case 'machinesRelayed':
       for (const name of command.machines) {
         const machine = state.machines.get(name);
         if (machine !== undefined)
-          machine.relayedAt = Math.max(machine.relayedAt ?? 0, now.mono - command.ageMs);
+          machine.lastRelayedAt = Math.max(machine.lastRelayedAt ?? 0, now.monotonicMs - command.ageMs);
       }
       break;
-    case 'heartbeats':
-      for (const heartbeat of command.heartbeats) takeHeartbeat(state, heartbeat, now);
+    case 'keepalives':
+      for (const heartbeat of command.keepalives) applyKeepalive(state, heartbeat, now);
       break;
     case 'probed':
-      settleProbe(state, command.machine, command.met, now);
+      settleProbe(state, command.machine, command.isReachable, now);
       break;
     case 'catalog':
-      state.types = new Map(command.types.map((type) => [type.name, type]));
-      for (const machine of state.machines.values()) state.touched.add(machine);
-      state.placeDirty = true;
+      state.machineTypes = new Map(command.types.map((type) => [type.name, type]));
+      for (const machine of state.machines.values()) state.changedMachines.add(machine);
+      state.isPlacementDue = true;
       break;
-    case 'listed':
-      if (state.leadership !== null) takeList(state, command.machines, now, effects);
+    case 'machinesListed':
+      if (state.leadership !== null) applyListing(state, command.machines, now, effects);
       break;
-    case 'rented':
-      settleRental(state, command.request, command.outcome, now, effects, machineOf);
+    case 'provisioned':
+      settleProvisioning(state, command.requestId, command.outcome, now, effects, machineOf);
       break;
-    case 'returned':
+    case 'terminated':
       if (state.leadership === null) break;
-      if (command.ok) dropReturned(state, command.machines, effects);
+      if (command.ok) removeTerminated(state, command.machines, effects);
       else for (const name of command.machines) allowRetry(state, name);
       break;
   }
@@ -226,21 +239,21 @@
 
 function allowRetry(state: CoreState, name: string): void {
   const machine = state.machines.get(name);
-  if (machine !== undefined) machine.returnAskedAt = null;
+  if (machine !== undefined) machine.terminationRequestedAt = null;
 }
 
 /** Looks again at the reports that may wait for the commit under way: of machines with tasks that it tells of. */
 function lookAgain(state: CoreState): void {
-  const { chunks = [], ending = [], withdrawing = [] } = state.commit ?? {};
+  const { chunks = [], completing = [], cancelling = [] } = state.commit ?? {};
   const look = (claim: LiveClaim | undefined): void => {
     const machine = claim && state.machines.get(claim.machine);
-    if (machine !== undefined && machine.held !== null) state.answerable.push(machine);
+    if (machine !== undefined && machine.pendingHeartbeat !== null) state.answerable.push(machine);
   };
   for (const { job, chunk } of chunks) {
     const [first, end] = chunkRange(state, job, chunk);
     for (let task = first; task < end; task += 1) look(job.claims.get(task));
   }
-  for (const job of [...ending, ...withdrawing]) for (const claim of job.claims.values()) look(claim);
+  for (const job of [...completing, ...cancelling]) for (const claim of job.claims.values()) look(claim);
 }
 
 /**
@@ -250,15 +263,19 @@
  */
 function answerReports(state: CoreState, now: Now, all: boolean, effects: Effect[]): void {
   const look = (machine: Machine, anyway: boolean): void => {
-    if (machine.held === null) return;
+    if (machine.pendingHeartbeat === null) return;
     if (!hasAuthority(state, now)) refuse(state, machine, effects);
-    else if (anyway || !awaitsCommit(state, machine)) answer(state, machine, effects);
+    else if (anyway || !awaitsCommit(state, machine)) answerHeartbeat(state, machine, effects);
   };
   const fresh = state.answerable.splice(0);
-  for (const machine of all ? [...state.held] : fresh) look(machine, false);
+  for (const machine of all ? [...state.pendingHeartbeats] : fresh) look(machine, false);
   // In the order in which they came.
-  for (const machine of state.held) {
-    if (machine.held !== null && now.mono - machine.held.since < state.rules.timing.replyHold) break;
+  for (const machine of state.pendingHeartbeats) {
+    if (
+      machine.pendingHeartbeat !== null &&
+      now.monotonicMs - machine.pendingHeartbeat.since < state.config.timing.maxReplyDelayMs
+    )
+      break;
     look(machine, true);
   }
 }
@@ -272,10 +289,15 @@
  * placement holds up the reports that are still to come: sadaa-amman-grown 0.68 to 0.60.
  */
 function hasHeardEnough(state: CoreState, since: number, now: Now): boolean {
-  if (now.mono >= since + state.rules.policy.placingWait) return true;
-  const { hearing } = state;
+  if (now.monotonicMs >= since + state.config.policy.maxPlacementDelayMs) return true;
+  const { health } = state;
   // One that can hardly hear its workers in time hears them first.
-  return !state.busy && hearing !== null && hearing.up > 0 && hearing.unheard <= (1 - ENOUGH) * hearing.up;
+  return (
+    !state.isOverloaded &&
+    health !== null &&
+    health.running > 0 &&
+    health.neverReported <= (1 - ENOUGH) * health.running
+  );
 }
 
 /** Whether there still is something to say to a machine at the end of a step. */
@@ -286,37 +308,38 @@
 
 export function step(state: CoreState, commands: readonly Command[], now: Now): Effect[] {
   const effects: Effect[] = [];
-  state.mono = now.mono;
+  state.monotonicMs = now.monotonicMs;
   let ticked = false;
   let settled = false;
   for (const command of commands) {
     ticked ||= command.kind === 'tick';
-    settled ||= command.kind === 'rechecked';
+    settled ||= command.kind === 'reconciled';
     apply(state, command, now, effects);
   }
   const lead = state.leadership;
   if (lead === null) return effects;
-  const begins = lead.closing !== true;
+  const begins = lead.isTransferring !== true;
   const placing = begins && hasHeardEnough(state, lead.since, now);
   // What the fleet has is known once every machine had the time to report: placing goes by each as
   // it comes, but a plan by half of them would rent the rest anew.
-  const planning = placing && now.mono >= lead.since + state.rules.timing.longestReport;
+  const planning = placing && now.monotonicMs >= lead.since + state.config.timing.maxHeartbeatIntervalMs;
   // One that is behind its timers goes through the queue only so often: each pass holds up reports.
-  const due = !state.busy || now.mono - state.placedAt >= state.rules.timing.tick / 2;
-  if (placing && (ticked || (state.placeDirty && due))) {
-    state.placeDirty = false;
-    state.placedAt = now.mono;
+  const due =
+    !state.isOverloaded || now.monotonicMs - state.lastPlacementAt >= state.config.timing.tickMs / 2;
+  if (placing && (ticked || (state.isPlacementDue && due))) {
+    state.isPlacementDue = false;
+    state.lastPlacementAt = now.monotonicMs;
     if (ticked) {
       chooseGuaranteed(state);
-      choosePromised(state, now);
+      chooseReserved(state, now);
       sortQueue(state, now);
     }
     place(state, now, ticked);
   }
   const commit = nextCommit(state, now);
   if (commit !== null) effects.push(commit);
-  const ids = nextQuestion(state, now);
-  if (ids !== null) effects.push({ kind: 'resolve', ids });
+  const ids = nextDependencyQuery(state, now);
+  if (ids !== null) effects.push({ kind: 'resolveDependencies', ids });
   answerReports(state, now, ticked || settled, effects);
   if (state.newAttention.length > 0) {
     // What was answered in this step has been told; of the rest the followers learn.
@@ -324,13 +347,13 @@
     if (machines.length > 0) effects.push({ kind: 'attention', machines });
   }
   if (ticked) {
-    if (!state.busy) raiseTokens(state, now, effects);
-    if (planning && mayAct(state) && now.mono >= state.planAt) {
-      state.planAt = now.mono + state.rules.timing.longestReport;
-      rent(state, now, effects);
+    if (!state.isOverloaded) announceToken(state, now, effects);
+    if (planning && hasFreshView(state) && now.monotonicMs >= state.nextPlanAt) {
+      state.nextPlanAt = now.monotonicMs + state.config.timing.maxHeartbeatIntervalMs;
+      scaleOut(state, now, effects);
     }
-    if (begins && mayAct(state)) giveBack(state, now, effects);
-    rememberDemand(state, now, effects);
+    if (begins && hasFreshView(state)) scaleIn(state, now, effects);
+    saveDemandHistory(state, now, effects);
     const unexpected = state.unexpected.splice(0);
     if (unexpected.length > 0)
       log(effects, 'machines report unexpectedly', {
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -4,29 +4,29 @@
  */
 export interface Timing {
   /** Life of the leader's lease in the state service. */
-  readonly leaderLease: number;
-  readonly renewEvery: number;
+  readonly leaderLeaseMs: number;
+  readonly renewIntervalMs: number;
   /** How long one read proving freshness lets a leader answer workers. */
-  readonly authority: number;
-  readonly workerLease: number;
+  readonly authorityWindowMs: number;
+  readonly workerLeaseMs: number;
   /** Longest time between two reports of a worker. */
-  readonly longestReport: number;
+  readonly maxHeartbeatIntervalMs: number;
   /** A machine silent for longer is given back, whatever else may be the matter. */
-  readonly silence: number;
+  readonly silenceTimeoutMs: number;
   /** One silent for longer is given back while most others are heard. */
-  readonly shortSilence: number;
-  readonly cancel: number;
+  readonly shortSilenceTimeoutMs: number;
+  readonly cancelTimeoutMs: number;
   /** Wait of one state watch. */
-  readonly watchWait: number;
+  readonly watchTimeoutMs: number;
   /** Bound on one request to the state service. */
-  readonly stateTimeout: number;
-  readonly tick: number;
+  readonly storeTimeoutMs: number;
+  readonly tickMs: number;
   /** How long a machine has to take a connection. */
-  readonly knock: number;
+  readonly probeTimeoutMs: number;
   /** How long an exit may wait to be written together with others of its job. */
-  readonly exitHold: number;
+  readonly exitBatchDelayMs: number;
   /** How long a follower gathers reports before it forwards them. */
-  readonly forwardHold: number;
+  readonly forwardBatchDelayMs: number;
   /** How long a report may wait for the commit that its starts need. */
-  readonly replyHold: number;
+  readonly maxReplyDelayMs: number;
 }
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -46,13 +46,13 @@
 }
 
 /** Amounts of a machine: free, taken or asked for. */
-export interface Room {
+export interface Resources {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-export type Need = Readonly<Room>;
+export type ResourceRequest = Readonly<Resources>;
 
 export type TaskStage = 'fetching' | 'running' | 'saving' | 'exited';
 export type ExitReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
@@ -65,16 +65,16 @@
   readonly exit: ExitReason | null;
 }
 
-export interface Report {
+export interface Heartbeat {
   readonly machine: string;
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  readonly session: number;
-  readonly seq: number;
+  readonly agentEpoch: number;
+  readonly sequence: number;
   readonly token: number;
-  readonly noticeS: number | null;
+  readonly terminationNoticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
 
@@ -103,9 +103,9 @@
 export interface Claim {
   readonly attempt: number;
   readonly machine: string;
-  readonly session: number;
+  readonly agentEpoch: number;
   /** Time of day at which it was made, in milliseconds. */
-  readonly madeAt: number;
+  readonly createdAt: number;
 }
 
 /** What the state service keeps of a run of consecutive tasks of one job. */
@@ -131,23 +131,23 @@
   readonly at?: number;
 }
 
-/** A value of the state service together with its stamp. */
-export interface Stamped<T> {
+/** A value of the state service together with its revision. */
+export interface Versioned<T> {
   readonly value: T;
-  readonly stamp: number;
+  readonly modRevision: number;
 }
 
 /** What a transaction asks of the state service: all of it, or nothing. */
-export interface Condition {
+export interface Precondition {
   readonly key: string;
   /** 0: the key must not exist. */
-  readonly stamp: number;
+  readonly modRevision: number;
 }
 
-export type Write =
+export type Mutation =
   { readonly put: string; readonly value: unknown; readonly lease?: number } | { readonly remove: string };
 
 export interface Transaction {
-  readonly when: readonly Condition[];
-  readonly apply: readonly Write[];
+  readonly preconditions: readonly Precondition[];
+  readonly mutations: readonly Mutation[];
 }
--- a/src/describe.ts
+++ b/src/describe.ts
@@ -1,5 +1,5 @@
 /** The operators' view of a controller: one object, bounded in size. */
-import { freeRoom, isAtFault, waitingJobs } from './core/placement/index.js';
+import { freeResources, isFaultyJob, waitingJobs } from './core/placement/index.js';
 import { isReady, waitingTasks } from './core/jobs/index.js';
 import { taskKey, type Machine, type Now } from './core/model.js';
 import type { CoreState } from './core/state.js';
@@ -7,16 +7,16 @@
 const MOST_LISTED = 100;
 
 function stageOf(machine: Machine): string {
-  if (machine.leaving !== null) return 'leaving';
-  if (machine.takenAt !== null) return 'being taken';
+  if (machine.terminationReason !== null) return 'leaving';
+  if (machine.reclaimedAt !== null) return 'being taken';
   if (machine.unresponsiveSince !== null) return 'deaf';
-  if (machine.heardAt === null) return 'booting';
-  return machine.whole ? 'up' : 'unproven';
+  if (machine.lastHeartbeatAt === null) return 'booting';
+  return machine.isReconciled ? 'up' : 'unproven';
 }
 
 function describeMachine(state: CoreState, machine: Machine, now: Now): object {
-  const type = state.types.get(machine.type);
-  const { name, zone, spot, claims, leaving, heardAt } = machine;
+  const type = state.machineTypes.get(machine.type);
+  const { name, zone, spot, claims, terminationReason, lastHeartbeatAt } = machine;
   return {
     name,
     type: machine.type,
@@ -24,20 +24,24 @@
     spot,
     stage: stageOf(machine),
     tasks: claims.size,
-    ...(type === undefined ? {} : { freeCpus: freeRoom(machine, type).cpus }),
-    ...(heardAt === null ? {} : { heardMsAgo: Math.round(now.mono - heardAt) }),
-    ...(leaving === null ? {} : { leaving }),
+    ...(type === undefined ? {} : { freeCpus: freeResources(machine, type).cpus }),
+    ...(lastHeartbeatAt === null ? {} : { heardMsAgo: Math.round(now.monotonicMs - lastHeartbeatAt) }),
+    ...(terminationReason === null ? {} : { leaving: terminationReason }),
   };
 }
 
 /** Jobs that wait for others, and for which. */
 function describeWaiting(state: CoreState): object {
-  const waiting = [...state.jobs.values()].filter((job) => job.over === null && !isReady(job));
+  const waiting = [...state.jobs.values()].filter((job) => job.finalStage === null && !isReady(job));
   return {
     jobs: waiting.length,
     first: waiting
       .slice(0, 10)
-      .map(({ spec, waitsFor }) => ({ id: spec.id, awaits: [...waitsFor].slice(0, 10), of: waitsFor.size })),
+      .map(({ spec, pendingDependencies }) => ({
+        id: spec.id,
+        awaits: [...pendingDependencies].slice(0, 10),
+        of: pendingDependencies.size,
+      })),
   };
 }
 
@@ -47,7 +51,7 @@
   const { head } = state;
   let perHour = 0;
   for (const machine of state.machines.values()) {
-    const type = state.types.get(machine.type);
+    const type = state.machineTypes.get(machine.type);
     if (type !== undefined) perHour += machine.spot ? type.spotPrice : type.price;
   }
   return {
@@ -63,21 +67,24 @@
         : {
             job: head.job,
             why: head.reason,
-            shadowInMs: head.shadow === null ? null : Math.round(head.shadow - now.mono),
+            shadowInMs: head.shadowTime === null ? null : Math.round(head.shadowTime - now.monotonicMs),
             reservedOn: head.machines.slice(0, 10),
           },
-    promised: state.promised.map(({ spec }) => spec.id),
-    beingStopped: [...state.halting].slice(0, 10).map(({ job, task }) => taskKey(job.spec.id, task)),
+    promised: state.reservedJobs.map(({ spec }) => spec.id),
+    beingStopped: [...state.preemptedClaims].slice(0, 10).map(({ job, task }) => taskKey(job.spec.id, task)),
     atFault: [...state.jobs.values()]
-      .filter((job) => job.over === null && isAtFault(job))
+      .filter((job) => job.finalStage === null && isFaultyJob(job))
       .slice(0, 10)
-      .map(({ spec, failedOn, retryAt }) => ({
+      .map(({ spec, failedMachines, retryAt }) => ({
         id: spec.id,
-        failedOn: failedOn.size,
-        nextTryInMs: Math.max(0, Math.round(retryAt - now.mono)),
+        failedOn: failedMachines.size,
+        nextTryInMs: Math.max(0, Math.round(retryAt - now.monotonicMs)),
       })),
     teams: Object.fromEntries(
-      [...state.use].map(([team, { cpus, gpus, tasks }]) => [team, { cpus: Math.round(cpus), gpus, tasks }]),
+      [...state.usageByTeam].map(([team, { cpus, gpus, tasks }]) => [
+        team,
+        { cpus: Math.round(cpus), gpus, tasks },
+      ]),
     ),
     moneyPerHour: Math.round(perHour * 100) / 100,
     jobs: state.jobs.size,
--- a/src/membership/election.ts
+++ b/src/membership/election.ts
@@ -1,27 +1,27 @@
 /**
  * Leadership, as a state machine without I/O, clock or randomness. One transaction creates the leased
  * `leader` key and raises the lasting `term` key; the term is the token that workers see. Whatever a
- * leader writes is conditional on the stamp of `term`, so nothing that an earlier leader sent takes
+ * leader writes is conditional on the revision of `term`, so nothing that an earlier leader sent takes
  * effect once a later one is elected. The lease guards nothing: it only tells when to stand. So a
  * leader that is known to be gone may be succeeded before it is over, on condition of its record's
- * stamp, and so may one that names its successor.
+ * revision, and so may one that names its successor.
  */
 import type { LeaderRecord } from '../core/persistence/index.js';
 import type { Timing } from '../core/timing.js';
 
 export interface ElectionResult {
   readonly term: number;
-  readonly stamp: number;
+  readonly modRevision: number;
   /** Steady time at which the winning transaction was sent. */
   readonly provenAt: number;
   /** What is known of the leader before: it named this node, or has crashed; else nothing. */
   readonly before: 'gone' | 'unknown';
 }
 
-/** A key as read; a stamp of 0: it does not exist. */
+/** A key as read; a revision of 0: it does not exist. */
 export interface Kept<T> {
   readonly value: T | null;
-  readonly stamp: number;
+  readonly modRevision: number;
 }
 
 /** The leader's record, and the revision as of which it stood so: a watch from there missedResponses nothing. */
@@ -60,8 +60,8 @@
   | { readonly kind: 'named'; readonly round: number; readonly outcome: Outcome; readonly revision: number }
   /** The owner has stepped down of itself: the lease goes, and the node stands again. */
   | { readonly kind: 'abandon' }
-  /** The leader of the record with this stamp has crashed for all the evidence there is. */
-  | { readonly kind: 'inherit'; readonly stamp: number }
+  /** The leader of the record with this revision has crashed for all the evidence there is. */
+  | { readonly kind: 'inherit'; readonly modRevision: number }
   /** This leader is to be followed by another node, which it names in its record. */
   | { readonly kind: 'handOver'; readonly to: string };
 
@@ -76,8 +76,8 @@
       readonly round: number;
       readonly lease: number;
       readonly record: LeaderRecord;
-      readonly leaderStamp: number;
-      readonly termStamp: number;
+      readonly leaderRevision: number;
+      readonly termRevision: number;
     }
   | { readonly kind: 'check'; readonly round: number }
   | { readonly kind: 'renew'; readonly round: number; readonly lease: number }
@@ -87,19 +87,19 @@
       readonly round: number;
       readonly lease: number;
       readonly record: LeaderRecord;
-      readonly leaderStamp: number;
-      readonly termStamp: number;
+      readonly leaderRevision: number;
+      readonly termRevision: number;
     }
   | { readonly kind: 'elected'; readonly won: ElectionResult }
   /** Another may lead. */
   | { readonly kind: 'lost' }
-  | { readonly kind: 'leaderKnown'; readonly leader: LeaderRecord | null; readonly stamp: number };
+  | { readonly kind: 'leaderKnown'; readonly leader: LeaderRecord | null; readonly modRevision: number };
 
 interface Holding {
   readonly lease: number;
   readonly won: ElectionResult;
   /** Stamp of the leader record, which naming a successor moves on; 0: not known. */
-  leaderStamp: number;
+  leaderRevision: number;
   named: string | null;
 }
 
@@ -123,8 +123,8 @@
   /** The leader before has named this node, or crashed. */
   gone: boolean;
   lease: number | null;
-  leaderStamp: number;
-  standsFor: { readonly term: number; readonly termStamp: number; readonly provenAt: number } | null;
+  leaderRevision: number;
+  standsFor: { readonly term: number; readonly termRevision: number; readonly provenAt: number } | null;
   holding: Holding | null;
 }
 
@@ -148,7 +148,7 @@
     followed: 0,
     gone: false,
     lease: null,
-    leaderStamp: 0,
+    leaderRevision: 0,
     standsFor: null,
     holding: null,
   };
@@ -168,18 +168,18 @@
   return [{ kind: 'wait', round: nextRound(state), ms }];
 }
 
-function ask(state: ElectionState, leaderStamp: number, gone = false): ElectionEffect[] {
+function ask(state: ElectionState, leaderRevision: number, gone = false): ElectionEffect[] {
   state.phase = 'granting';
   state.gone = gone;
-  state.leaderStamp = leaderStamp;
+  state.leaderRevision = leaderRevision;
   return [{ kind: 'grant', round: nextRound(state) }];
 }
 
 function onLooked(state: ElectionState, found: Seen | 'unknown'): ElectionEffect[] {
   const { timing } = state;
-  if (found === 'unknown') return lookLater(state, timing.tick);
-  const { value: leader, stamp, revision } = found;
-  if (stamp === 0) {
+  if (found === 'unknown') return lookLater(state, timing.tickMs);
+  const { value: leader, modRevision, revision } = found;
+  if (modRevision === 0) {
     if (!state.deferred && state.handicap > 0) {
       state.deferred = true;
       return lookLater(state, state.handicap);
@@ -188,15 +188,15 @@
     return ask(state, 0);
   }
   // An earlier life of this very node is over.
-  if (leader?.node === state.node) return ask(state, stamp, true);
+  if (leader?.node === state.node) return ask(state, modRevision, true);
   // Whoever has once waited for others waits again when the leadership is next free: a badly placed
   // node was elected at every other change of leader, and handed over each time.
   state.deferred = false;
-  const known: ElectionEffect = { kind: 'leaderKnown', leader, stamp };
-  if (leader?.successor === state.node) return [known, ...ask(state, stamp, true)];
+  const known: ElectionEffect = { kind: 'leaderKnown', leader, modRevision };
+  if (leader?.successor === state.node) return [known, ...ask(state, modRevision, true)];
   state.phase = 'following';
-  state.followed = stamp;
-  return [known, { kind: 'watch', round: nextRound(state), after: revision, ms: 4 * timing.leaderLease }];
+  state.followed = modRevision;
+  return [known, { kind: 'watch', round: nextRound(state), after: revision, ms: 4 * timing.leaderLeaseMs }];
 }
 
 function onGranted(
@@ -206,20 +206,20 @@
   if (lease === null || term === 'unknown')
     return [
       ...(lease === null ? [] : [{ kind: 'revoke', lease } as const]),
-      ...lookLater(state, state.timing.tick / 2),
+      ...lookLater(state, state.timing.tickMs / 2),
     ];
   const next = (term.value ?? 0) + 1;
   state.phase = 'standing';
   state.lease = lease;
-  state.standsFor = { term: next, termStamp: term.stamp, provenAt: now };
+  state.standsFor = { term: next, termRevision: term.modRevision, provenAt: now };
   return [
     {
       kind: 'stand',
       round: nextRound(state),
       lease,
       record: { term: next, node: state.node, incarnation: state.incarnation },
-      leaderStamp: state.leaderStamp,
-      termStamp: term.stamp,
+      leaderRevision: state.leaderRevision,
+      termRevision: term.modRevision,
     },
   ];
 }
@@ -228,21 +228,26 @@
  * It leads. Of one whose standing got no answer the lease has run meanwhile, and is renewed at once: a
  * leader elected unseen lost it 0.8 s later, before its first renewal, and nobody led for 3 s more.
  */
-function hold(state: ElectionState, stamp: number, leaderStamp: number, unseen: boolean): ElectionEffect[] {
+function hold(
+  state: ElectionState,
+  modRevision: number,
+  leaderRevision: number,
+  unseen: boolean,
+): ElectionEffect[] {
   const { lease, standsFor, timing } = state;
   if (lease === null || standsFor === null) return look(state);
   const before = state.gone ? 'gone' : 'unknown';
-  const won: ElectionResult = { term: standsFor.term, stamp, provenAt: standsFor.provenAt, before };
+  const won: ElectionResult = { term: standsFor.term, modRevision, provenAt: standsFor.provenAt, before };
   state.phase = 'holding';
-  state.holding = { lease, won, leaderStamp, named: null };
+  state.holding = { lease, won, leaderRevision, named: null };
   state.lease = null;
   nextRound(state);
   return [
     { kind: 'elected', won },
     unseen
       ? { kind: 'renew', round: nextRenewal(state), lease }
-      : { kind: 'wait', round: nextRenewal(state), ms: timing.renewEvery },
-    ...guard(state, stamp),
+      : { kind: 'wait', round: nextRenewal(state), ms: timing.renewIntervalMs },
+    ...guard(state, modRevision),
   ];
 }
 
@@ -253,7 +258,7 @@
  * three controllers asked 280,000 times.
  */
 function guard(state: ElectionState, after: number): ElectionEffect[] {
-  return [{ kind: 'watch', round: nextSentry(state), after, ms: 4 * state.timing.leaderLease }];
+  return [{ kind: 'watch', round: nextSentry(state), after, ms: 4 * state.timing.leaderLeaseMs }];
 }
 
 function release(state: ElectionState, revoke: boolean): ElectionEffect[] {
@@ -275,7 +280,7 @@
   state.standsFor = null;
   return [
     ...(lease === null ? [] : [{ kind: 'revoke', lease } as const]),
-    ...lookLater(state, state.timing.tick / 2),
+    ...lookLater(state, state.timing.tickMs / 2),
   ];
 }
 
@@ -290,23 +295,23 @@
       if (event.round !== state.renewal) return [];
       if (event.alive === false) return release(state, false);
       // Without an answer so much of the lease is gone that there is no time to wait as long.
-      const { renewEvery, tick } = state.timing;
-      const ms = event.alive === null ? Math.min(renewEvery, tick) : renewEvery;
+      const { renewIntervalMs, tickMs } = state.timing;
+      const ms = event.alive === null ? Math.min(renewIntervalMs, tickMs) : renewIntervalMs;
       return [{ kind: 'wait', round: nextRenewal(state), ms }];
     }
     case 'watched':
       if (event.round !== state.sentry) return [];
       return event.answered
         ? [{ kind: 'read', round: nextSentry(state) }]
-        : [{ kind: 'wait', round: nextSentry(state), ms: state.timing.tick }];
+        : [{ kind: 'wait', round: nextSentry(state), ms: state.timing.tickMs }];
     case 'read': {
       if (event.round !== state.sentry) return [];
       if (event.leader === 'unknown')
-        return [{ kind: 'wait', round: nextSentry(state), ms: state.timing.tick }];
-      const { value, stamp } = event.leader;
+        return [{ kind: 'wait', round: nextSentry(state), ms: state.timing.tickMs }];
+      const { value, modRevision } = event.leader;
       const ours = value?.incarnation === state.incarnation && value.term === holding.won.term;
-      if (!ours) return [{ kind: 'leaderKnown', leader: value, stamp }, ...release(state, false)];
-      holding.leaderStamp = stamp;
+      if (!ours) return [{ kind: 'leaderKnown', leader: value, modRevision }, ...release(state, false)];
+      holding.leaderRevision = modRevision;
       return guard(state, event.leader.revision);
     }
     case 'abandon':
@@ -325,15 +330,15 @@
             incarnation: state.incarnation,
             successor: event.to,
           },
-          leaderStamp: holding.leaderStamp,
-          termStamp: holding.won.stamp,
+          leaderRevision: holding.leaderRevision,
+          termRevision: holding.won.modRevision,
         },
       ];
     case 'named':
       if (event.round !== state.round) return [];
       // Whatever came of it, the successor or anybody has the lead before long.
-      if (event.outcome === 'applied') holding.leaderStamp = event.revision;
-      return [{ kind: 'wait', round: state.round, ms: 4 * state.timing.tick }];
+      if (event.outcome === 'applied') holding.leaderRevision = event.revision;
+      return [{ kind: 'wait', round: state.round, ms: 4 * state.timing.tickMs }];
     default:
       return [];
   }
@@ -354,10 +359,10 @@
       return event.round === state.round && state.phase === 'looking' ? onLooked(state, event.leader) : [];
     case 'watched':
       if (event.round !== state.round || state.phase !== 'following') return [];
-      return event.answered ? look(state) : lookLater(state, state.timing.tick);
+      return event.answered ? look(state) : lookLater(state, state.timing.tickMs);
     case 'inherit':
-      return state.phase === 'following' && event.stamp === state.followed
-        ? ask(state, event.stamp, true)
+      return state.phase === 'following' && event.modRevision === state.followed
+        ? ask(state, event.modRevision, true)
         : [];
     case 'granted':
       if (event.round !== state.round || state.phase !== 'granting')
@@ -381,7 +386,7 @@
         leader.value?.incarnation === state.incarnation &&
         leader.value.term === sought.term &&
         term.value === sought.term;
-      return won ? hold(state, term.stamp, leader.stamp, true) : giveUpStanding(state);
+      return won ? hold(state, term.modRevision, leader.modRevision, true) : giveUpStanding(state);
     }
     default:
       return [];
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -86,7 +86,7 @@
   keepsUp(node: string, now: number): boolean {
     const peer = this.#peers.get(node);
     if (peer?.view == null || peer.link !== 'up') return false;
-    return this.isHeard(node, now) && peer.view.lateMs < 2 * this.timing.tick;
+    return this.isHeard(node, now) && peer.view.lateMs < 2 * this.timing.tickMs;
   }
 
   /** A peer's own word refutes at once what was suspected of it. */
@@ -96,7 +96,7 @@
     const former = peer.view?.incarnation;
     if (former !== undefined && former !== view.incarnation) peer.formerLives.push(former);
     if (peer.formerLives.length > MOST_LIVES) peer.formerLives.shift();
-    const gap = peer.heardAt === null || now - peer.heardAt > 2 * this.timing.longestReport;
+    const gap = peer.heardAt === null || now - peer.heardAt > 2 * this.timing.maxHeartbeatIntervalMs;
     if (gap || peer.view?.incarnation !== view.incarnation) {
       peer.since = now;
       peer.gaps.restart(now);
@@ -125,18 +125,18 @@
 
   /** How late this node's own timer fired. */
   ticked(lateMs: number, now: number): void {
-    const { tick, longestReport } = this.timing;
+    const { tickMs, maxHeartbeatIntervalMs } = this.timing;
     // The worst of late, fading: one timer that fires in time does not make a slow process fast.
-    const faded = this.#lateMs * Math.exp(-(now - this.#lateAt) / longestReport);
+    const faded = this.#lateMs * Math.exp(-(now - this.#lateAt) / maxHeartbeatIntervalMs);
     this.#lateMs = Math.max(lateMs, Number.isFinite(faded) ? faded : 0);
     this.#lateAt = now;
-    this.#inTime = lateMs > tick / 2 ? 0 : this.#inTime + 1;
+    this.#inTime = lateMs > tickMs / 2 ? 0 : this.#inTime + 1;
     // A single stall makes nobody slow.
     if (this.#inTime >= IN_TIME) this.#behindSince = null;
-    else if (lateMs > tick / 2) this.#behindSince ??= now;
+    else if (lateMs > tickMs / 2) this.#behindSince ??= now;
     // What came meanwhile lies in queues: nobody is judged before it is worked off.
-    if (lateMs > 2 * tick) this.#doubtUntil = now + longestReport;
-    else if (lateMs > tick) this.#doubtUntil = Math.max(this.#doubtUntil, now + 2 * tick);
+    if (lateMs > 2 * tickMs) this.#doubtUntil = now + maxHeartbeatIntervalMs;
+    else if (lateMs > tickMs) this.#doubtUntil = Math.max(this.#doubtUntil, now + 2 * tickMs);
   }
 
   /** A worker that has served the present leader came by, sent by nobody. */
@@ -149,7 +149,7 @@
   /** Workers that came by of late, sent by nobody. */
   strays(now: number): number {
     for (const [machine, at] of this.#strays) {
-      if (now - at <= this.timing.longestReport) break;
+      if (now - at <= this.timing.maxHeartbeatIntervalMs) break;
       this.#strays.delete(machine);
     }
     return this.#strays.size;
@@ -176,7 +176,9 @@
   }
 
   lateMs(now: number): number {
-    return Math.round(this.#lateMs * Math.exp(-Math.max(0, now - this.#lateAt) / this.timing.longestReport));
+    return Math.round(
+      this.#lateMs * Math.exp(-Math.max(0, now - this.#lateAt) / this.timing.maxHeartbeatIntervalMs),
+    );
   }
 
   /** Whether this node has stood still and not caught up: it doubts itself before it doubts others. */
@@ -209,7 +211,7 @@
   /** Whether a peer has been heard within the longest report. */
   isHeard(node: string, now: number): boolean {
     const heardAt = this.#peers.get(node)?.heardAt ?? null;
-    return heardAt !== null && now - heardAt < this.timing.longestReport;
+    return heardAt !== null && now - heardAt < this.timing.maxHeartbeatIntervalMs;
   }
 
   /** Whether another controller than one is heard. */
@@ -279,7 +281,7 @@
   #doubtsOf(node: string, now: number): number {
     const doubts = this.#doubts.get(node);
     if (doubts === undefined) return 0;
-    return Math.max(0, doubts.times - Math.floor((now - doubts.at) / (8 * this.timing.workerLease)));
+    return Math.max(0, doubts.times - Math.floor((now - doubts.at) / (8 * this.timing.workerLeaseMs)));
   }
 
   standings(): Standing[] {
@@ -330,7 +332,9 @@
   /** Whether this node is slow, and behind its timers, and has been for a while. */
   isBehind(now: number): boolean {
     return (
-      this.pace.isSlow && this.#behindSince !== null && now - this.#behindSince > this.timing.longestReport
+      this.pace.isSlow &&
+      this.#behindSince !== null &&
+      now - this.#behindSince > this.timing.maxHeartbeatIntervalMs
     );
   }
 
@@ -358,7 +362,7 @@
       preferred.has(node) &&
       this.isHeard(node, now) &&
       this.#peers.get(node)?.view?.round !== this.knocks.round;
-    const early = now - this.knocks.at < this.timing.tick;
+    const early = now - this.knocks.at < this.timing.tickMs;
     if (early && rank(first) === 0 && [...this.#peers.keys()].some(awaited)) return null;
     return { to: first.peer.node, why: first.why };
   }
--- a/src/membership/pace.ts
+++ b/src/membership/pace.ts
@@ -31,11 +31,12 @@
   ) {}
 
   worked(steadyMs: number, processorMs: number, now: number): void {
-    const { longestReport } = this.timing;
+    const { maxHeartbeatIntervalMs } = this.timing;
     if (this.#from === -Infinity) this.#from = now;
     this.#steadyMs += steadyMs;
     this.#processorMs += processorMs;
-    if (now - this.#from < longestReport || this.#processorMs < LEAST_WORK * longestReport) return;
+    if (now - this.#from < maxHeartbeatIntervalMs || this.#processorMs < LEAST_WORK * maxHeartbeatIntervalMs)
+      return;
     if (this.#latest !== null) this.#windows.push(this.#latest);
     if (this.#windows.length > KEPT) this.#windows.shift();
     this.#latest = this.#steadyMs / this.#processorMs;
--- a/src/membership/routing.ts
+++ b/src/membership/routing.ts
@@ -49,13 +49,13 @@
   /** Whether a worker with this token left its leader by itself, sent by nobody. */
   isStray(machine: string, token: number, reach: Reach, now: number): boolean {
     const sent = this.#sent.get(machine);
-    const { longestReport, workerLease } = this.timing;
+    const { maxHeartbeatIntervalMs, workerLeaseMs } = this.timing;
     if (token === 0 || token !== reach.token) return false;
-    return sent === undefined || now - sent > workerLease || now - sent > 1.5 * longestReport;
+    return sent === undefined || now - sent > workerLeaseMs || now - sent > 1.5 * maxHeartbeatIntervalMs;
   }
 
   route(machine: string, token: number, reach: Reach, now: number): Route {
-    const { longestReport, workerLease, leaderLease } = this.timing;
+    const { maxHeartbeatIntervalMs, workerLeaseMs, leaderLeaseMs } = this.timing;
     const { leader, lostAt } = reach;
     if (leader === null || reach.token === 0 || token > reach.token) return 'away';
     const sent = this.#sent.get(machine);
@@ -64,17 +64,19 @@
     // the leader calls that quiet. It is answered once and then sent again: kept here until its
     // lease had passed by, it was silent to a leader that could hear it again, and given back alive.
     const inVain =
-      sent === undefined ? reach.quiet : now - sent < workerLease && now - sent > 1.5 * longestReport;
+      sent === undefined
+        ? reach.quiet
+        : now - sent < workerLeaseMs && now - sent > 1.5 * maxHeartbeatIntervalMs;
     // Nobody listens there: it is followed within a moment, and the next controller may be its
     // successor already. Sent back to it, workers tried a dead leader by turns. Where nobody else is
     // left, this node will be: sent away they came back seconds later, some too late for their lease.
-    const falling = lostAt !== null && now - lostAt < leaderLease;
+    const falling = lostAt !== null && now - lostAt < leaderLeaseMs;
     if (falling && reach.others) return 'away';
     // Links that are refused say nothing of workers: a healthy leader got none for a minute,
     // because its peers' links were refused and each follower kept those that came to it.
     const reachable = reach.heard || (lostAt !== null && reach.recorded);
     if (reachable && !inVain && !falling) {
-      if (sent === undefined || now - sent > 1.5 * longestReport) this.#note(machine, now);
+      if (sent === undefined || now - sent > 1.5 * maxHeartbeatIntervalMs) this.#note(machine, now);
       return 'on';
     }
     this.#note(machine, now);
--- a/src/membership/table.ts
+++ b/src/membership/table.ts
@@ -72,11 +72,11 @@
 const MANY = 8;
 
 /** How often controllers tell their views, in milliseconds. */
-export const toldEvery = (timing: Timing): number => 2 * timing.tick;
+export const toldEvery = (timing: Timing): number => 2 * timing.tickMs;
 
 /** Whether a round is young enough to go by. */
 const isFresh = ({ asked, at }: Round, { now, timing }: Scene): boolean =>
-  asked > 0 && now - at < 2 * timing.longestReport;
+  asked > 0 && now - at < 2 * timing.maxHeartbeatIntervalMs;
 
 /** Whether this node met hardly anybody in a round. */
 const isUnmet = (round: Round, scene: Scene): boolean =>
@@ -89,10 +89,11 @@
 /** Whether a leader hears far fewer of its workers than should speak. */
 export function isDeaf({ hearing, behindSince, lateMs }: Own, timing: Timing): boolean {
   // One that is behind hears late what was said in time.
-  if (hearing === null || behindSince !== null || lateMs > timing.tick / 4) return false;
-  const { heard, expected, silentMs } = hearing;
+  if (hearing === null || behindSince !== null || lateMs > timing.tickMs / 4) return false;
+  const { reporting, expected, silentMs } = hearing;
   return (
-    (expected >= MANY && silentMs > 2 * timing.tick) || (expected >= FEW && heard < LEAST_HEARD * expected)
+    (expected >= MANY && silentMs > 2 * timing.tickMs) ||
+    (expected >= FEW && reporting < LEAST_HEARD * expected)
   );
 }
 
@@ -102,12 +103,12 @@
   { name: 'link lost', holds: ({ lostAt }) => lostAt !== null },
   {
     name: 'behind its own timers',
-    holds: ({ view }, { timing }) => (view?.lateMs ?? 0) > 2 * timing.tick,
+    holds: ({ view }, { timing }) => (view?.lateMs ?? 0) > 2 * timing.tickMs,
   },
   {
     name: 'not served by the state service',
     holds: ({ view }, { timing, own }) =>
-      (view?.stateAgeMs ?? 0) > 2 * timing.stateTimeout && own.stateAgeMs < 2 * timing.stateTimeout,
+      (view?.stateAgeMs ?? 0) > 2 * timing.storeTimeoutMs && own.stateAgeMs < 2 * timing.storeTimeoutMs,
   },
 ];
 
@@ -121,7 +122,7 @@
   // Something between the nodes that refuses for long says nothing of who is alive now.
   {
     name: 'refused of late',
-    holds: ({ lostAt }, { now, timing }) => lostAt !== null && now - lostAt < timing.leaderLease,
+    holds: ({ lostAt }, { now, timing }) => lostAt !== null && now - lostAt < timing.leaderLeaseMs,
   },
   {
     name: 'no witness hears it',
@@ -142,7 +143,7 @@
   { name: 'this node has not stood still', holds: (_, { own }) => !own.doubtsItself },
   {
     name: 'the state service answers this node',
-    holds: (_, { own, timing }) => own.stateAgeMs < 2 * timing.stateTimeout,
+    holds: (_, { own, timing }) => own.stateAgeMs < 2 * timing.storeTimeoutMs,
   },
 ];
 
@@ -151,7 +152,7 @@
   { name: 'heard', holds: ({ gaps, lostAt }, { now }) => lostAt === null && gaps.phi(now) < UNUSUAL },
   {
     name: 'served',
-    holds: ({ view }, { timing }) => view !== null && view.stateAgeMs < 2 * timing.stateTimeout,
+    holds: ({ view }, { timing }) => view !== null && view.stateAgeMs < 2 * timing.storeTimeoutMs,
   },
   // One that was cut off from the workers was handed back the lead, for its peers heard it well.
   {
@@ -159,7 +160,7 @@
     holds: ({ view }, scene) =>
       scene.own.machines === 0 || isMetBy(view, scene.own.knocks, scene) || (view?.strays ?? 0) >= STRAYS,
   },
-  { name: 'keeps up', holds: ({ view }, { timing }) => view !== null && view.lateMs < timing.tick },
+  { name: 'keeps up', holds: ({ view }, { timing }) => view !== null && view.lateMs < timing.tickMs },
 ];
 
 /** Why a leader hands over that should not lead again before it has heard a worker. */
@@ -178,9 +179,9 @@
     holds: (_, { own, now, timing }) =>
       own.isSlow &&
       own.behindSince !== null &&
-      now - own.behindSince > 2 * timing.longestReport &&
+      now - own.behindSince > 2 * timing.maxHeartbeatIntervalMs &&
       // Whoever comes to lead has much to do at first, and may have it from one that was slow for its load.
-      now - own.ledFrom > 2 * timing.workerLease,
+      now - own.ledFrom > 2 * timing.workerLeaseMs,
   },
 ];
 
--- a/src/membership/views.ts
+++ b/src/membership/views.ts
@@ -1,5 +1,5 @@
 /** What controllers see of one another, and tell. */
-export type { Hearing } from '../core/model.js';
+export type { HealthCounts as Hearing } from '../core/model.js';
 
 /** What became of the link that this node dials to another. */
 export type Link =
--- a/src/memory.ts
+++ b/src/memory.ts
@@ -67,8 +67,8 @@
     const { clock, log, quotaMb } = this.context;
     const usedMb = Math.round(this.context.residentBytes() / BYTES_PER_MB);
     if (usedMb < NEAR_QUOTA_SHARE * quotaMb) return;
-    if (clock.mono() - this.#warnedNearAt < WARNING_INTERVAL_MS) return;
-    this.#warnedNearAt = clock.mono();
+    if (clock.monotonicMs() - this.#warnedNearAt < WARNING_INTERVAL_MS) return;
+    this.#warnedNearAt = clock.monotonicMs();
     this.context.dropCaches();
     log.warn({ usedMb, quotaMb, machines: this.context.machines() }, 'memory near quota, caches dropped');
   }
@@ -77,8 +77,8 @@
     const { clock, log, quotaMb } = this.context;
     const machines = this.context.machines();
     if (machines === 0 || memoryQuotaFault(quotaMb, machines) === null) return;
-    if (clock.mono() - this.#warnedSmallAt < WARNING_INTERVAL_MS) return;
-    this.#warnedSmallAt = clock.mono();
+    if (clock.monotonicMs() - this.#warnedSmallAt < WARNING_INTERVAL_MS) return;
+    this.#warnedSmallAt = clock.monotonicMs();
     log.warn({ machines, quotaMb, estimateMb: estimatedMemoryMb(machines) }, 'memory quota too small');
   }
 }
--- a/src/owner.ts
+++ b/src/owner.ts
@@ -39,7 +39,7 @@
   }
 
   #work(batch: readonly Command[]): void {
-    const now = { mono: this.clock.mono(), wall: this.clock.wall() };
+    const now = { monotonicMs: this.clock.monotonicMs(), epochMs: this.clock.epochMs() };
     const end = batch.some(({ kind }) => kind === 'tick') ? this.clock.measure() : null;
     let effects: Effect[];
     try {
--- a/src/policy.ts
+++ b/src/policy.ts
@@ -3,7 +3,7 @@
  * Language, checked before it is used and evaluated once for each job or machine type.
  */
 import { Environment } from '@marcbachmann/cel-js';
-import type { PolicyFigures } from './core/model.js';
+import type { SchedulingPolicy } from './core/model.js';
 import type { JobSpec, MachineType } from './core/types.js';
 import type { Log } from './logging.js';
 import type { PlatformSettings } from './settings.js';
@@ -242,7 +242,7 @@
 }
 
 /** The figures by which the core goes: the defaults, and what a sound policy puts in their place. */
-export function createPolicy(settings: PlatformSettings, text = '', log?: Log): PolicyFigures {
+export function createPolicy(settings: PlatformSettings, text = '', log?: Log): SchedulingPolicy {
   const { expressions, faults } = readPolicy(text, settings);
   const [first] = faults;
   if (first !== undefined) throw new PolicyError(tellFault(first));
@@ -296,14 +296,14 @@
   const bound = perJob('start_bound_s');
   const hold = perType('idle_hold_s');
   return {
-    expectedRun: (job) => job.estimateS * 1000 * multiplier(job),
-    overrunAllowance: (job) => allowance(job) * 1000,
-    placingWait: figure('placing_wait_s', {}) * 1000,
-    idleHold: (type, spot) => hold(type, spot) * 1000,
-    startBound: (job) => bound(job) * 1000,
-    deadlineSlack: perJob('deadline_slack'),
-    headroom: perJob('headroom'),
-    headroomMemory: figure('headroom_memory_s', {}) * 1000,
-    sharedReportsFrom: figure('shared_reports_from', {}),
+    expectedRunMs: (job) => job.estimateS * 1000 * multiplier(job),
+    overrunAllowanceMs: (job) => allowance(job) * 1000,
+    maxPlacementDelayMs: figure('placing_wait_s', {}) * 1000,
+    idleTimeoutMs: (type, spot) => hold(type, spot) * 1000,
+    maxWaitMs: (job) => bound(job) * 1000,
+    deadlineSlackShare: perJob('deadline_slack'),
+    headroomFactor: perJob('headroom'),
+    demandDecayMs: figure('headroom_memory_s', {}) * 1000,
+    sharedHeartbeatsMinMachines: figure('shared_reports_from', {}),
   };
 }
--- a/src/service.ts
+++ b/src/service.ts
@@ -6,21 +6,21 @@
 import { HttpStateService } from './adapters/state.js';
 import { HttpWorkers } from './adapters/workers.js';
 import { systemClock } from './clock.js';
-import type { PolicyFigures } from './core/model.js';
+import type { SchedulingPolicy } from './core/model.js';
 import type { Log } from './logging.js';
 import { MemoryWatch } from './memory.js';
 import { ControllerNode } from './controller/node.js';
 import { parseAddress, timing, type PlatformSettings } from './settings.js';
 
-export function startService(settings: PlatformSettings, policy: PolicyFigures, log: Log): void {
+export function startService(settings: PlatformSettings, policy: SchedulingPolicy, log: Log): void {
   const clock = systemClock;
   const times = timing(settings);
   const node = new ControllerNode(settings, {
     state: new HttpStateService(settings, clock),
     cloud: new HttpCloud(settings, clock),
     workers: new HttpWorkers(
-      2 * times.longestReport,
-      times.knock,
+      2 * times.maxHeartbeatIntervalMs,
+      times.probeTimeoutMs,
       Math.ceil(settings.cluster.quota.sockets / 16),
     ),
     clock,
--- a/src/settings.ts
+++ b/src/settings.ts
@@ -134,23 +134,23 @@
   const lease = lease_s * 1000;
   const report = report_s * 1000;
   return {
-    leaderLease: Math.max(1000, 0.2 * lease),
-    renewEvery: Math.max(250, 0.05 * lease),
+    leaderLeaseMs: Math.max(1000, 0.2 * lease),
+    renewIntervalMs: Math.max(250, 0.05 * lease),
     // A tenth of cancel_s is the margin for late timers, drifting clocks and the
     // worker's own reaction.
-    authority: Math.max(0, (0.9 * cancel_s - lease_s) * 1000),
-    workerLease: lease,
-    longestReport: 1.25 * report,
-    silence: lease + 1.25 * report,
+    authorityWindowMs: Math.max(0, (0.9 * cancel_s - lease_s) * 1000),
+    workerLeaseMs: lease,
+    maxHeartbeatIntervalMs: 1.25 * report,
+    silenceTimeoutMs: lease + 1.25 * report,
     // Longer than a worker takes to try its other nodes after one left it without answer.
-    shortSilence: 0.5 * lease + 1.25 * report,
-    cancel: cancel_s * 1000,
-    watchWait: 0.1 * lease,
-    stateTimeout: 0.15 * lease,
-    tick: 0.25 * report,
-    knock: 0.3 * report,
-    exitHold: 0.2 * lease,
-    replyHold: 0.25 * report,
-    forwardHold: 0.02 * report,
+    shortSilenceTimeoutMs: 0.5 * lease + 1.25 * report,
+    cancelTimeoutMs: cancel_s * 1000,
+    watchTimeoutMs: 0.1 * lease,
+    storeTimeoutMs: 0.15 * lease,
+    tickMs: 0.25 * report,
+    probeTimeoutMs: 0.3 * report,
+    exitBatchDelayMs: 0.2 * lease,
+    maxReplyDelayMs: 0.25 * report,
+    forwardBatchDelayMs: 0.02 * report,
   };
 }
--- a/src/upgrade.ts
+++ b/src/upgrade.ts
@@ -6,7 +6,7 @@
  */
 import type { StateService } from './adapters/state.js';
 import type { Clock } from './clock.js';
-import type { Layout } from './core/model.js';
+import type { RecordLayout } from './core/model.js';
 import { lastingLimits, type PlatformSettings, type StateLimits } from './settings.js';
 import {
   decodeFormat,
@@ -26,20 +26,20 @@
 
 const wholeBytes = (bytes: number): number => 8 * Math.max(1, Math.floor(bytes / 8));
 
-function layout(limits: StateLimits, width: number | null, tasks: number): Layout {
+function layout(limits: StateLimits, width: number | null, tasks: number): RecordLayout {
   const writeRate = WRITE_SHARE * limits.write_rps;
   return {
-    width,
-    tasks,
-    txnOps: limits.txn_ops,
-    valueBytes: limits.value_kb * 1024,
-    writeRate,
+    keyWidth: width,
+    tasksPerChunk: tasks,
+    maxMutations: limits.txn_ops,
+    maxValueBytes: limits.value_kb * 1024,
+    writesPerSecond: writeRate,
     writeBurst: Math.max(writeRate, limits.txn_ops),
   };
 }
 
 /** How the first versions write: their chunks are as wide as a value allows. */
-export function firstLayout({ cluster: { state } }: PlatformSettings): Layout {
+export function firstLayout({ cluster: { state } }: PlatformSettings): RecordLayout {
   return layout(state, null, wholeBytes((state.value_kb * 1024) / BYTES_PER_TASK));
 }
 
@@ -48,7 +48,7 @@
  * measure stay as they are where they will go on fitting. The width once written down only
  * shrinks, for a narrower record outranks a wider one.
  */
-export function lastingLayout(settings: PlatformSettings, { wide, tasks }: FormatRecord): Layout {
+export function lastingLayout(settings: PlatformSettings, { wide, tasks }: FormatRecord): RecordLayout {
   const limits = lastingLimits(settings);
   const least = Math.min(tasks, fittingTasks(limits));
   return least < wide ? layout(limits, least, least) : layout(limits, null, wide);
@@ -61,7 +61,7 @@
 export function formatRecord(settings: PlatformSettings, known: FormatRecord | null): FormatRecord {
   const fitting = fittingTasks(lastingLimits(settings));
   if (known !== null) return { ...known, tasks: Math.min(known.tasks, fitting) };
-  const wide = firstLayout(settings).tasks;
+  const wide = firstLayout(settings).tasksPerChunk;
   return { format: FORMAT, wide, tasks: Math.min(wide, fitting) };
 }
 
@@ -71,8 +71,8 @@
   readonly clock: Clock;
   /** Time between two looks, in milliseconds. */
   readonly pause: number;
-  /** The stamp of the term while this node leads, else null. */
-  termStamp(): number | null;
+  /** The revision of the term while this node leads, else null. */
+  termRevision(): number | null;
   /** Whether a controller that cannot read the format is heard now. */
   hearsEarlier(): boolean;
   /** Called once, when the format is known to be in force. */
@@ -95,7 +95,7 @@
     while (this.#record === null) {
       if (!declared) {
         const write = { put: versionKey(settings.host_name), value: { format: FORMAT } };
-        declared = (await state.commit({ when: [], apply: [write] })).kind === 'applied';
+        declared = (await state.commit({ preconditions: [], mutations: [write] })).kind === 'applied';
       }
       if ((await this.look()) === null) await this.#switch();
       if (this.#record === null) await clock.sleep(pause);
@@ -118,9 +118,9 @@
 
   /** As the leader, puts the format in force once all controllers have declared that they read it. */
   async #switch(): Promise<void> {
-    const { state, settings, termStamp, hearsEarlier } = this.context;
-    const stamp = termStamp();
-    if (stamp === null || hearsEarlier()) return;
+    const { state, settings, termRevision, hearsEarlier } = this.context;
+    const modRevision = termRevision();
+    if (modRevision === null || hearsEarlier()) return;
     const found = await state.list(VERSION_PREFIX);
     if (found === 'unknown') return;
     const able = new Set(
@@ -130,11 +130,11 @@
     if (!nodes.every((node) => able.has(versionKey(node)))) return;
     const record = formatRecord(settings, null);
     const outcome = await state.commit({
-      when: [
-        { key: TERM_KEY, stamp },
-        { key: FORMAT_KEY, stamp: 0 },
+      preconditions: [
+        { key: TERM_KEY, modRevision },
+        { key: FORMAT_KEY, modRevision: 0 },
       ],
-      apply: [{ put: FORMAT_KEY, value: record }],
+      mutations: [{ put: FORMAT_KEY, value: record }],
     });
     // Without an answer the next look tells.
     if (outcome.kind === 'applied') this.#adopt(record);
--- a/src/wire/intake.ts
+++ b/src/wire/intake.ts
@@ -3,8 +3,8 @@
  * a field of the frames between controllers, which versions before sharing skip.
  */
 import protobuf from 'protobufjs/light.js';
-import type { Heartbeat } from '../core/fleet/index.js';
-import type { ExitReason, Report, ReportedTask, TaskStage, WorkerCommand } from '../core/types.js';
+import type { Keepalive } from '../core/fleet/index.js';
+import type { ExitReason, Heartbeat, ReportedTask, TaskStage, WorkerCommand } from '../core/types.js';
 
 interface Envelope {
   /** The sender, its life, and the term that it speaks of. */
@@ -18,14 +18,14 @@
 /** A report that the leader is to answer. */
 export interface ForwardedReport {
   readonly reference: number;
-  readonly report: Report;
+  readonly report: Heartbeat;
 }
 
 /** From a follower: reports with news, and the heartbeats of machines without. */
 export interface ReportsMessage extends Envelope {
   readonly kind: 'reports';
   readonly reports: readonly ForwardedReport[];
-  readonly heartbeats: readonly Heartbeat[];
+  readonly heartbeats: readonly Keepalive[];
 }
 
 /** What the leader says to a forwarded report. */
@@ -85,19 +85,19 @@
       type: { type: 'string', id: 4 },
       zone: { type: 'string', id: 5 },
       spot: { type: 'bool', id: 6 },
-      session: { type: 'double', id: 7 },
-      seq: { type: 'double', id: 8 },
+      agentEpoch: { type: 'double', id: 7 },
+      sequence: { type: 'double', id: 8 },
       token: { type: 'double', id: 9 },
       hasNotice: { type: 'bool', id: 10 },
-      noticeS: { type: 'double', id: 11 },
+      terminationNoticeS: { type: 'double', id: 11 },
       tasks: { rule: 'repeated', type: 'IntakeTask', id: 12 },
     },
   },
   IntakeHeartbeat: {
     fields: {
       machine: { type: 'string', id: 1 },
-      session: { type: 'double', id: 2 },
-      seq: { type: 'double', id: 3 },
+      agentEpoch: { type: 'double', id: 2 },
+      sequence: { type: 'double', id: 3 },
       ageMs: { type: 'uint32', id: 4 },
     },
   },
@@ -146,10 +146,10 @@
   readonly stage: number;
   readonly exit: number;
 }
-interface WireReport extends Omit<Report, 'noticeS' | 'tasks'> {
+interface WireReport extends Omit<Heartbeat, 'terminationNoticeS' | 'tasks'> {
   readonly reference: number;
   readonly hasNotice: boolean;
-  readonly noticeS: number;
+  readonly terminationNoticeS: number;
   readonly tasks: readonly WireTask[];
 }
 interface WireCommand {
@@ -164,7 +164,7 @@
 export interface WireIntake extends Envelope {
   readonly fromLeader: boolean;
   readonly reports: readonly WireReport[];
-  readonly heartbeats: readonly Heartbeat[];
+  readonly heartbeats: readonly Keepalive[];
   readonly answers: readonly (Omit<ForwardedAnswer, 'commands'> & {
     readonly commands: readonly WireCommand[];
   })[];
@@ -214,8 +214,8 @@
       reports: message.reports.map(({ reference, report }) => ({
         ...report,
         reference,
-        hasNotice: report.noticeS !== null,
-        noticeS: report.noticeS ?? 0,
+        hasNotice: report.terminationNoticeS !== null,
+        terminationNoticeS: report.terminationNoticeS ?? 0,
         tasks: report.tasks.map(taskToWire),
       })),
     };
@@ -237,9 +237,13 @@
       kind: 'reports',
       ...envelope,
       heartbeats: wire.heartbeats,
-      reports: wire.reports.map(({ reference, hasNotice, noticeS, tasks, ...report }) => ({
+      reports: wire.reports.map(({ reference, hasNotice, terminationNoticeS, tasks, ...report }) => ({
         reference,
-        report: { ...report, noticeS: hasNotice ? noticeS : null, tasks: tasks.map(taskFromWire) },
+        report: {
+          ...report,
+          terminationNoticeS: hasNotice ? terminationNoticeS : null,
+          tasks: tasks.map(taskFromWire),
+        },
       })),
     };
   return {
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -5,20 +5,20 @@
 export interface Entry {
   readonly key: string;
   readonly value: unknown;
-  readonly stamp: number;
+  readonly modRevision: number;
 }
 
 export interface Change {
   readonly key: string;
   /** Undefined: the key was removed. */
   readonly value: unknown;
-  readonly stamp: number;
+  readonly modRevision: number;
 }
 
 export function encodeTransaction(txn: Transaction): string {
   return JSON.stringify({
-    when: txn.when,
-    apply: txn.apply.map((write) =>
+    when: txn.preconditions.map(({ key, modRevision }) => ({ key, stamp: modRevision })),
+    apply: txn.mutations.map((write) =>
       'put' in write
         ? {
             put: write.put,
@@ -33,7 +33,7 @@
 function parseEntry(body: unknown): Entry | null {
   const raw = asObject(body);
   if (raw === null || !isText(raw['key']) || !isCount(raw['stamp'])) return null;
-  return { key: raw['key'], value: raw['data'], stamp: raw['stamp'] };
+  return { key: raw['key'], value: raw['data'], modRevision: raw['stamp'] };
 }
 
 export const parseValue = parseEntry;
@@ -70,15 +70,15 @@
     const event = asObject(body);
     if (event === null || !isCount(event['stamp'])) return null;
     if (isText(event['put'])) {
-      changes.push({ key: event['put'], value: event['data'], stamp: event['stamp'] });
+      changes.push({ key: event['put'], value: event['data'], modRevision: event['stamp'] });
     } else if (isText(event['remove'])) {
-      changes.push({ key: event['remove'], value: undefined, stamp: event['stamp'] });
+      changes.push({ key: event['remove'], value: undefined, modRevision: event['stamp'] });
     } else {
       return null;
     }
   }
   // A job that was entered and ended within one answer would live for ever, were its end told first.
-  changes.sort((one, other) => one.stamp - other.stamp);
+  changes.sort((one, other) => one.modRevision - other.modRevision);
   return { changes, revision };
 }
 
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,5 +1,5 @@
 /** The workers' interface: reports in, commands out. */
-import type { ExitReason, Report, ReportedTask, TaskStage, WorkerCommand } from '../core/types.js';
+import type { ExitReason, Heartbeat, ReportedTask, TaskStage, WorkerCommand } from '../core/types.js';
 import { asObject, isCount, isFlag, isText, isAmount } from '../core/values.js';
 
 const STAGES = new Map<unknown, TaskStage>([
@@ -42,7 +42,7 @@
 }
 
 /** A worker's report, or null if it is malformed in any part. */
-export function parseReport(body: unknown): Report | null {
+export function parseReport(body: unknown): Heartbeat | null {
   const raw = asObject(body);
   if (raw === null) return null;
   const { skiff, address, bench, hall, borrowed, watch, barNo, baton } = raw;
@@ -64,10 +64,10 @@
     type: bench,
     zone: hall,
     spot: borrowed,
-    session: watch,
-    seq: barNo,
+    agentEpoch: watch,
+    sequence: barNo,
     token: baton,
-    noticeS: notice,
+    terminationNoticeS: notice,
     tasks,
   };
 }
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -2,9 +2,9 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { earliest, Openings, type Planned } from '../src/core/autoscaling/index.js';
-import { collectRoom, earliestShadow, fits, freeRoom } from '../src/core/placement/index.js';
+import { reserveAcrossMachines, earliestShadow, fits, freeResources } from '../src/core/placement/index.js';
 import { claimTask, addJob } from '../src/core/persistence/index.js';
-import { machineNamed } from '../src/core/fleet/index.js';
+import { getOrCreateMachine } from '../src/core/fleet/index.js';
 import { CoreBench, EIGHT, job } from './standins/core.js';
 
 const room = fc.record({ cpus: fc.integer({ min: 1, max: 8 }), memoryGb: fc.integer({ min: 1, max: 64 }) });
@@ -63,16 +63,16 @@
       const { state } = bench;
       const now = bench.time();
       const capacityIndex = all.map((tasks, i) => {
-        const machine = machineNamed(state, `m${i}`, now);
+        const machine = getOrCreateMachine(state, `m${i}`, now);
         tasks.forEach(({ need: taken, at: end }, k) => {
-          if (!fits(taken, freeRoom(machine, EIGHT))) return;
+          if (!fits(taken, freeResources(machine, EIGHT))) return;
           const spec = job(`req-${i}-${k}`, 1, taken.cpus, 1, { memoryGb: taken.memoryGb });
-          claimTask(state, addJob(state, { value: spec, stamp: 1 }), 0, machine, now, end);
+          claimTask(state, addJob(state, { value: spec, modRevision: 1 }), 0, machine, now, end);
         });
         return state.capacityIndex.update(machine, EIGHT, (claim) => claim.expectedEnd);
       });
       const found = earliestShadow(state, of, now, () => true);
-      const plain = collectRoom(state, capacityIndex, of, 1, now);
+      const plain = reserveAcrossMachines(state, capacityIndex, of, 1, now);
       expect(found?.at).toBe(plain?.at);
       expect([...(found?.holds ?? [])]).toEqual([...(plain?.holds ?? [])]);
     }),
--- a/test/closer.test.ts
+++ b/test/closer.test.ts
@@ -12,8 +12,8 @@
 
 const puts =
   (prefix: string) =>
-  ({ apply }: Transaction): boolean =>
-    apply.some((write) => 'put' in write && write.put.startsWith(prefix));
+  ({ mutations }: Transaction): boolean =>
+    mutations.some((write) => 'put' in write && write.put.startsWith(prefix));
 
 const crashLeader = (world: World, downMs: number): void =>
   world.crash(NODES.indexOf(world.leaders()[0] ?? ''), downMs);
@@ -101,10 +101,10 @@
     const effect = effects.find((one) => one.kind === kind);
     return effect !== undefined && 'round' in effect ? effect.round : -1;
   };
-  const nobody = { value: null, stamp: 0, revision: 1 };
+  const nobody = { value: null, modRevision: 0, revision: 1 };
   let told = electionStep(election, { kind: 'start' });
   told = electionStep(election, { kind: 'read', round: round(told, 'read'), leader: nobody });
-  const term = { value: 1, stamp: 1 };
+  const term = { value: 1, modRevision: 1 };
   told = electionStep(election, { kind: 'granted', round: round(told, 'grant'), lease: 7, term, now: 0 });
   told = electionStep(election, {
     kind: 'stood',
@@ -112,17 +112,19 @@
     outcome: 'applied',
     revision: 2,
   });
-  expect(told).toContainEqual(expect.objectContaining({ kind: 'wait', ms: times.renewEvery }));
+  expect(told).toContainEqual(expect.objectContaining({ kind: 'wait', ms: times.renewIntervalMs }));
   told = electionStep(election, { kind: 'time', round: round(told, 'wait') });
   told = electionStep(election, { kind: 'renewed', round: round(told, 'renew'), alive: null });
-  expect(told).toEqual([expect.objectContaining({ kind: 'wait', ms: times.tick })]);
-  expect(times.stateTimeout + times.tick).toBeLessThan(times.leaderLease);
+  expect(told).toEqual([expect.objectContaining({ kind: 'wait', ms: times.tickMs })]);
+  expect(times.storeTimeoutMs + times.tickMs).toBeLessThan(times.leaderLeaseMs);
 });
 
 test('only the answer is lost: a successor that was named unseen leads', async () => {
   const { world, leader } = await atWork();
-  const renamed = ({ apply }: Transaction): boolean =>
-    apply.some((write) => 'put' in write && write.put === 'leader' && 'successor' in (write.value as object));
+  const renamed = ({ mutations }: Transaction): boolean =>
+    mutations.some(
+      (write) => 'put' in write && write.put === 'leader' && 'successor' in (write.value as object),
+    );
   world.state.loseOnce(renamed);
   let lost = false;
   world.state.onceLost(() => (lost = true));
@@ -194,7 +196,7 @@
   const commit = state.commit.bind(state);
   state.commit = (txn) => {
     const outcome = commit(txn);
-    if (outcome.kind === 'failed' && txn.apply.length > 0) failed += 1;
+    if (outcome.kind === 'failed' && txn.mutations.length > 0) failed += 1;
     return outcome;
   };
   world.oddRequests(40_000);
@@ -340,7 +342,7 @@
   const commit = state.commit.bind(state);
   state.commit = (txn) => {
     const outcome = commit(txn);
-    if (outcome.kind === 'applied' && !puts('memory/')(txn)) changes += txn.apply.length;
+    if (outcome.kind === 'applied' && !puts('memory/')(txn)) changes += txn.mutations.length;
     return outcome;
   };
   await clock.runUntil(10_000);
@@ -375,7 +377,7 @@
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 4, 50));
   bench.proven = false;
-  bench.now += bench.state.rules.timing.leaderLease + 1;
+  bench.now += bench.state.config.timing.leaderLeaseMs + 1;
   const blind = bench.hear(report('m', 2));
   expect(blind.some((effect) => effect.kind === 'reply' && effect.body.kind === 'commands')).toBe(true);
   expect(CoreBench.starts(blind)).toEqual([]);
@@ -387,9 +389,11 @@
 // Called directly it answered, so it was never given back; its tasks had long lost their lease.
 test('a machine that reaches no controller, and lost its lease, is given back although it answers calls', () => {
   const bench = new CoreBench();
-  const { silence, tick, workerLease } = bench.state.rules.timing;
+  const { silenceTimeoutMs, tickMs, workerLeaseMs } = bench.state.config.timing;
   for (const name of ['n', 'o', 'p']) bench.hear(report(name, 1));
-  bench.takeOver(job('req-1', 1, 4, 50), { 0: { attempt: 1, machine: 'm', session: 1, madeAt: bench.now } });
+  bench.takeOver(job('req-1', 1, 4, 50), {
+    0: { attempt: 1, machine: 'm', agentEpoch: 1, createdAt: bench.now },
+  });
   const listed = {
     name: 'm',
     address: '',
@@ -399,45 +403,49 @@
     stage: 'running',
     ageS: 9,
   } as const;
-  bench.do({ kind: 'listed', askedAt: bench.now, machines: [listed] });
+  bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: [listed] });
   const since = bench.now;
   let returned = 0;
-  for (let seq = 2; bench.now < since + 2 * workerLease + 3 * silence && returned === 0; seq += 1) {
-    bench.now += tick * 4;
+  for (
+    let seq = 2;
+    bench.now < since + 2 * workerLeaseMs + 3 * silenceTimeoutMs && returned === 0;
+    seq += 1
+  ) {
+    bench.now += tickMs * 4;
     for (const name of ['n', 'o', 'p']) bench.hear(report(name, seq));
-    const session = bench.now - since > workerLease ? 2 : 1;
+    const session = bench.now - since > workerLeaseMs ? 2 : 1;
     const on = session === 1 ? [task('req-1/0', 1, 'running')] : [];
-    bench.do({ kind: 'direct', report: report('m', seq, on, { session }) });
+    bench.do({ kind: 'directAnswer', heartbeat: report('m', seq, on, { agentEpoch: session }) });
     const back = bench
       .do({ kind: 'tick' })
-      .some((effect) => effect.kind === 'return' && effect.machines.includes('m'));
+      .some((effect) => effect.kind === 'terminate' && effect.machines.includes('m'));
     if (back) returned = bench.now;
   }
   // Held by somebody for all one can know until its lease is over; not much longer.
-  expect(returned - since).toBeGreaterThan(workerLease);
-  expect(returned - since).toBeLessThan(workerLease + 1.5 * silence);
+  expect(returned - since).toBeGreaterThan(workerLeaseMs);
+  expect(returned - since).toBeLessThan(workerLeaseMs + 1.5 * silenceTimeoutMs);
 });
 
 // Each new leader began to wait anew: through ten leaders in two minutes a cancelled task kept its place.
 test('a machine that no leader has heard is given back sooner if it holds cancelled work', () => {
-  const { shortSilence, tick } = new CoreBench().state.rules.timing;
+  const { shortSilenceTimeoutMs, tickMs } = new CoreBench().state.config.timing;
   const returnedAfter = (cancelled: boolean): number => {
     const bench = new CoreBench();
     bench.takeOver(job('req-1', 1, 4, 50), {
-      0: { attempt: 1, machine: 'm', session: 1, madeAt: bench.now },
+      0: { attempt: 1, machine: 'm', agentEpoch: 1, createdAt: bench.now },
     });
     for (const name of ['n', 'o', 'p']) bench.hear(report(name, 1));
     if (cancelled) bench.do({ kind: 'jobRemoved', id: 'req-1' });
     const since = bench.now;
     for (let seq = 2; bench.now < since + 60_000; seq += 1) {
-      bench.now += tick;
+      bench.now += tickMs;
       for (const name of ['n', 'o', 'p']) bench.hear(report(name, seq));
       const back = bench.do({ kind: 'tick' });
-      if (back.some((effect) => effect.kind === 'return' && effect.machines.includes('m')))
+      if (back.some((effect) => effect.kind === 'terminate' && effect.machines.includes('m')))
         return bench.now - since;
     }
     return Infinity;
   };
-  expect(returnedAfter(true)).toBeLessThan(shortSilence + 4 * tick);
-  expect(returnedAfter(false)).toBeGreaterThan(shortSilence + 4 * tick);
+  expect(returnedAfter(true)).toBeLessThan(shortSilenceTimeoutMs + 4 * tickMs);
+  expect(returnedAfter(false)).toBeGreaterThan(shortSilenceTimeoutMs + 4 * tickMs);
 });
--- a/test/easy.test.ts
+++ b/test/easy.test.ts
@@ -1,14 +1,14 @@
 /** The paper's rule, as traces kept beside: commands in (>), effects out (<). */
 import { expect, test } from 'vitest';
 import { mayBackfill, waitingJobs } from '../src/core/placement/index.js';
-import { isPressed } from '../src/core/jobs/index.js';
-import type { ClassAims } from '../src/core/model.js';
+import { isDeadlineAtRisk } from '../src/core/jobs/index.js';
+import type { ClassObjectives } from '../src/core/model.js';
 import { CoreBench, EIGHT, job, report, task } from './standins/core.js';
 
 /** From now on a class has a start aim. */
 function startWithin(bench: CoreBench, jobClass: string, ms: number): void {
-  const aims = bench.state.rules.aims as Map<string, ClassAims>;
-  aims.set(jobClass, { starts: [ms], deadlines: [], finishes: [] });
+  const aims = bench.state.config.objectives as Map<string, ClassObjectives>;
+  aims.set(jobClass, { startTargetsMs: [ms], deadlineMultiples: [], finishTargetsMs: [] });
 }
 
 const room = (cpus: number) => ({ cpus, gpus: 0, memoryGb: cpus });
@@ -74,18 +74,18 @@
 
 test('an overrunning task goes on, and is expected to end an allowance from now', () => {
   const bench = blockedHead();
-  const before = bench.state.head?.shadow ?? 0;
+  const before = bench.state.head?.shadowTime ?? 0;
   bench.now += 150_000;
-  bench.state.placeDirty = true;
+  bench.state.isPlacementDue = true;
   bench.state.leadership = {
-    ...(bench.state.leadership ?? { term: 5, stamp: 100, since: 0 }),
+    ...(bench.state.leadership ?? { term: 5, modRevision: 100, since: 0 }),
     authorityUntil: Infinity,
-    provenAt: 0,
-    calls: { left: 0, at: 0 },
+    viewConfirmedAt: 0,
+    directCallBudget: { left: 0, at: 0 },
   };
   bench.hear(report('m', 4, [task('req-1/0', 1, 'running')]));
   bench.do({ kind: 'tick' });
-  expect(bench.state.head?.shadow).toBe(bench.now + bench.state.rules.timing.workerLease);
+  expect(bench.state.head?.shadowTime).toBe(bench.now + bench.state.config.timing.workerLeaseMs);
   expect(before).toBeLessThan(bench.now);
 });
 
@@ -105,7 +105,7 @@
   bench.add(job('req-1', 1, 6, 0, { form: 'service' }));
   bench.hear(report('m', 2));
   bench.add(job('req-2', 1, 4, 50));
-  expect(bench.state.head).toMatchObject({ job: 'req-2', shadow: null });
+  expect(bench.state.head).toMatchObject({ job: 'req-2', shadowTime: null });
 });
 
 test('a gang starts whole or not at all', () => {
@@ -172,8 +172,8 @@
 test('what can no longer start in time, its way to the machine counted, stands behind what can', () => {
   const bench = new CoreBench();
   startWithin(bench, 'class', 5000);
-  const { longestReport } = bench.state.rules.timing;
-  const old = job('req-1', 1, 8, 50, { submittedAt: bench.now - 5000 + longestReport });
+  const { maxHeartbeatIntervalMs } = bench.state.config.timing;
+  const old = job('req-1', 1, 8, 50, { submittedAt: bench.now - 5000 + maxHeartbeatIntervalMs });
   const fresh = job('req-2', 1, 8, 50, { submittedAt: bench.now - 1000 });
   bench.add(old);
   bench.add(fresh);
@@ -189,7 +189,7 @@
     const spec = job(`req-${ageS}`, 1, 8, 10, { deadlineS: 30, submittedAt: bench.now - ageS * 1000 });
     bench.add(spec);
     const state = bench.state.jobs.get(spec.id);
-    return state !== undefined && isPressed(bench.state, state, bench.time());
+    return state !== undefined && isDeadlineAtRisk(bench.state, state, bench.time());
   };
   expect([1, 2.5, 10, 17, 25].map(pressedAt)).toEqual([false, true, false, true, false]);
 });
@@ -221,13 +221,13 @@
     spec: rush,
     peak: 2,
     arrivals: [],
-    at: bench.now,
-    arrivedAt: bench.now,
-    gap: 60_000,
+    updatedAt: bench.now,
+    lastArrivalAt: bench.now,
+    meanArrivalGap: 60_000,
   });
   bench.hear(report('m', 1));
   bench.hear(report('n', 1));
-  bench.state.machines.get('n')?.images.set('img', 1);
+  bench.state.machines.get('n')?.cachedImages.set('img', 1);
   bench.do({ kind: 'tick' });
   bench.add(job('req-1', 8, 2, 50));
   const onM = CoreBench.starts(bench.hear(report('m', 2)));
@@ -245,7 +245,13 @@
   const large = { ...EIGHT, name: 'large', cpus: 64, memoryGb: 256 };
   const bench = new CoreBench(0, [EIGHT, large]);
   startWithin(bench, 'rush', 3000);
-  const came = { peak: 4, arrivals: [], at: bench.now, arrivedAt: bench.now, gap: 60_000 };
+  const came = {
+    peak: 4,
+    arrivals: [],
+    updatedAt: bench.now,
+    lastArrivalAt: bench.now,
+    meanArrivalGap: 60_000,
+  };
   bench.state.demand.set('rush', { ...came, spec: job('req-9', 1, 2, 20, { jobClass: 'rush' }) });
   bench.state.demand.set('mix', { ...came, spec: job('req-8', 1, 32, 20, { jobClass: 'mix' }) });
   bench.hear(report('m', 1, [], { type: 'large' }));
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -1,7 +1,7 @@
 /** Jobs with a mistake and faulty machines, told apart by what fails where. */
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
-import { isAtFault } from '../src/core/placement/index.js';
+import { isFaultyJob } from '../src/core/placement/index.js';
 import type { ReportedTask } from '../src/core/types.js';
 import { CoreBench, job, report, task } from './standins/core.js';
 
@@ -50,12 +50,12 @@
 
   #note(effects: readonly Effect[]): void {
     for (const effect of effects)
-      if (effect.kind === 'return') for (const name of effect.machines) this.returned.add(name);
+      if (effect.kind === 'terminate') for (const name of effect.machines) this.returned.add(name);
   }
 
   isAtFault(id: string): boolean {
     const found = this.bench.state.jobs.get(id);
-    return found !== undefined && isAtFault(found);
+    return found !== undefined && isFaultyJob(found);
   }
 }
 
@@ -81,10 +81,10 @@
   floor.add('req-1', 1, 8, 20);
   floor.round();
   floor.round();
-  const [first] = ['m', 'n', 'o', 'p', 'q'].filter((name) => machine(name)?.erredJobs.has('req-1') === true);
+  const [first] = ['m', 'n', 'o', 'p', 'q'].filter((name) => machine(name)?.failedJobs.has('req-1') === true);
   expect(first).toBeDefined();
   for (let i = 0; i < 4; i += 1) floor.round();
-  expect(floor.names.filter((name) => machine(name)?.erredJobs.size !== 0)).toEqual([]);
+  expect(floor.names.filter((name) => machine(name)?.failedJobs.size !== 0)).toEqual([]);
 });
 
 test('a machine on which several jobs fail that complete elsewhere goes back', () => {
@@ -133,7 +133,7 @@
     expect(started).toBeLessThan(2);
     if (started > 0) tries.push(i);
     expect(state.head?.job).not.toBe('req-1');
-    expect(state.present.get('class') ?? 0).toBeLessThan(2);
+    expect(state.outstandingByClass.get('class') ?? 0).toBeLessThan(2);
   }
   const gaps = tries.slice(1).map((at, i) => at - (tries[i] ?? 0));
   expect(gaps.length).toBeGreaterThan(2);
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,17 +1,17 @@
 /** Many machines lost at once: what is given back, what runs again, and what a cut-off leader must not ask for. */
 import { expect, test } from 'vitest';
 import { RetryBudget } from '../src/adapters/limiter.js';
-import { aimsLost, isHurried, latestStart } from '../src/core/jobs/index.js';
+import { countLostObjectives, isStartSensitive, latestStart } from '../src/core/jobs/index.js';
 import { classAims } from '../src/rules.js';
 import type { Effect } from '../src/core/effects.js';
-import type { ClassAims } from '../src/core/model.js';
+import type { ClassObjectives } from '../src/core/model.js';
 import { claimTask } from '../src/core/persistence/index.js';
 import { CoreBench, EIGHT, job, report, task } from './standins/core.js';
 
 const returned = (effects: readonly Effect[]): string[] =>
-  effects.flatMap((effect) => (effect.kind === 'return' ? effect.machines : []));
+  effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
 const rented = (effects: readonly Effect[]): number =>
-  effects.reduce((sum, effect) => sum + (effect.kind === 'rent' ? effect.count : 0), 0);
+  effects.reduce((sum, effect) => sum + (effect.kind === 'provision' ? effect.count : 0), 0);
 
 // Of two start aims of a class the last one in the settings won: a class that must start within
 // three seconds was served as one that may wait for fifty.
@@ -23,16 +23,23 @@
     { kind: 'deadline', class: 'rush', times: 1.5 },
     { kind: 'deadline', class: 'rush' },
   ]);
-  expect(aims.get('rush')).toEqual({ starts: [3000, 50_000], deadlines: [1, 1.5], finishes: [100_000] });
+  expect(aims.get('rush')).toEqual({
+    startTargetsMs: [3000, 50_000],
+    deadlineMultiples: [1, 1.5],
+    finishTargetsMs: [100_000],
+  });
   const bench = new CoreBench();
-  (bench.state.rules.aims as Map<string, ClassAims>).set('rush', aims.get('rush') as ClassAims);
+  (bench.state.config.objectives as Map<string, ClassObjectives>).set(
+    'rush',
+    aims.get('rush') as ClassObjectives,
+  );
   bench.add(job('req-1', 1, 2, 20, { jobClass: 'rush', priority: 1, deadlineS: 50, submittedAt: bench.now }));
   const [rush] = bench.state.jobs.values();
   if (rush === undefined) throw new Error('no job');
-  expect(isHurried(bench.state, rush.spec)).toBe(true);
+  expect(isStartSensitive(bench.state, rush.spec)).toBe(true);
   const lostAfter = (s: number): number => {
-    const now = { mono: bench.now + 1000 * s, wall: bench.now + 1000 * s };
-    return aimsLost(bench.state, rush, now).lost;
+    const now = { monotonicMs: bench.now + 1000 * s, epochMs: bench.now + 1000 * s };
+    return countLostObjectives(bench.state, rush, now).lost;
   };
   expect([0, 2, 40, 60, 90].map(lostAfter)).toEqual([0, 1, 2, 4, 5]);
   expect(latestStart(bench.state, rush, bench.time())).toBeLessThanOrEqual(bench.now + 3000);
@@ -45,9 +52,15 @@
   const names = ['m', 'n', 'o', 'p'];
   for (const name of names) bench.hear(report(name, 1));
   bench.proven = false;
-  bench.now += 3 * bench.state.rules.timing.silence;
+  bench.now += 3 * bench.state.config.timing.silenceTimeoutMs;
   bench.state.leadership = {
-    ...(bench.state.leadership ?? { term: 5, stamp: 100, since: 0, provenAt: 0, calls: { left: 0, at: 0 } }),
+    ...(bench.state.leadership ?? {
+      term: 5,
+      modRevision: 100,
+      since: 0,
+      viewConfirmedAt: 0,
+      directCallBudget: { left: 0, at: 0 },
+    }),
     authorityUntil: Infinity,
   };
   bench.add(job('req-1', 9, 8, 50));
@@ -68,7 +81,7 @@
     const [claim] = bench.state.machines.get(name)?.claims.values() ?? [];
     bench.hear(report(name, 3, [task(`req-1/${claim?.task}`, 1, 'running')], { zone: 'b' }));
   }
-  bench.now += bench.state.rules.timing.silence + 500;
+  bench.now += bench.state.config.timing.silenceTimeoutMs + 500;
   if (hears) bench.hear(report('m', 1));
   return bench;
 }
@@ -85,14 +98,22 @@
 // before it came back.
 test('how long a zone has been quiet outlives the leader that saw it', () => {
   const before = apart(45);
-  const { timing } = before.state.rules;
-  const jobs = [...before.state.jobs.values()].map(({ spec, stamp }) => ({ value: spec, stamp }));
+  const { timing } = before.state.config;
+  const jobs = [...before.state.jobs.values()].map(({ spec, modRevision }) => ({ value: spec, modRevision }));
   const next = (quiet: Map<string, number>): string[] => {
     const bench = new CoreBench();
     bench.now = before.now;
-    const { layout, wide } = bench.state;
-    const term = { term: 6, stamp: 200, provenAt: bench.now, layout, wide, chunks: [], memory: [] };
-    bench.do({ kind: 'lead', ...term, jobs, quiet });
+    const { layout, legacyChunkTasks } = bench.state;
+    const term = {
+      term: 6,
+      modRevision: 200,
+      viewConfirmedAt: bench.now,
+      layout,
+      legacyChunkTasks,
+      chunks: [],
+      demandHistory: [],
+    };
+    bench.do({ kind: 'becomeLeader', ...term, jobs, silentZones: quiet });
     const listed = FAR.map((name) => ({
       name,
       address: '10.0.0.9:1',
@@ -102,19 +123,19 @@
       stage: 'running' as const,
       ageS: 99,
     }));
-    bench.do({ kind: 'listed', askedAt: bench.now, machines: listed });
+    bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: listed });
     FAR.forEach((name, i) => {
       const machine = bench.state.machines.get(name);
       const owner = bench.state.jobs.get('req-1');
       if (machine !== undefined && owner !== undefined)
         claimTask(bench.state, owner, i, machine, bench.time(), Infinity);
     });
-    bench.now += 3 * timing.longestReport + 500;
+    bench.now += 3 * timing.maxHeartbeatIntervalMs + 500;
     bench.hear(report('m', 1, [], { token: 6 }));
     return returned(bench.do({ kind: 'tick' }));
   };
   expect(next(new Map())).toEqual([]);
-  expect(next(new Map([['b', before.now - timing.silence]]))).toEqual(FAR);
+  expect(next(new Map([['b', before.now - timing.silenceTimeoutMs]]))).toEqual(FAR);
 });
 
 // What ran on a machine with a notice was lost with it, and found lost only 10 s after.
@@ -125,12 +146,12 @@
   const before = bench.hear(report('m', 2));
   expect(CoreBench.starts(before)).toHaveLength(2);
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')];
-  bench.hear(report('m', 3, running, { noticeS: 20 }));
+  bench.hear(report('m', 3, running, { terminationNoticeS: 20 }));
   bench.do({ kind: 'tick' });
-  const told = bench.hear(report('m', 4, running, { noticeS: 19 }));
+  const told = bench.hear(report('m', 4, running, { terminationNoticeS: 19 }));
   expect(JSON.stringify(told).match(/"op":"stop"/g)).toHaveLength(2);
-  bench.hear(report('m', 5, [task('req-1/0', 1, 'exited', 'stopped')], { noticeS: 18 }));
-  bench.now += 18_000 + 2 * bench.state.rules.timing.longestReport;
+  bench.hear(report('m', 5, [task('req-1/0', 1, 'exited', 'stopped')], { terminationNoticeS: 18 }));
+  bench.now += 18_000 + 2 * bench.state.config.timing.maxHeartbeatIntervalMs;
   for (const name of ['n', 'o', 'p']) bench.hear(report(name, 2));
   expect(returned(bench.do({ kind: 'tick' }))).toEqual(['m']);
 });
@@ -140,7 +161,7 @@
   const bench = new CoreBench(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
   bench.now += 1000;
   bench.add(job('req-1', 200, 8, 50));
-  const asked = bench.do({ kind: 'tick' }).filter((effect) => effect.kind === 'rent');
+  const asked = bench.do({ kind: 'tick' }).filter((effect) => effect.kind === 'provision');
   const zones = new Map<string, number>();
   for (const { zone, count } of asked) zones.set(zone, (zones.get(zone) ?? 0) + count);
   expect(Object.fromEntries(zones)).toEqual({ a: 100, b: 100 });
@@ -154,7 +175,7 @@
 // its controller and tries the others.
 test('a machine that twice takes no connection, while most around it are heard, is given up', () => {
   const bench = new CoreBench();
-  const { longestReport, shortSilence } = bench.state.rules.timing;
+  const { maxHeartbeatIntervalMs, shortSilenceTimeoutMs } = bench.state.config.timing;
   const others = ['n', 'o', 'p'];
   let seq = 0;
   const hear = (...names: string[]): void => {
@@ -162,11 +183,11 @@
     for (const name of names) bench.hear(report(name, seq));
   };
   const met = (machine: string, found: boolean | null): void => {
-    bench.do({ kind: 'probed', machine, met: found });
+    bench.do({ kind: 'probed', machine, isReachable: found });
   };
   const from = bench.now;
   hear('m', ...others);
-  bench.now += 1.3 * longestReport;
+  bench.now += 1.3 * maxHeartbeatIntervalMs;
   // Nobody of its zone has been heard: that may be a cut, and proves nothing of one machine.
   expect(knocked(bench.do({ kind: 'tick' }))).toEqual([]);
   hear(...others);
@@ -178,30 +199,30 @@
     expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
   }
   // A time in which the zone was silent takes back what was met until then.
-  bench.now += 1.2 * longestReport;
+  bench.now += 1.2 * maxHeartbeatIntervalMs;
   bench.do({ kind: 'tick' });
   hear(...others);
   met('m', false);
   expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
   met('m', false);
-  expect(bench.now - from).toBeLessThan(shortSilence);
+  expect(bench.now - from).toBeLessThan(shortSilenceTimeoutMs);
   expect(returned(bench.do({ kind: 'tick' }))).toEqual(['m']);
 });
 
 // A report on its way when the knock met nobody is the newer word.
 test('what a knock met counts for nothing once the machine is heard again', () => {
   const bench = new CoreBench();
-  const { longestReport } = bench.state.rules.timing;
+  const { maxHeartbeatIntervalMs } = bench.state.config.timing;
   for (const name of ['m', 'n', 'o']) bench.hear(report(name, 1));
-  bench.now += 1.3 * longestReport;
+  bench.now += 1.3 * maxHeartbeatIntervalMs;
   for (const name of ['n', 'o']) bench.hear(report(name, 2));
   bench.do({ kind: 'tick' });
-  bench.do({ kind: 'probed', machine: 'm', met: false });
+  bench.do({ kind: 'probed', machine: 'm', isReachable: false });
   bench.hear(report('m', 2));
-  bench.now += 1.3 * longestReport;
+  bench.now += 1.3 * maxHeartbeatIntervalMs;
   for (const name of ['n', 'o']) bench.hear(report(name, 3));
   bench.do({ kind: 'tick' });
-  bench.do({ kind: 'probed', machine: 'm', met: false });
+  bench.do({ kind: 'probed', machine: 'm', isReachable: false });
   expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
 });
 
@@ -211,8 +232,8 @@
   let now = 0;
   const budget = new RetryBudget(
     {
-      mono: () => now,
-      wall: () => now,
+      monotonicMs: () => now,
+      epochMs: () => now,
       sleep: () => Promise.resolve(),
       soon: () => undefined,
       measure: () => () => ({ steadyMs: 1, processorMs: 1 }),
--- a/test/guards.test.ts
+++ b/test/guards.test.ts
@@ -8,7 +8,7 @@
 import { StateStandin } from './standins/state.js';
 import { seeded } from './standins/world.js';
 
-const commitOf = (effects: readonly Effect[]): { id: number; txn: Transaction } => {
+const commitOf = (effects: readonly Effect[]): { id: number; transaction: Transaction } => {
   const commit = effects.find((effect) => effect.kind === 'commit');
   if (commit?.kind !== 'commit') throw new Error('no commit');
   return commit;
@@ -16,27 +16,27 @@
 const kinds = (effects: readonly Effect[]): string[] => effects.map(({ kind }) => kind);
 
 /** The state service with a term and a job in it, their stamps as the core knows them. */
-function stateService(termStamp: number): StateStandin {
+function stateService(termRevision: number): StateStandin {
   const state = new StateStandin(new Network(new VirtualClock(), seeded(1)));
-  state.revision = termStamp - 1;
-  state.commit({ when: [], apply: [{ put: 'term', value: { term: TERM } }] });
-  state.commit({ when: [], apply: [{ put: 'job/req-1', value: { id: 'req-1', tasks: 1 } }] });
+  state.revision = termRevision - 1;
+  state.commit({ preconditions: [], mutations: [{ put: 'term', value: { term: TERM } }] });
+  state.commit({ preconditions: [], mutations: [{ put: 'job/req-1', value: { id: 'req-1', tasks: 1 } }] });
   return state;
 }
 
 /** A leader that has just put req-1/0 on a machine, its commit on the way. */
-function claimed(): { bench: CoreBench; commit: { id: number; txn: Transaction } } {
+function claimed(): { bench: CoreBench; commit: { id: number; transaction: Transaction } } {
   const bench = new CoreBench();
   bench.hear(report('m', 1));
-  const added = bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), stamp: 101 } });
+  const added = bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), modRevision: 101 } });
   return { bench, commit: commitOf(added) };
 }
 
 test('term: what an earlier leader has sent fails once a later one is elected', () => {
   const { commit } = claimed();
   const state = stateService(100);
-  state.commit({ when: [], apply: [{ put: 'term', value: { term: TERM + 1 } }] });
-  expect(state.commit(commit.txn)).toEqual({ kind: 'failed', keys: ['term'] });
+  state.commit({ preconditions: [], mutations: [{ put: 'term', value: { term: TERM + 1 } }] });
+  expect(state.commit(commit.transaction)).toEqual({ kind: 'failed', keys: ['term'] });
 });
 
 test('term: a leader whose commit fails for its term steps down', () => {
@@ -53,14 +53,14 @@
   const { bench, commit } = claimed();
   const state = stateService(100);
   state.commit({
-    when: [],
-    apply: [{ remove: 'job/req-1' }, { put: 'ended/req-1', value: { stage: 'withdrawn' } }],
+    preconditions: [],
+    mutations: [{ remove: 'job/req-1' }, { put: 'ended/req-1', value: { stage: 'withdrawn' } }],
   });
-  const outcome = state.commit(commit.txn);
+  const outcome = state.commit(commit.transaction);
   expect(outcome).toEqual({ kind: 'failed', keys: ['job/req-1'] });
   bench.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'failed', keys: ['job/req-1'] } });
   bench.raw({
-    kind: 'rechecked',
+    kind: 'reconciled',
     found: {
       jobs: new Map([['req-1', { live: false, ended: { stage: 'withdrawn', tasks: 1, done: 0 } }]]),
       chunks: new Map(),
@@ -73,31 +73,31 @@
   const { bench, commit: lost } = claimed();
   const state = stateService(100);
   expect(kinds(bench.raw({ kind: 'committed', id: lost.id, outcome: { kind: 'unknown' } }))).toContain(
-    'recheck',
+    'reconcile',
   );
   const again = commitOf(
     bench.raw({
-      kind: 'rechecked',
+      kind: 'reconciled',
       found: { jobs: new Map([['req-1', { live: true, ended: null }]]), chunks: new Map() },
     }),
   );
-  expect(state.commit(again.txn).kind).toBe('applied');
-  expect(state.commit(lost.txn).kind).toBe('failed');
+  expect(state.commit(again.transaction).kind).toBe('applied');
+  expect(state.commit(lost.transaction).kind).toBe('failed');
 });
 
 test('write before start: nothing is sent before its commit is known', () => {
   const { bench, commit } = claimed();
-  expect(CoreBench.starts(bench.raw({ kind: 'report', reply: 7, report: report('m', 2) }))).toEqual([]);
+  expect(CoreBench.starts(bench.raw({ kind: 'heartbeat', reply: 7, heartbeat: report('m', 2) }))).toEqual([]);
   bench.now += 1000;
   expect(CoreBench.starts(bench.raw({ kind: 'tick' }))).toEqual([]); // answered, but without the start
   bench.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 102 } });
-  expect(CoreBench.starts(bench.raw({ kind: 'report', reply: 8, report: report('m', 3) }))).toEqual([
+  expect(CoreBench.starts(bench.raw({ kind: 'heartbeat', reply: 8, heartbeat: report('m', 3) }))).toEqual([
     'req-1/0#1',
   ]);
 });
 
 const listedAs = (name: string): Command => ({
-  kind: 'listed',
+  kind: 'machinesListed',
   askedAt: 0,
   machines: [
     { name, address: '10.0.0.9:1', type: 'eight', zone: 'a', spot: true, stage: 'running', ageS: 60 },
@@ -109,7 +109,7 @@
   bench.hear(report('other', 1, [], { token: TERM - 1 }));
   bench.do(listedAs('other'));
   bench.now += 5000;
-  const direct = bench.raw({ kind: 'tick' }).filter((effect) => effect.kind === 'direct');
+  const direct = bench.raw({ kind: 'tick' }).filter((effect) => effect.kind === 'sendCommands');
   expect(direct).toHaveLength(1);
   expect(direct[0]).toMatchObject({ commands: [] });
 });
@@ -140,7 +140,7 @@
 
 test('proof: the answer to a direct command does not free a task', () => {
   const bench = runningOn();
-  bench.do({ kind: 'direct', report: report('m', 9) });
+  bench.do({ kind: 'directAnswer', heartbeat: report('m', 9) });
   expect(isFree(bench)).toBe(false);
 });
 
@@ -149,9 +149,9 @@
   bench.now += 12_000;
   bench.hear(report('n', 2));
   const effects = bench.do({ kind: 'tick' });
-  expect(effects).toContainEqual({ kind: 'return', machines: ['m'] });
+  expect(effects).toContainEqual({ kind: 'terminate', machines: ['m'] });
   expect(isFree(bench)).toBe(false);
-  bench.do({ kind: 'returned', machines: ['m'], ok: true });
+  bench.do({ kind: 'terminated', machines: ['m'], ok: true });
   expect(isFree(bench)).toBe(true);
   await bench.keep('silent-machine');
 });
@@ -163,20 +163,20 @@
   const names = ['m', 'n', 'o', 'p'];
   const hear = (heard: readonly string[], seq: number): Effect[] =>
     heard.flatMap((name) => bench.hear(report(name, seq, [], { zone: name < 'o' ? 'a' : 'b' })));
-  const { shortSilence, silence } = bench.state.rules.timing;
+  const { shortSilenceTimeoutMs, silenceTimeoutMs } = bench.state.config.timing;
   hear(names, 1);
-  bench.now += shortSilence + 500;
+  bench.now += shortSilenceTimeoutMs + 500;
   hear(['n', 'o', 'p'], 2);
-  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'return', machines: ['m'] });
+  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m'] });
 
   const few = new CoreBench();
   for (const name of names) few.hear(report(name, 1, [], { zone: name < 'o' ? 'a' : 'b' }));
-  few.now += shortSilence + 500;
+  few.now += shortSilenceTimeoutMs + 500;
   for (const name of ['n', 'p']) few.hear(report(name, 2, [], { zone: name < 'o' ? 'a' : 'b' }));
-  expect(kinds(few.do({ kind: 'tick' }))).not.toContain('return');
-  few.now += silence;
+  expect(kinds(few.do({ kind: 'tick' }))).not.toContain('terminate');
+  few.now += silenceTimeoutMs;
   for (const name of ['n', 'p']) few.hear(report(name, 3, [], { zone: name < 'o' ? 'a' : 'b' }));
-  expect(few.do({ kind: 'tick' })).toContainEqual({ kind: 'return', machines: ['m', 'o'] });
+  expect(few.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m', 'o'] });
 });
 
 test('a zone whose machines all fall silent at once is waited for, not given back', () => {
@@ -184,14 +184,14 @@
   const bench = new CoreBench();
   const far = ['p', 'q', 'r', 's'];
   for (const name of far) bench.hear(report(name, 1, [], { zone: 'b' }));
-  const silence = bench.state.rules.timing.silence;
+  const silence = bench.state.config.timing.silenceTimeoutMs;
   bench.now += silence + 1000;
   bench.hear(report('m', 1));
-  expect(kinds(bench.do({ kind: 'tick' }))).not.toContain('return');
+  expect(kinds(bench.do({ kind: 'tick' }))).not.toContain('terminate');
   bench.now += 2 * silence;
-  bench.do({ kind: 'proof', sentAt: bench.now });
+  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
   bench.hear(report('m', 2));
-  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'return', machines: far });
+  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: far });
 });
 
 test('a new leader waits likewise for a zone of which it hears nobody', () => {
@@ -206,10 +206,10 @@
     stage: 'running' as const,
     ageS: 100,
   }));
-  bench.do({ kind: 'listed', askedAt: bench.now, machines: listed });
-  bench.now += bench.state.rules.timing.silence + 1000;
+  bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: listed });
+  bench.now += bench.state.config.timing.silenceTimeoutMs + 1000;
   bench.hear(report('m', 1));
-  expect(kinds(bench.do({ kind: 'tick' }))).not.toContain('return');
+  expect(kinds(bench.do({ kind: 'tick' }))).not.toContain('terminate');
 });
 
 test('a wave that takes most machines of a zone is not taken for a cut', () => {
@@ -217,16 +217,16 @@
   const bench = new CoreBench();
   const far = ['p', 'q', 'r', 's', 't', 'u'];
   for (const name of far) bench.hear(report(name, 1, [], { zone: 'b' }));
-  bench.now += bench.state.rules.timing.silence + 1000;
+  bench.now += bench.state.config.timing.silenceTimeoutMs + 1000;
   for (const name of ['m', 'p']) bench.hear(report(name, 2, [], { zone: name === 'm' ? 'a' : 'b' }));
-  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'return', machines: far.slice(1) });
+  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: far.slice(1) });
 });
 
 /** A new leader that knows its machines from the claims of one job alone, a task on each. */
 function ledOver(spec: JobSpec, machines: readonly string[]): CoreBench {
   const bench = new CoreBench();
   const claims = Object.fromEntries(
-    machines.map((machine, i) => [i, { attempt: 1, machine, session: 1, madeAt: bench.now }]),
+    machines.map((machine, i) => [i, { attempt: 1, machine, agentEpoch: 1, createdAt: bench.now }]),
   );
   bench.takeOver(spec, claims);
   return bench;
@@ -235,23 +235,23 @@
 test('machines that a new leader knows from claims alone are no zone of their own', () => {
   // They had been withdrawn, stood in no list, and were waited for like a zone cut off.
   const bench = ledOver(job('req-1', 3, 4, 50), ['p', 'q', 'r']);
-  bench.now += bench.state.rules.timing.silence + 1000;
-  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'return', machines: ['p', 'q', 'r'] });
+  bench.now += bench.state.config.timing.silenceTimeoutMs + 1000;
+  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['p', 'q', 'r'] });
 });
 
 test('proof: a failed return frees nothing and is tried again', () => {
   const bench = runningOn();
   bench.now += 12_000;
   bench.do({ kind: 'tick' });
-  bench.do({ kind: 'returned', machines: ['m'], ok: false });
+  bench.do({ kind: 'terminated', machines: ['m'], ok: false });
   expect(isFree(bench)).toBe(false);
-  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'return', machines: ['m'] });
+  expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m'] });
 });
 
 test('proof: a new session, or a newer report with our token, frees what it lacks', () => {
   const bench = runningOn();
-  bench.hear(report('m', 1, [], { session: 2, token: 0 }));
-  expect(isFree(bench) || bench.state.jobs.get('req-1')?.claims.get(0)?.session === 2).toBe(true);
+  bench.hear(report('m', 1, [], { agentEpoch: 2, token: 0 }));
+  expect(isFree(bench) || bench.state.jobs.get('req-1')?.claims.get(0)?.agentEpoch === 2).toBe(true);
   const other = runningOn();
   other.hear(report('m', 4));
   expect(other.state.jobs.get('req-1')?.attempts.get(0)).toBe(2);
@@ -259,11 +259,11 @@
 
 test('authority: past its window a leader answers 503, and a fresh read renews it', () => {
   const bench = runningOn();
-  const { authority } = bench.state.rules.timing;
+  const { authorityWindowMs } = bench.state.config.timing;
   bench.proven = false;
-  bench.now += authority + 1;
+  bench.now += authorityWindowMs + 1;
   expect(bench.hear(report('m', 4))).toContainEqual({ kind: 'reply', reply: 5, body: { kind: 'unable' } });
-  bench.do({ kind: 'proof', sentAt: bench.now });
+  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
   expect(bench.hear(report('m', 5))).toContainEqual(
     expect.objectContaining({
       kind: 'reply',
@@ -273,21 +273,21 @@
 });
 
 test('authority: the window ends early enough for every lease to run out within cancel_s', () => {
-  const { timing } = new CoreBench().state.rules;
-  expect(timing.authority + timing.workerLease).toBeLessThan(timing.cancel);
+  const { timing } = new CoreBench().state.config;
+  expect(timing.authorityWindowMs + timing.workerLeaseMs).toBeLessThan(timing.cancelTimeoutMs);
 });
 
 test('a higher token seen by a worker, or told by a peer, ends the leadership at once', () => {
   const seen = runningOn();
   expect(kinds(seen.hear(report('m', 4, [], { token: TERM + 1 })))).toEqual(['steppedDown', 'reply']);
   const told = runningOn();
-  expect(kinds(told.do({ kind: 'tokenSeen', token: TERM + 1 }))).toContain('steppedDown');
+  expect(kinds(told.do({ kind: 'higherTokenSeen', token: TERM + 1 }))).toContain('steppedDown');
 });
 
 test('completion: an exit is committed before the worker may forget it', () => {
   const bench = runningOn();
   const exited = [task('req-1/0', 1, 'exited', 'done')];
-  const effects = bench.raw({ kind: 'report', reply: 50, report: report('m', 4, exited) });
+  const effects = bench.raw({ kind: 'heartbeat', reply: 50, heartbeat: report('m', 4, exited) });
   // The worker is answered at once, its lease renewed, and goes on telling of the exit.
   expect(effects).toContainEqual({
     kind: 'reply',
@@ -295,9 +295,9 @@
     body: { kind: 'commands', token: TERM, commands: [] },
   });
   const commit = commitOf(effects);
-  expect(commit.txn.apply).toContainEqual(expect.objectContaining({ put: 'ended/req-1' }));
+  expect(commit.transaction.mutations).toContainEqual(expect.objectContaining({ put: 'ended/req-1' }));
   bench.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 999 } });
-  expect(bench.raw({ kind: 'report', reply: 51, report: report('m', 5, exited) })).toContainEqual({
+  expect(bench.raw({ kind: 'heartbeat', reply: 51, heartbeat: report('m', 5, exited) })).toContainEqual({
     kind: 'reply',
     reply: 51,
     body: { kind: 'commands', token: TERM, commands: [{ op: 'forget', job: 'req-1', task: 0, attempt: 1 }] },
@@ -315,17 +315,17 @@
   const now = (): ReturnType<typeof task>[] =>
     stages.map((stage, i) => task(`req-1/${i}`, 1, stage, stage === 'exited' ? 'done' : null));
   bench.hear(report('m', 3, now()));
-  const hold = bench.state.rules.timing.exitHold;
+  const hold = bench.state.config.timing.exitBatchDelayMs;
   stages[0] = 'exited';
   expect(kinds(bench.hear(report('m', 4, now())))).toEqual(['reply']);
   bench.now += hold / 2;
   stages[1] = 'exited';
   expect(kinds(bench.hear(report('m', 5, now())))).toEqual(['reply']);
   bench.now += hold / 2;
-  expect(commitOf(bench.do({ kind: 'tick' })).txn.apply).toHaveLength(1);
+  expect(commitOf(bench.do({ kind: 'tick' })).transaction.mutations).toHaveLength(1);
   stages[2] = stages[3] = 'exited';
-  const last = commitOf(bench.raw({ kind: 'report', reply: 90, report: report('m', 6, now()) }));
-  expect(last.txn.apply).toContainEqual(expect.objectContaining({ put: 'ended/req-1' }));
+  const last = commitOf(bench.raw({ kind: 'heartbeat', reply: 90, heartbeat: report('m', 6, now()) }));
+  expect(last.transaction.mutations).toContainEqual(expect.objectContaining({ put: 'ended/req-1' }));
 });
 
 test('a cancelled task is stopped, and its record stays until it is gone', async () => {
@@ -340,7 +340,7 @@
 
 test('a new leader starts nothing anew that an earlier one may have started', () => {
   const bench = new CoreBench();
-  const claims = { 0: { attempt: 3, machine: 'm', session: 1, madeAt: bench.now } };
+  const claims = { 0: { attempt: 3, machine: 'm', agentEpoch: 1, createdAt: bench.now } };
   bench.takeOver(job('req-1', 1, 4, 50), claims);
   bench.now += 3000;
   // Another machine has room, but the task may be on m: it stays put, with its attempt.
@@ -352,24 +352,24 @@
 test('a job that failed on the only machine gets another one', () => {
   // Placing avoided the machine while the plan counted on it: the job waited for ever.
   const bench = runningOn();
-  bench.do({ kind: 'returned', machines: ['n'], ok: true });
+  bench.do({ kind: 'terminated', machines: ['n'], ok: true });
   bench.hear(report('m', 4, [task('req-1/0', 1, 'exited', 'error')]));
   bench.now += 2000;
   bench.hear(report('m', 5));
-  expect(kinds(bench.do({ kind: 'tick' }))).toContain('rent');
+  expect(kinds(bench.do({ kind: 'tick' }))).toContain('provision');
 });
 
 // A flood of reports under invented names would otherwise take every socket of the leader.
 test('the token is carried only to machines that the cloud or a claim knows', () => {
   const bench = new CoreBench();
-  const { longestReport } = bench.state.rules.timing;
+  const { maxHeartbeatIntervalMs } = bench.state.config.timing;
   bench.hear(report('invented', 1, [], { token: 0 }));
   bench.hear(report('listed', 1, [], { token: 0 }));
   bench.do(listedAs('listed'));
-  bench.now += 3 * longestReport;
+  bench.now += 3 * maxHeartbeatIntervalMs;
   const raised = bench
     .do({ kind: 'tick' })
-    .flatMap((effect) => (effect.kind === 'direct' ? [effect.machine] : []));
+    .flatMap((effect) => (effect.kind === 'sendCommands' ? [effect.machine] : []));
   expect(raised).toEqual(['listed']);
 });
 
@@ -377,21 +377,21 @@
 test('a machine goes back idle only once what it completed is written', () => {
   const bench = runningOn();
   bench.now += 100_000;
-  bench.do({ kind: 'proof', sentAt: bench.now });
+  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
   const exited = report('m', 4, [task('req-1/0', 1, 'exited', 'done')]);
-  const commit = commitOf(bench.raw({ kind: 'report', reply: 1, report: exited }));
+  const commit = commitOf(bench.raw({ kind: 'heartbeat', reply: 1, heartbeat: exited }));
   bench.hear(report('n', 2));
   const returns = (effects: readonly Effect[]): string[] =>
-    effects.flatMap((effect) => (effect.kind === 'return' ? effect.machines : []));
+    effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
   const later = (): string[] => {
     const gone: string[] = [];
     for (let i = 0; i < 40; i += 1) {
       bench.now += 1000;
-      bench.raw({ kind: 'proof', sentAt: bench.now });
+      bench.raw({ kind: 'viewConfirmed', sentAt: bench.now });
       bench.raw({
-        kind: 'report',
+        kind: 'heartbeat',
         reply: 2 + i,
-        report: { ...exited, seq: bench.now },
+        heartbeat: { ...exited, sequence: bench.now },
       });
       gone.push(...returns(bench.raw({ kind: 'tick' })));
     }
@@ -407,16 +407,16 @@
   const bench = new CoreBench();
   bench.hear(report('m', 1));
   const commit = commitOf(
-    bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), stamp: 300 } }),
+    bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), modRevision: 300 } }),
   );
   bench.raw({ kind: 'jobRemoved', id: 'req-1' });
   bench.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 500 } });
   bench.now += 5000;
   // Nothing was sent, so a report without it proves that it is not there.
-  const after = [...bench.raw({ kind: 'report', reply: 1, report: report('m', 2) })];
+  const after = [...bench.raw({ kind: 'heartbeat', reply: 1, heartbeat: report('m', 2) })];
   bench.now += 5000;
   after.push(...bench.raw({ kind: 'tick' }));
-  const writes = after.flatMap((effect) => (effect.kind === 'commit' ? effect.txn.apply : []));
+  const writes = after.flatMap((effect) => (effect.kind === 'commit' ? effect.transaction.mutations : []));
   expect(writes).toContainEqual({ remove: 'run/req-1/00000' });
 });
 
--- a/test/handover.test.ts
+++ b/test/handover.test.ts
@@ -5,9 +5,9 @@
 import { CoreBench, job, report, task } from './standins/core.js';
 
 const returned = (effects: readonly Effect[]): string[] =>
-  effects.flatMap((effect) => (effect.kind === 'return' ? effect.machines : []));
+  effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
 const called = (effects: readonly Effect[]): string[] =>
-  effects.flatMap((effect) => (effect.kind === 'direct' ? [effect.machine] : []));
+  effects.flatMap((effect) => (effect.kind === 'sendCommands' ? [effect.machine] : []));
 const names = (count: number): string[] => Array.from({ length: count }, (_, i) => `vm-${i}`);
 
 /** Ten machines with a task each; of some nothing more is heard from now on. */
@@ -34,13 +34,13 @@
   const speaking = all.filter((name) => !silent.includes(name));
   const pass = (ms: number): string[] => {
     const back: string[] = [];
-    const { longestReport } = bench.state.rules.timing;
-    for (let left = ms; left > 0; left -= longestReport / 4) {
-      bench.now += Math.min(left, longestReport / 4);
+    const { maxHeartbeatIntervalMs } = bench.state.config.timing;
+    for (let left = ms; left > 0; left -= maxHeartbeatIntervalMs / 4) {
+      bench.now += Math.min(left, maxHeartbeatIntervalMs / 4);
       hear(speaking);
       for (const effect of bench.do({ kind: 'tick' })) {
-        if (effect.kind === 'return') back.push(...effect.machines);
-        if (effect.kind === 'probe') bench.do({ kind: 'probed', machine: effect.machine, met: true });
+        if (effect.kind === 'terminate') back.push(...effect.machines);
+        if (effect.kind === 'probe') bench.do({ kind: 'probed', machine: effect.machine, isReachable: true });
       }
     }
     return back;
@@ -51,43 +51,43 @@
 // Of 150 machines that hung for 12 s, 149 were given back with 640 tasks, 1 to 3 s before they went on.
 test('a machine whose host takes connections hangs: it is waited for until its lease must be over', () => {
   const { bench, pass } = silentAfter(null, ['vm-3']);
-  const { workerLease, silence } = bench.state.rules.timing;
-  expect(pass(workerLease)).toEqual([]);
-  expect(pass(silence - workerLease + 1000)).toEqual(['vm-3']);
+  const { workerLeaseMs, silenceTimeoutMs } = bench.state.config.timing;
+  expect(pass(workerLeaseMs)).toEqual([]);
+  expect(pass(silenceTimeoutMs - workerLeaseMs + 1000)).toEqual(['vm-3']);
 });
 
 test('what would be late by waiting does not wait for a machine that hangs', () => {
   // The task can still be done in time if it runs again now, and no longer once the lease is over.
   const { bench, pass } = silentAfter(73, ['vm-3']);
-  expect(pass(bench.state.rules.timing.workerLease)).toEqual(['vm-3']);
+  expect(pass(bench.state.config.timing.workerLeaseMs)).toEqual(['vm-3']);
 });
 
 test('a leader that stood still judges nobody before it has caught up', () => {
   const { bench } = silentAfter(null, ['vm-3']);
-  bench.now += 3 * bench.state.rules.timing.silence;
-  expect(returned(bench.do({ kind: 'tick', doubt: true }))).toEqual([]);
+  bench.now += 3 * bench.state.config.timing.silenceTimeoutMs;
+  expect(returned(bench.do({ kind: 'tick', isStalled: true }))).toEqual([]);
   expect(returned(bench.do({ kind: 'tick' })).length).toBeGreaterThan(0);
 });
 
 /** The leader of the next term, which finds machines with tasks by claims and list, and hears some. */
 function successor(hears: number, haunted: boolean): CoreBench {
   const bench = new CoreBench();
-  const { layout, wide } = bench.state;
+  const { layout, legacyChunkTasks } = bench.state;
   const spec = job('req-1', 10, 8, 60);
   bench.do({
-    kind: 'lead',
+    kind: 'becomeLeader',
     term: 6,
-    stamp: 200,
-    provenAt: bench.now,
+    modRevision: 200,
+    viewConfirmedAt: bench.now,
     layout,
-    wide,
-    jobs: [{ value: spec, stamp: 150 }],
+    legacyChunkTasks,
+    jobs: [{ value: spec, modRevision: 150 }],
     chunks: [],
-    memory: [],
-    haunted,
+    demandHistory: [],
+    previousLeaderMayBeAlive: haunted,
   });
   bench.do({
-    kind: 'listed',
+    kind: 'machinesListed',
     askedAt: bench.now,
     machines: names(10).map((name) => ({
       name,
@@ -105,7 +105,7 @@
     if (machine !== undefined && owner !== undefined)
       claimTask(bench.state, owner, i, machine, bench.time(), Infinity);
   });
-  bench.state.placeDirty = false;
+  bench.state.isPlacementDue = false;
   for (const name of names(hears)) bench.hear(report(name, 1, [], { token: 6 }));
   return bench;
 }
@@ -114,25 +114,25 @@
 test('many that a new leader never heard are one event: the leader before may hold them', () => {
   const after = (hears: number): number => {
     const bench = successor(hears, false);
-    bench.now += bench.state.rules.timing.silence + 500;
+    bench.now += bench.state.config.timing.silenceTimeoutMs + 500;
     for (const name of names(hears)) bench.hear(report(name, 2, [], { token: 6 }));
     return returned(bench.do({ kind: 'tick' })).length;
   };
   expect(after(9)).toBe(1);
   expect(after(4)).toBe(0);
   const bench = successor(4, false);
-  const { authority, workerLease, longestReport } = bench.state.rules.timing;
-  bench.now += authority + workerLease + longestReport + 500;
-  bench.do({ kind: 'proof', sentAt: bench.now });
+  const { authorityWindowMs, workerLeaseMs, maxHeartbeatIntervalMs } = bench.state.config.timing;
+  bench.now += authorityWindowMs + workerLeaseMs + maxHeartbeatIntervalMs + 500;
+  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
   for (const name of names(4)) bench.hear(report(name, 2, [], { token: 6 }));
   expect(returned(bench.do({ kind: 'tick' }))).toHaveLength(6);
 });
 
 test('a machine that answers a call is alive, whoever hears its reports', () => {
   const bench = successor(9, false);
-  const { silence } = bench.state.rules.timing;
-  bench.now += silence - 1000;
-  bench.do({ kind: 'direct', report: report('vm-9', 5, [], { token: 6 }) });
+  const { silenceTimeoutMs } = bench.state.config.timing;
+  bench.now += silenceTimeoutMs - 1000;
+  bench.do({ kind: 'directAnswer', heartbeat: report('vm-9', 5, [], { token: 6 }) });
   bench.now += 1500;
   for (const name of names(9)) bench.hear(report(name, 2, [], { token: 6 }));
   expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
@@ -140,26 +140,26 @@
 
 // All unheard machines were called at each tick: a leader of a twelfth of a core could not hear the others.
 test('a few scouts go out after a leader that may be alive, none after one that is gone', () => {
-  const { mostCalls, timing } = successor(0, true).state.rules;
+  const { maxDirectCallsPerInterval, timing } = successor(0, true).state.config;
   const scouts = called(successor(0, true).do({ kind: 'tick' }));
   expect(scouts.length).toBeGreaterThan(0);
-  expect(scouts.length).toBeLessThanOrEqual(Math.ceil(mostCalls / 4));
+  expect(scouts.length).toBeLessThanOrEqual(Math.ceil(maxDirectCallsPerInterval / 4));
   const bench = successor(0, false);
   expect(called(bench.do({ kind: 'tick' }))).toEqual([]);
-  bench.now += 1.2 * timing.longestReport;
-  expect(called(bench.do({ kind: 'tick' })).length).toBeLessThanOrEqual(mostCalls);
+  bench.now += 1.2 * timing.maxHeartbeatIntervalMs;
+  expect(called(bench.do({ kind: 'tick' })).length).toBeLessThanOrEqual(maxDirectCallsPerInterval);
 });
 
 test('a leader that hands over begins nothing new, and answers its workers on', () => {
   const bench = new CoreBench();
   bench.hear(report('vm-1', 1));
-  bench.do({ kind: 'yield' });
+  bench.do({ kind: 'transferLeadership' });
   bench.add(job('req-1', 1, 8, 60));
   bench.now += 10_000;
   expect(
     bench
       .do({ kind: 'tick' })
-      .filter(({ kind }) => kind === 'commit' || kind === 'rent' || kind === 'return'),
+      .filter(({ kind }) => kind === 'commit' || kind === 'provision' || kind === 'terminate'),
   ).toEqual([]);
   const [answer] = bench.hear(report('vm-1', 2)).filter(({ kind }) => kind === 'reply');
   expect(answer).toMatchObject({ body: { kind: 'commands', commands: [] } });
--- a/test/hearing.test.ts
+++ b/test/hearing.test.ts
@@ -1,18 +1,18 @@
 /** Machines that do not hear what they are told, and copies of reports that come late. */
 import { expect, test } from 'vitest';
-import { isUsable } from '../src/core/fleet/index.js';
+import { isSchedulable } from '../src/core/fleet/index.js';
 import type { Effect } from '../src/core/effects.js';
 import { CoreBench, job, report, task, TERM } from './standins/core.js';
 
 const returned = (effects: readonly Effect[]): string[] =>
-  effects.flatMap((effect) => (effect.kind === 'return' ? effect.machines : []));
+  effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
 
 /** A worker without an answer gives it up after 4 s, and tries another controller a second later. */
 const UNANSWERED = 5000;
 
 function usable(bench: CoreBench, name: string): boolean {
   const machine = bench.state.machines.get(name);
-  return machine !== undefined && isUsable(bench.state, machine, bench.time());
+  return machine !== undefined && isSchedulable(bench.state, machine, bench.time());
 }
 
 /** Others report in their rhythm, so that only one machine is in question. */
@@ -50,9 +50,9 @@
 
 test('a machine that stays deaf goes back, and its tasks run elsewhere once the cloud confirms it', async () => {
   const { bench, seq } = deaf();
-  const { silence } = bench.state.rules.timing;
+  const { silenceTimeoutMs } = bench.state.config.timing;
   const gone: string[] = [];
-  for (let at = 0; at < 2 * silence; at += UNANSWERED) {
+  for (let at = 0; at < 2 * silenceTimeoutMs; at += UNANSWERED) {
     bench.now += UNANSWERED;
     bench.hear(report('m', seq + 1 + at / UNANSWERED));
     others(bench, 10 + at);
@@ -60,7 +60,7 @@
   }
   expect(gone).toContain('m');
   expect(bench.state.machines.get('m')?.claims.size).toBe(1);
-  bench.do({ kind: 'returned', machines: ['m'], ok: true });
+  bench.do({ kind: 'terminated', machines: ['m'], ok: true });
   expect([...(bench.state.jobs.get('req-1')?.claims.values() ?? [])].every((c) => c.machine !== 'm')).toBe(
     true,
   );
@@ -70,12 +70,12 @@
 // A leader that is behind its timers answers too late: 8 machines at work were given back with 200 tasks.
 test('what a busy leader was late to answer is held against nobody', () => {
   const { bench, seq } = deaf();
-  bench.do({ kind: 'tick', busy: true });
+  bench.do({ kind: 'tick', isOverloaded: true });
   for (let i = 1; i < 6; i += 1) {
     bench.now += UNANSWERED;
     bench.hear(report('m', seq + i));
     others(bench, 10 + i);
-    expect(returned(bench.do({ kind: 'tick', busy: true }))).toEqual([]);
+    expect(returned(bench.do({ kind: 'tick', isOverloaded: true }))).toEqual([]);
     // The first answer was given in time, and missed; none of those since says anything.
     expect(bench.state.machines.get('m')?.missedResponses).toBe(1);
   }
@@ -87,10 +87,10 @@
   bench.now += UNANSWERED;
   bench.hear(report('m', 2));
   bench.now += UNANSWERED;
-  bench.hear(report('m', 3, [], { session: 2 }));
+  bench.hear(report('m', 3, [], { agentEpoch: 2 }));
   expect(usable(bench, 'm')).toBe(false);
   bench.now += 1000;
-  bench.hear(report('m', 4, [], { session: 2 }));
+  bench.hear(report('m', 4, [], { agentEpoch: 2 }));
   expect(usable(bench, 'm')).toBe(true);
 });
 
@@ -100,7 +100,7 @@
   const names = ['m', 'n', 'o', 'p'];
   let gone: string[] = [];
   for (let seq = 1; seq < 9; seq += 1) {
-    for (const name of names) bench.hear(report(name, seq, [], { session: seq }));
+    for (const name of names) bench.hear(report(name, seq, [], { agentEpoch: seq }));
     gone = gone.concat(returned(bench.do({ kind: 'tick' })));
     bench.now += UNANSWERED;
   }
@@ -113,26 +113,26 @@
   const [claim] = bench.state.machines.get('m')?.claims.values() ?? [];
   bench.now += 1000;
   bench.hear(report('m', seq + 1, [task(`req-1/${claim?.task}`, 1, 'running')]));
-  const heardAt = bench.state.machines.get('m')?.heardAt;
+  const lastHeartbeatAt = bench.state.machines.get('m')?.lastHeartbeatAt;
   bench.now += 20_000;
-  const effects = bench.hear(report('m', seq, [], { noticeS: 5 }));
+  const effects = bench.hear(report('m', seq, [], { terminationNoticeS: 5 }));
   expect(effects.some((effect) => effect.kind === 'reply' && effect.body.kind === 'unable')).toBe(true);
-  expect(bench.state.machines.get('m')).toMatchObject({ heardAt, takenAt: null });
+  expect(bench.state.machines.get('m')).toMatchObject({ lastHeartbeatAt, reclaimedAt: null });
   expect(bench.state.machines.get('m')?.claims.size).toBe(1);
 });
 
 // Copies of a dead machine's reports come in order: to a leader that never heard it they look like its own.
 test('late copies after a takeover: a machine that never shows our token is not kept alive by them', async () => {
   const bench = new CoreBench();
-  const { workerLease, silence } = bench.state.rules.timing;
+  const { workerLeaseMs, silenceTimeoutMs } = bench.state.config.timing;
   others(bench, 1);
   const gone: string[] = [];
-  for (let seq = 1; seq * 1000 < workerLease + 2 * silence; seq += 1) {
+  for (let seq = 1; seq * 1000 < workerLeaseMs + 2 * silenceTimeoutMs; seq += 1) {
     // Sent to the leader before, with its token, and a notice that was kept long ago.
-    bench.hear(report('m', seq, [], { token: TERM - 1, noticeS: 300 }));
+    bench.hear(report('m', seq, [], { token: TERM - 1, terminationNoticeS: 300 }));
     others(bench, seq + 1);
     expect(usable(bench, 'm')).toBe(false);
-    expect(bench.state.machines.get('m')?.takenAt).toBe(null);
+    expect(bench.state.machines.get('m')?.reclaimedAt).toBe(null);
     gone.push(...returned(bench.do({ kind: 'tick' })));
     bench.now += 1000;
   }
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -20,15 +20,15 @@
 import { Peering } from '../src/controller/peering.js';
 import { ReportIntake } from '../src/controller/report-intake.js';
 import { SharedReports } from '../src/controller/shared-reports.js';
-import { rent } from '../src/core/autoscaling/index.js';
+import { scaleOut } from '../src/core/autoscaling/index.js';
 import type { Effect } from '../src/core/effects.js';
-import { dropReturned, machineNamed } from '../src/core/fleet/index.js';
-import { finalNow, leavePipeline } from '../src/core/jobs/index.js';
+import { removeTerminated, getOrCreateMachine } from '../src/core/fleet/index.js';
+import { finalOutcomeNow, unregisterDependencies } from '../src/core/jobs/index.js';
 import { Routing, type Reach } from '../src/membership/routing.js';
 import { timing } from '../src/settings.js';
 import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../src/wire/peers.js';
-import type { Report } from '../src/core/types.js';
+import type { Heartbeat } from '../src/core/types.js';
 import { CoreBench, EIGHT, job, report, task, TERM } from './standins/core.js';
 import { ProcessClock, VirtualClock } from './standins/clock.js';
 import { testSettings, UNSEEN } from './standins/world.js';
@@ -186,7 +186,7 @@
   });
 
   test('the heartbeats and reports of a second, in messages that an earlier leader takes', () => {
-    const heartbeats = NAMES.map((machine) => ({ machine, session: 1, seq: 900_000, ageMs: 500 }));
+    const heartbeats = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 900_000, ageMs: 500 }));
     const reports = NAMES.slice(0, 100).map((machine, i) => ({
       reference: i,
       report: report(
@@ -235,7 +235,7 @@
       incarnation: 'x',
     },
     owner: { state: bench.state, push: () => undefined },
-    standing: { leader: null, leaderStamp: 0, highestTerm: TERM, leadingTerm: TERM },
+    standing: { leader: null, leaderRevision: 0, highestTerm: TERM, leadingTerm: TERM },
   } as unknown as Common;
 }
 
@@ -243,7 +243,12 @@
   test('a leader tells the counts of 8,000 jobs, with the proof', () => {
     const bench = new CoreBench();
     for (const name of NAMES)
-      bench.state.jobs.set(name, { over: null, doneCount: 1, running: 0, waiting: 0 } as never);
+      bench.state.jobs.set(name, {
+        finalStage: null,
+        doneCount: 1,
+        runningCount: 0,
+        waitingCount: 0,
+      } as never);
     const peering = new Peering(
       leaderOf(bench),
       () => [],
@@ -272,12 +277,12 @@
   test('a leader shares reports though 8,000 machines need attention', () => {
     const bench = new CoreBench();
     for (const name of NAMES) {
-      const machine = machineNamed(bench.state, name, bench.time());
+      const machine = getOrCreateMachine(bench.state, name, bench.time());
       bench.state.attention.add(machine);
     }
     const common = leaderOf(bench);
     const sent: AnswersMessage[] = [];
-    const rules = { ...bench.state.rules, policy: { ...bench.state.rules.policy, sharedReportsFrom: 1 } };
+    const rules = { ...bench.state.config, policy: { ...bench.state.config.policy, sharedReportsFrom: 1 } };
     Object.assign(bench.state, { rules });
     const shared = new SharedReports(common, {
       candidates: () => [{ node: 'n-1', zone: 'b' }],
@@ -292,11 +297,11 @@
 
   test('what is added to a follower’s list goes in messages that an earlier one takes', () => {
     const bench = new CoreBench();
-    for (const name of NAMES) machineNamed(bench.state, name, bench.time());
+    for (const name of NAMES) getOrCreateMachine(bench.state, name, bench.time());
     const common = leaderOf(bench);
     const sent: AnswersMessage[] = [];
     Object.assign(bench.state, {
-      rules: { ...bench.state.rules, policy: { ...bench.state.rules.policy, sharedReportsFrom: 1 } },
+      rules: { ...bench.state.config, policy: { ...bench.state.config.policy, sharedReportsFrom: 1 } },
     });
     Object.assign(common.ports.clock, { soon: (run: () => void) => run() });
     const shared = new SharedReports(common, {
@@ -306,13 +311,13 @@
       push: () => undefined,
     });
     shared.tell();
-    const heartbeats = NAMES.map((machine) => ({ machine, session: 1, seq: 1, ageMs: 0 }));
+    const heartbeats = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 1, ageMs: 0 }));
     shared.receive({
       kind: 'reports',
       node: 'n-1',
       incarnation: 'y',
       term: TERM,
-      at: common.ports.clock.wall(),
+      at: common.ports.clock.epochMs(),
       reports: [],
       heartbeats,
     });
@@ -346,7 +351,7 @@
     const clock = new ProcessClock(new VirtualClock(), 1, 0);
     const state = { list: () => Promise.resolve('unknown') } as never;
     const deputy = new Deputy('n-1', state, clock, TIMES, 32 * 1024, 100);
-    deputy.receiveSnapshot({ at: clock.wall(), live: new Set() });
+    deputy.receiveSnapshot({ at: clock.epochMs(), live: new Set() });
     await Promise.all(NAMES.map((name) => deputy.answer(report(name, 1))));
     expect(deputy.hears()).toEqual(NAMES);
   });
@@ -367,8 +372,8 @@
       answerAlone: () => undefined,
       route: () => undefined,
     });
-    intake.receive({ ...SNAPSHOT, attention: [], provenAt: clock.wall() });
-    const taken = (from: Report): boolean => intake.take(from, () => undefined);
+    intake.receive({ ...SNAPSHOT, attention: [], provenAt: clock.epochMs() });
+    const taken = (from: Heartbeat): boolean => intake.take(from, () => undefined);
     expect(NAMES.filter((name) => !taken(report(name, 1)))).toEqual([]);
     intake.flush();
     expect(sent.flatMap(({ reports }) => reports)).toHaveLength(FLEET);
@@ -380,7 +385,7 @@
   test('machines that were given back are not taken on again from a list that lags', () => {
     const bench = new CoreBench();
     const effects: Effect[] = [];
-    dropReturned(bench.state, NAMES, effects);
+    removeTerminated(bench.state, NAMES, effects);
     const listed = NAMES.map((name) => ({
       name,
       type: 'eight',
@@ -390,7 +395,7 @@
       stage: 'running' as const,
       ageS: 100,
     }));
-    bench.do({ kind: 'listed', askedAt: bench.now, machines: listed as never });
+    bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: listed as never });
     expect(bench.state.machines.size).toBe(0);
   });
 
@@ -398,19 +403,20 @@
     const bench = new CoreBench();
     const asking = Array.from({ length: FLEET }, (_, i) => job(`req-${i}`, 1, 2, 50));
     for (const { id } of asking) bench.state.jobs.set(id, { over: 'done' } as never);
-    for (const spec of asking) leavePipeline(bench.state, { spec } as never, finalNow('done', bench.time()));
-    expect(bench.state.finals.size).toBe(FLEET);
+    for (const spec of asking)
+      unregisterDependencies(bench.state, { spec } as never, finalOutcomeNow('done', bench.time()));
+    expect(bench.state.finalOutcomes.size).toBe(FLEET);
   });
 
   test('a plan covers as many tasks of a job as a fleet of 8,000 has machines', () => {
     const bench = new CoreBench(0, [EIGHT]);
     for (const name of NAMES) {
-      const machine = machineNamed(bench.state, name, bench.time());
+      const machine = getOrCreateMachine(bench.state, name, bench.time());
       Object.assign(machine, { type: 'eight', zone: 'a', spot: true, heardAt: bench.now, whole: true });
     }
     bench.add(job('req-1', FLEET, 8, 5000));
-    rent(bench.state, bench.time(), []);
-    expect(bench.state.inPlan.size).toBe(FLEET);
+    scaleOut(bench.state, bench.time(), []);
+    expect(bench.state.plannedMachines.size).toBe(FLEET);
   });
 });
 
