--- a/test/leading.test.ts
+++ b/test/leading.test.ts
@@ -124,8 +124,8 @@
   const timing = timingOf(testSettings(1));
   let now = 0;
   const clock = {
-    mono: () => now,
-    wall: () => now,
+    monotonicMs: () => now,
+    epochMs: () => now,
     sleep: () => new Promise<void>(() => undefined),
     soon: () => undefined,
     measure: () => () => ({ steadyMs: 1, processorMs: 1 }),
@@ -137,7 +137,7 @@
   expect(await deputy.answer(asks())).toBeNull();
   deputy.receiveSnapshot({ at: 1000, live: new Set(['req-1']) });
   deputy.receiveSnapshot({ at: 900, live: new Set(['req-2']) });
-  now = 1000 + timing.authority - 101;
+  now = 1000 + timing.authorityWindowMs - 101;
   expect(await deputy.answer(asks())).toMatchObject([{ op: 'stop', job: 'req-2' }]);
   // A late copy is no sign of life, and gets no answer.
   now -= 4000;
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -70,13 +70,13 @@
   // One of two tasks has ended; the write of it gets no answer, and nor does the look for what came of it.
   const ended = [task('req-1/0', 1, 'exited', 'done'), running[1]] as const;
   bench.hear(report('m', 4, ended));
-  bench.now += bench.state.rules.timing.exitHold;
+  bench.now += bench.state.config.timing.exitBatchDelayMs;
   const id = commitOf(bench.raw({ kind: 'tick' }));
   bench.raw({ kind: 'committed', id, outcome: { kind: 'unknown' } });
-  bench.raw({ kind: 'rechecked', found: null });
+  bench.raw({ kind: 'reconciled', found: null });
   // The watch is answered: its user was told that the job is cancelled, and the view is proven anew.
-  bench.raw({ kind: 'jobRemoved', id: 'req-1' }, { kind: 'proof', sentAt: bench.now });
-  const told = bench.raw({ kind: 'report', reply: 70, report: report('m', 5, ended) });
+  bench.raw({ kind: 'jobRemoved', id: 'req-1' }, { kind: 'viewConfirmed', sentAt: bench.now });
+  const told = bench.raw({ kind: 'heartbeat', reply: 70, heartbeat: report('m', 5, ended) });
   expect(told).toContainEqual(
     expect.objectContaining({
       body: expect.objectContaining({
@@ -91,35 +91,37 @@
 // The fleet that had lost its leases was given back, and booted anew, as soon as the state service was back.
 test('the gap: machines that went on reporting through an outage are not silent at its end', () => {
   const bench = new CoreBench();
-  const { workerLease, tick } = bench.state.rules.timing;
+  const { workerLeaseMs, tickMs } = bench.state.config.timing;
   const names = ['m', 'n', 'o', 'p'];
   const hear = (seq: number, session: number): Effect[] =>
-    names.flatMap((name) => bench.hear(report(name, seq, [], { session })));
+    names.flatMap((name) => bench.hear(report(name, seq, [], { agentEpoch: session })));
   hear(1, 1);
   bench.add(job('req-1', 4, 8, 90));
   hear(2, 1);
   const lapses = bench.state.leadership?.authorityUntil ?? 0;
   bench.proven = false;
-  for (let seq = 3; bench.now < lapses + 2 * workerLease; seq += 1) {
+  for (let seq = 3; bench.now < lapses + 2 * workerLeaseMs; seq += 1) {
     bench.now += 3000;
-    const session = bench.now > lapses + workerLease ? 2 : 1;
+    const session = bench.now > lapses + workerLeaseMs ? 2 : 1;
     const told = names.flatMap((name, i) => {
       const running = session === 1 ? [task(`req-1/${i}`, 1, 'running')] : [];
-      return bench.hear(report(name, seq, running, { session }));
+      return bench.hear(report(name, seq, running, { agentEpoch: session }));
     });
     const answered = told.some((effect) => effect.kind === 'reply' && effect.body.kind === 'commands');
     expect(answered).toBe(bench.now < lapses);
     // Nobody is judged meanwhile either.
-    expect(bench.do({ kind: 'tick' }).some(({ kind }) => kind === 'return')).toBe(false);
+    expect(bench.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
   }
   bench.proven = true;
-  bench.now += tick;
-  bench.do({ kind: 'proof', sentAt: bench.now });
+  bench.now += tickMs;
+  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
   // The first of them comes at once, the others in their rhythm.
-  bench.hear(report('m', 90, [], { session: 2 }));
-  expect(bench.do({ kind: 'tick' }).some(({ kind }) => kind === 'return')).toBe(false);
+  bench.hear(report('m', 90, [], { agentEpoch: 2 }));
+  expect(bench.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
   bench.now += 1000;
-  const again = names.flatMap((name) => CoreBench.starts(bench.hear(report(name, 99, [], { session: 2 }))));
+  const again = names.flatMap((name) =>
+    CoreBench.starts(bench.hear(report(name, 99, [], { agentEpoch: 2 }))),
+  );
   expect(again.sort()).toEqual([0, 1, 2, 3].map((i) => `req-1/${i}#2`));
 });
 
@@ -130,7 +132,7 @@
   const at = NODES[others[0] ?? 0] ?? '';
   await world.clock.runUntil(FROM + 2000);
   world.state.lateOnce(
-    ({ apply }) => apply.some((write) => 'put' in write && write.put === `ended/${id}`),
+    ({ mutations }) => mutations.some((write) => 'put' in write && write.put === `ended/${id}`),
     20_000,
   );
   expect(await world.until(world.withdraw(id, at))).toBe(false);
@@ -157,15 +159,15 @@
     const outcome = commit(txn);
     if (
       outcome.kind === 'applied' &&
-      txn.apply.some((write) => 'put' in write && write.put.startsWith('run/'))
+      txn.mutations.some((write) => 'put' in write && write.put.startsWith('run/'))
     )
       claims.push(world.clock.now);
     return outcome;
   };
   const late = 9000;
   let sentAt = Infinity;
-  world.state.lateOnce(({ apply }) => {
-    const isOne = apply.some((write) => 'put' in write && write.put.startsWith('run/'));
+  world.state.lateOnce(({ mutations }) => {
+    const isOne = mutations.some((write) => 'put' in write && write.put.startsWith('run/'));
     if (isOne) sentAt = world.clock.now;
     return isOne;
   }, late);
@@ -203,7 +205,7 @@
 // 3. An old report arrives after newer ones.
 test('old reports: a successor that has heard nothing takes no end of an earlier attempt for the present one', () => {
   const bench = new CoreBench();
-  const claims = { 0: { attempt: 2, machine: 'm', session: 3, madeAt: bench.now } };
+  const claims = { 0: { attempt: 2, machine: 'm', agentEpoch: 3, createdAt: bench.now } };
   bench.takeOver(job('req-1', 1, 4, 50), claims);
   bench.now += 3000;
   bench.hear(report('n', 1));
@@ -211,14 +213,16 @@
   const held = [expect.objectContaining({ machine: 'm', attempt: 2 })];
   // Of an earlier attempt, of an earlier session, in the wrong order, with the token of the leader before.
   const old = (seq: number, session: number, exit: 'stopped' | 'error'): Effect[] =>
-    bench.hear(report('m', seq, [task('req-1/0', 1, 'exited', exit)], { session, token: TERM - 1 }));
+    bench.hear(
+      report('m', seq, [task('req-1/0', 1, 'exited', exit)], { agentEpoch: session, token: TERM - 1 }),
+    );
   old(40, 3, 'stopped');
   expect(claim()).toEqual(held);
   old(90, 2, 'error');
   old(12, 3, 'error');
-  bench.hear(report('m', 30, [], { session: 3, token: TERM - 1 }));
+  bench.hear(report('m', 30, [], { agentEpoch: 3, token: TERM - 1 }));
   expect(claim()).toEqual(held);
-  expect(bench.state.machines.get('m')).toMatchObject({ session: 3, seq: 40 });
+  expect(bench.state.machines.get('m')).toMatchObject({ agentEpoch: 3, heartbeatSequence: 40 });
 });
 
 // 4. A leader is cut from the state service and its peers; workers and users still reach it.
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -68,7 +68,7 @@
 
   /** Node a itself leads, and hears few of its machines. */
   deaf(): this {
-    this.a.hears({ heard: 2, expected: 40, up: 40, unheard: 0, silentMs: 5000 }, 40);
+    this.a.hears({ reporting: 2, expected: 40, running: 40, neverReported: 0, silentMs: 5000 }, 40);
     return this;
   }
 
@@ -90,7 +90,7 @@
 const ROWS: Record<string, readonly [(scene: Scene) => unknown, unknown]> = {
   'unusually silent': [(s) => s.wait(4 * TOLD).levelOfB, 'suspected'],
   'link lost': [(s) => s.link('b', 'lost').levelOfB, 'suspected'],
-  'behind its own timers': [(s) => s.hear('b', { lateMs: 9 * TIMES.tick }).wait(1).levelOfB, 'suspected'],
+  'behind its own timers': [(s) => s.hear('b', { lateMs: 9 * TIMES.tickMs }).wait(1).levelOfB, 'suspected'],
   'not served by the state service': [
     (s) => s.hear('b', { stateAgeMs: 60_000 }).wait(1).levelOfB,
     'suspected',
@@ -104,7 +104,7 @@
   'refused of late': [
     (s) =>
       crash(s)
-        .wait(2 * TIMES.leaderLease, ['c'])
+        .wait(2 * TIMES.leaderLeaseMs, ['c'])
         .hear('c', REFUSED)
         .strays(3).inherits,
     false,
@@ -121,7 +121,7 @@
     (s) => {
       crash(s)
         .strays(3)
-        .a.ticked(3 * TIMES.tick, s.now);
+        .a.ticked(3 * TIMES.tickMs, s.now);
       return s.inherits;
     },
     false,
@@ -135,11 +135,11 @@
   ],
   heard: [(s) => knocked(s).hear('c', MET).link('c', 'lost').yields, null],
   served: [(s) => knocked(s).hear('c', { ...MET, stateAgeMs: 60_000 }).yields, null],
-  'keeps up': [(s) => knocked(s).hear('c', { ...MET, lateMs: 4 * TIMES.tick }).yields, null],
+  'keeps up': [(s) => knocked(s).hear('c', { ...MET, lateMs: 4 * TIMES.tickMs }).yields, null],
   'this node cannot reach its machines': [(s) => knocked(s).hear('c', MET).yields, 'c'],
   'reaches the machines': [
     (s) => {
-      s.a.hears({ heard: 40, expected: 40, up: 40, unheard: 0, silentMs: 5 }, 40);
+      s.a.hears({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 40);
       s.a.knocked({ ...MET, asked: 8, at: s.now });
       s.hear('b', { round: 1, met: 1, unmet: 7 }).hear('c', MET);
       return ['b', 'c'].map((node) => s.a.isFit(node, s.now, 10));
@@ -148,13 +148,13 @@
   ],
   'this node cannot keep up, and computes slower than it did': [
     (s) => {
-      s.a.hears({ heard: 40, expected: 40, up: 40, unheard: 0, silentMs: 5 }, 0, 0);
+      s.a.hears({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 0, 0);
       const work = (times: number, late: number): void => {
-        s.wait(TIMES.longestReport, ['b', 'c']).a.pace.worked(20 * times, 10, s.now);
+        s.wait(TIMES.maxHeartbeatIntervalMs, ['b', 'c']).a.pace.worked(20 * times, 10, s.now);
         s.a.ticked(late, s.now);
       };
       for (let i = 0; i < 12; i += 1) work(1, 1);
-      for (let i = 0; i < 6; i += 1) work(4, TIMES.tick);
+      for (let i = 0; i < 6; i += 1) work(4, TIMES.tickMs);
       return s.yields !== null;
     },
     true,
@@ -224,12 +224,12 @@
 // In a burst three controllers of a twelfth of a core handed the lead round every five seconds.
 test('a leader that is behind for its load alone keeps the lead', () => {
   const scene = new Scene(TABLE);
-  scene.a.hears({ heard: 40, expected: 40, up: 40, unheard: 0, silentMs: 5 }, 0, 0);
+  scene.a.hears({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 0, 0);
   for (let i = 0; i < 24; i += 1) {
     scene
-      .wait(TIMES.longestReport, ['b', 'c'])
+      .wait(TIMES.maxHeartbeatIntervalMs, ['b', 'c'])
       .a.pace.worked(i < 12 ? 20 : 200, i < 12 ? 10 : 100, scene.now);
-    if (i >= 12) scene.a.ticked(TIMES.tick, scene.now);
+    if (i >= 12) scene.a.ticked(TIMES.tickMs, scene.now);
   }
   expect(scene.yields).toBeNull();
 });
@@ -248,7 +248,7 @@
   let worst = 0;
   for (const first of beliefs)
     for (const second of beliefs)
-      for (let begin = 0; begin < 2 * TIMES.leaderLease; begin += 250) {
+      for (let begin = 0; begin < 2 * TIMES.leaderLeaseMs; begin += 250) {
         const nodes = [first, second].map((belief) => ({ belief, routing: new Routing(TIMES) }));
         let at = 0;
         let now = begin;
@@ -257,12 +257,12 @@
           const route = routing.route('m', 4, { ...belief, token: 4 }, now);
           if (route === 'on') break;
           if (route === 'away') at += 1;
-          now += route === 'away' ? hop : 0.8 * TIMES.longestReport;
+          now += route === 'away' ? hop : 0.8 * TIMES.maxHeartbeatIntervalMs;
         }
         worst = Math.max(worst, now - begin);
       }
   expect(worst).toBeGreaterThan(0);
-  expect(worst).toBeLessThanOrEqual(TIMES.leaderLease + 2 * hop);
+  expect(worst).toBeLessThanOrEqual(TIMES.leaderLeaseMs + 2 * hop);
 });
 
 // Held back on the way, what a former life had to say would make the present one a witness, or a leader, again.
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,16 +1,16 @@
 /** Jobs that wait for others: kept traces, and a test for each guard. */
 import { expect, test } from 'vitest';
 import type { Command, Effect } from '../src/core/effects.js';
-import { settledUntil } from '../src/core/jobs/index.js';
+import { resolvedUntil } from '../src/core/jobs/index.js';
 import type { EndedRecord, FinalStage, JobSpec } from '../src/core/types.js';
 import { CoreBench, job, report, task } from './standins/core.js';
 
 const starts = (effects: readonly Effect[]): string[] => CoreBench.starts(effects);
 const questions = (effects: readonly Effect[]): string[] =>
-  effects.flatMap((effect) => (effect.kind === 'resolve' ? effect.ids : []));
+  effects.flatMap((effect) => (effect.kind === 'resolveDependencies' ? effect.ids : []));
 const ended = (stage: FinalStage): EndedRecord => ({ stage, tasks: 1, done: 1, at: 100_000 });
 const resolved = (id: string, answer: EndedRecord | 'live' | 'none' | 'unknown'): Command => ({
-  kind: 'resolved',
+  kind: 'dependenciesResolved',
   found: new Map([[id, answer]]),
 });
 const piped = (id: string, awaits: string[], more: Partial<JobSpec> = {}): JobSpec =>
@@ -32,7 +32,7 @@
 
   finish(name: string): void {
     this.bench.now += 10_000;
-    this.bench.do({ kind: 'proof', sentAt: this.bench.now });
+    this.bench.do({ kind: 'viewConfirmed', sentAt: this.bench.now });
     this.#on = this.#on.map((one) =>
       `${one.job}/${one.task}` === name ? { ...one, stage: 'exited', exit: 'done' } : one,
     );
@@ -88,7 +88,7 @@
   const effects = bench.do({ kind: 'jobRemoved', id: 'req-1' });
   // Nothing is cancelled on suspicion: the committed record is read first.
   expect(questions(effects)).toEqual(['req-1']);
-  expect(bench.state.doomed.size).toBe(0);
+  expect(bench.state.cancelPending.size).toBe(0);
   for (let i = 0; i < 12; i += 1) {
     bench.do(i === 0 ? resolved('req-1', ended('withdrawn')) : { kind: 'tick' });
     run.hear();
@@ -106,9 +106,9 @@
   run.hear();
   bench.hear(report('m', 20, [task('req-1/0', 1, 'running')]));
   const exit = bench.raw({
-    kind: 'report',
+    kind: 'heartbeat',
     reply: 90,
-    report: report('m', 21, [task('req-1/0', 1, 'exited', 'done')]),
+    heartbeat: report('m', 21, [task('req-1/0', 1, 'exited', 'done')]),
   });
   const commit = exit.find((effect) => effect.kind === 'commit');
   expect(bench.state.jobs.get('req-2')?.claims.size).toBe(0);
@@ -124,10 +124,12 @@
   for (const answer of ['unknown', 'live', 'none'] as const) {
     bench.do(resolved('req-1', answer));
     bench.now += 11_000;
-    bench.do({ kind: 'proof', sentAt: bench.now });
+    bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
     bench.hear(report('m', 2 + bench.now));
     expect(claims()).toBe(0);
-    expect(questions(bench.do({ kind: 'tick' })).concat(bench.state.asking ?? [])).toContain('req-1');
+    expect(questions(bench.do({ kind: 'tick' })).concat(bench.state.pendingDependencyQuery ?? [])).toContain(
+      'req-1',
+    );
   }
   bench.do(resolved('req-1', ended('done')));
   expect(claims()).toBe(1);
@@ -153,9 +155,9 @@
   const [first, second] = ['req-1', 'req-2'].map((id) => bench.state.jobs.get(id));
   expect([first?.priority, second?.priority]).toEqual([1, 1]);
   const last = bench.now + 200_000;
-  expect(second?.dueAt).toBeLessThan(last - 50_000);
-  expect(first?.dueAt).toBeLessThan((second?.dueAt ?? 0) - 50_000);
-  expect(first?.dueAt).toBeGreaterThan(last - 160_000);
+  expect(second?.inheritedDeadline).toBeLessThan(last - 50_000);
+  expect(first?.inheritedDeadline).toBeLessThan((second?.inheritedDeadline ?? 0) - 50_000);
+  expect(first?.inheritedDeadline).toBeGreaterThan(last - 160_000);
 });
 
 test('a leader vouches for cancellations only up to what it has carried through', () => {
@@ -163,17 +165,17 @@
   bench.add(piped('req-1', []));
   bench.add(piped('req-2', ['req-1']));
   bench.now += 1000;
-  bench.do({ kind: 'proof', sentAt: bench.now });
+  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
   const before = bench.now;
-  expect(settledUntil(bench.state)).toBe(before);
+  expect(resolvedUntil(bench.state)).toBe(before);
   bench.do({ kind: 'jobRemoved', id: 'req-1' });
   bench.now += 1000;
-  bench.do({ kind: 'proof', sentAt: bench.now });
-  expect(settledUntil(bench.state)).toBe(before);
+  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
+  expect(resolvedUntil(bench.state)).toBe(before);
   const effects = bench.raw(resolved('req-1', ended('withdrawn')));
-  expect(settledUntil(bench.state)).toBe(before);
+  expect(resolvedUntil(bench.state)).toBe(before);
   const commit = effects.find((effect) => effect.kind === 'commit');
   if (commit?.kind !== 'commit') throw new Error('no commit');
   bench.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 900 } });
-  expect(settledUntil(bench.state)).toBe(bench.now);
+  expect(resolvedUntil(bench.state)).toBe(bench.now);
 });
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -35,12 +35,14 @@
 
 test('an expression may tell classes apart', () => {
   const policy = createPolicy(settings, 'estimate_multiplier = job_class == "slow" ? 2.0 : 1.0');
-  expect(policy.expectedRun(job('req-1', 1, 1, 30, { jobClass: 'slow' }))).toBe(60_000);
-  expect(policy.expectedRun(job('req-2', 1, 1, 30))).toBe(30_000);
+  expect(policy.expectedRunMs(job('req-1', 1, 1, 30, { jobClass: 'slow' }))).toBe(60_000);
+  expect(policy.expectedRunMs(job('req-2', 1, 1, 30))).toBe(30_000);
 });
 
 test('a fault at run time falls back to the default', () => {
   // Sound for every sample, but not for this job.
   const policy = createPolicy(settings, 'headroom = 1.0 + 10.0 * memory_gb / 1000.0');
-  expect(policy.headroom(job('req-1', 1, 1, 30, { memoryGb: 5000 }))).toBe(Number(FIGURES.headroom.source));
+  expect(policy.headroomFactor(job('req-1', 1, 1, 30, { memoryGb: 5000 }))).toBe(
+    Number(FIGURES.headroom.source),
+  );
 });
--- a/test/promises.test.ts
+++ b/test/promises.test.ts
@@ -137,7 +137,7 @@
     }
     const ended = on.filter(({ job: id }) => {
       const claim = bench.state.jobs.get(id)?.claims.get(0);
-      return id !== 'req-9' && claim !== undefined && bench.now - claim.madeAt > 25_000;
+      return id !== 'req-9' && claim !== undefined && bench.now - claim.createdAt > 25_000;
     });
     if (ended.length > 0) {
       const rest = on.filter((one) => !ended.includes(one));
@@ -149,7 +149,7 @@
       on = on.filter((one) => !ended.includes(one));
     }
   }
-  const bound = bench.state.rules.policy.startBound(job('req-9', 1, 8, 60));
+  const bound = bench.state.config.policy.maxWaitMs(job('req-9', 1, 8, 60));
   expect(begun).toBeGreaterThan(0.5 * bound - 1000);
   expect(begun).toBeLessThan(bound);
   bench.lines.splice(0, bench.lines.findIndex((line) => line.includes('req-9/0')) - 25);
@@ -160,14 +160,14 @@
   const shift = new Shift();
   const { state } = shift.bench;
   for (const id of ['req-1', 'req-2', 'req-3']) shift.add(guest(id, 9, 4));
-  for (const id of ['req-2', 'req-3']) Object.assign(state.jobs.get(id) ?? {}, { servedAt: 0 });
+  for (const id of ['req-2', 'req-3']) Object.assign(state.jobs.get(id) ?? {}, { lastPlacedAt: 0 });
   shift.hear([], 1000);
   shift.bench.now += 200_000;
   shift.bench.do({ kind: 'tick' });
-  expect(state.promised.map(({ spec }) => spec.id).sort()).toEqual(['req-1']);
-  for (const id of ['req-1']) Object.assign(state.jobs.get(id) ?? {}, { servedAt: shift.bench.now });
+  expect(state.reservedJobs.map(({ spec }) => spec.id).sort()).toEqual(['req-1']);
+  for (const id of ['req-1']) Object.assign(state.jobs.get(id) ?? {}, { lastPlacedAt: shift.bench.now });
   shift.bench.do({ kind: 'tick' });
-  expect(state.promised).toEqual([]);
+  expect(state.reservedJobs).toEqual([]);
 });
 
 // Three home jobs that had waited longest held all promises: a guest's arrays began after the bound.
@@ -179,7 +179,7 @@
   for (let i = 6; i < 10; i += 1) shift.add(guest(`req-${i}`, 3, 4));
   shift.bench.now += 200_000;
   shift.bench.do({ kind: 'tick' });
-  const ids = state.promised.map(({ spec }) => spec.id);
+  const ids = state.reservedJobs.map(({ spec }) => spec.id);
   expect(ids.filter((id) => id >= 'req-6')).toHaveLength(2);
   expect(ids.filter((id) => id < 'req-6')).toHaveLength(2);
 });
@@ -188,9 +188,9 @@
 test('a guarantee is taken back from who runs above its own', async () => {
   const shift = new Shift();
   const { bench } = shift;
-  const teams = bench.state.rules.teams as Map<string, object>;
-  teams.set('crew', { cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 });
-  teams.set('choir', { cpus: 4, cpusMax: 0, gpus: 0, gpusMax: 0 });
+  const teams = bench.state.config.teams as Map<string, object>;
+  teams.set('crew', { guaranteedCpus: 0, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 });
+  teams.set('choir', { guaranteedCpus: 4, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 });
   shift.add(job('req-1', 2, 4, 600, { priority: 1 }));
   shift.hear([], 1000);
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')];
@@ -199,7 +199,7 @@
   shift.add(mine('req-2'));
   shift.add(mine('req-3'));
   expect(stops(shift.hear(running, 1000))).toEqual(['req-1/0 grace 0']);
-  expect([...bench.state.guaranteed].map(({ spec }) => spec.id)).toEqual(['req-2']);
+  expect([...bench.state.guaranteedJobs].map(({ spec }) => spec.id)).toEqual(['req-2']);
   const left = task('req-1/1', 1, 'running');
   const gone = task('req-1/0', 1, 'exited', 'stopped');
   expect(CoreBench.starts(shift.hear([left, gone]))).toEqual(['req-2/0#1']);
@@ -227,9 +227,12 @@
   const bench = new CoreBench();
   const names = Array.from({ length: 20 }, (_, i) => `m${i}`);
   for (const name of names) bench.hear(report(name, 1));
-  bench.state.busy = true;
-  bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 5000, 1, 3, { deadlineS: 9000 }), stamp: 900 } });
-  bench.do({ kind: 'tick', busy: true });
+  bench.state.isOverloaded = true;
+  bench.raw({
+    kind: 'jobAdded',
+    job: { value: job('req-1', 5000, 1, 3, { deadlineS: 9000 }), modRevision: 900 },
+  });
+  bench.do({ kind: 'tick', isOverloaded: true });
   const claims = (id: string): number => bench.state.jobs.get(id)?.claims.size ?? 0;
   const first = claims('req-1');
   expect(first).toBeGreaterThan(0);
@@ -259,5 +262,7 @@
   const array = state.jobs.get('req-1');
   expect(array?.doneCount).toBeGreaterThan(100);
   expect(array?.attempts.size).toBeLessThanOrEqual(8);
-  expect([array?.claims.size, array?.again.length, state.machines.get('m')?.exits.size]).toEqual([8, 0, 8]);
+  expect([array?.claims.size, array?.retryTasks.length, state.machines.get('m')?.exits.size]).toEqual([
+    8, 0, 8,
+  ]);
 });
--- a/test/reads.test.ts
+++ b/test/reads.test.ts
@@ -37,7 +37,7 @@
         (await later(`list ${prefix}`, () => ({ entries: store.list(prefix), revision: store.revision }))) ??
         'unknown',
       commit: async (txn) =>
-        (await later(`compare ${txn.when.length}`, () => store.commit(txn))) ?? { kind: 'refused' },
+        (await later(`compare ${txn.preconditions.length}`, () => store.commit(txn))) ?? { kind: 'refused' },
       changes: async (prefix, after) =>
         (await later<Watch>('changes', () => store.since(prefix, after))) ?? { kind: 'unknown' },
       watch: () => Promise.resolve({ kind: 'unknown' }),
@@ -48,8 +48,8 @@
       keepTo: () => undefined,
     };
     const clock = {
-      mono: () => this.clock.now,
-      wall: () => this.clock.now,
+      monotonicMs: () => this.clock.now,
+      epochMs: () => this.clock.now,
       sleep: (ms: number) => this.clock.sleep(ms),
       soon: (call: () => void) => this.clock.in(0, call),
       measure: () => () => ({ steadyMs: 0, processorMs: 0 }),
@@ -58,12 +58,15 @@
   }
 
   enter(id: string): void {
-    this.store.commit({ when: [], apply: [{ put: `job/${id}`, value: job(id, 1, 1, 10) }] });
+    this.store.commit({ preconditions: [], mutations: [{ put: `job/${id}`, value: job(id, 1, 1, 10) }] });
   }
 
   end(id: string, stage: string): void {
     const value = { stage, tasks: 1, done: 1 };
-    this.store.commit({ when: [], apply: [{ remove: `job/${id}` }, { put: `ended/${id}`, value }] });
+    this.store.commit({
+      preconditions: [],
+      mutations: [{ remove: `job/${id}` }, { put: `ended/${id}`, value }],
+    });
   }
 
   /** Asks, and lets time pass until all is answered. */
@@ -155,7 +158,8 @@
   const slow = new Slow();
   slow.enter('req-1');
   await slow.ask(['req-1']);
-  for (let i = 0; i < 10_100; i += 1) slow.store.commit({ when: [], apply: [{ put: 'noise', value: i }] });
+  for (let i = 0; i < 10_100; i += 1)
+    slow.store.commit({ preconditions: [], mutations: [{ put: 'noise', value: i }] });
   slow.end('req-1', 'done');
   slow.enter('req-2');
   expect((await slow.ask(['req-1', 'req-2'])).map(({ kind }) => kind)).toEqual(['ended', 'live']);
@@ -164,13 +168,13 @@
 // A record that could not be read was answered 503 for ever: its job was forgotten, though accepted.
 test('a job whose description is damaged stays known', async () => {
   const slow = new Slow();
-  slow.store.commit({ when: [], apply: [{ put: 'job/req-1', value: 'rubbish' }] });
+  slow.store.commit({ preconditions: [], mutations: [{ put: 'job/req-1', value: 'rubbish' }] });
   expect((await slow.ask(['req-1']))[0]?.kind).toBe('damaged');
 });
 
 // With every poll of one job refused by chance, it would be forgotten while others are served.
 test('a question that was refused goes before others when it comes again', () => {
-  const admission = new Admission({ ...systemClock, mono: () => 0 }, 20);
+  const admission = new Admission({ ...systemClock, monotonicMs: () => 0 }, 20);
   for (let i = 0; i < 15; i += 1) expect(admission.enter('show', `req-${i}`)).toBeNull();
   expect(admission.enter('show', 'req-77')).not.toBeNull();
   expect(admission.enter('show', 'req-78')).not.toBeNull();
--- a/test/retransmission.test.ts
+++ b/test/retransmission.test.ts
@@ -40,11 +40,11 @@
   const settings = { ...base, endpoints };
   const service = new HttpStateService(settings, systemClock);
   for (let i = 0; i < 8; i += 1)
-    expect(await service.commit({ when: [], apply: [] })).toMatchObject({ kind: 'applied' });
+    expect(await service.commit({ preconditions: [], mutations: [] })).toMatchObject({ kind: 'applied' });
   silent = true;
   const from = performance.now();
-  expect(await service.commit({ when: [], apply: [] })).toEqual({ kind: 'unknown' });
-  expect(performance.now() - from).toBeLessThan(0.6 * timing(settings).stateTimeout);
+  expect(await service.commit({ preconditions: [], mutations: [] })).toEqual({ kind: 'unknown' });
+  expect(performance.now() - from).toBeLessThan(0.6 * timing(settings).storeTimeoutMs);
   server.closeAllConnections();
   server.close();
 });
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -36,7 +36,7 @@
 const users = new Users({
   state: service,
   clock: systemClock,
-  teams: new Map([['crew', { cpus: 0, cpusMax: 8, gpus: 0, gpusMax: 0 }]]),
+  teams: new Map([['crew', { guaranteedCpus: 0, maxCpus: 8, guaranteedGpus: 0, maxGpus: 0 }]]),
   patience: 100,
   rps: 10_000,
   valueBytes: 2048,
@@ -150,7 +150,10 @@
 const withdraw = (id: string): Promise<Answer> => client.call('POST', `/v2/runs/${id}/withdraw`, null, 5000);
 const done = (id: string): void => {
   const record = { stage: 'done', tasks: 2, done: 2 };
-  state.commit({ when: [], apply: [{ remove: `job/${id}` }, { put: `ended/${id}`, value: record }] });
+  state.commit({
+    preconditions: [],
+    mutations: [{ remove: `job/${id}` }, { put: `ended/${id}`, value: record }],
+  });
 };
 
 test('awaited jobs: accepted if they were, 422 if they never were, known again whatever happens', async () => {
@@ -219,16 +222,16 @@
 // Entered late, after the cancellation has gone through, nobody would withdraw it.
 test('a submission is entered only while what it awaits is as it was read', async () => {
   expect((await post({ ...good, nameId: 'req-000040' })).status).toBe(201);
-  const stamp = state.read('job/req-000040')?.stamp;
-  let seen: readonly { key: string; stamp: number }[] = [];
+  const modRevision = state.read('job/req-000040')?.modRevision;
+  let seen: readonly { key: string; modRevision?: number | undefined }[] = [];
   const commit = service.commit.bind(service);
   service.commit = (txn) => {
-    seen = txn.when;
+    seen = txn.preconditions;
     return commit(txn);
   };
   await post({ ...good, nameId: 'req-000041', awaits: ['req-000040'] });
   service.commit = commit;
-  expect(seen).toContainEqual({ key: 'job/req-000040', stamp });
+  expect(seen).toContainEqual({ key: 'job/req-000040', modRevision });
 });
 
 test('before every controller understands pipelines: 503, and nothing is written', async () => {
@@ -263,7 +266,7 @@
 // Thousands of polls at once, as after an outage, piled up behind a state service that did not answer.
 test('more requests than can be served are refused at once, polls first, and told to come back apart', () => {
   let now = 0;
-  const admission = new Admission({ ...systemClock, mono: () => now }, 20);
+  const admission = new Admission({ ...systemClock, monotonicMs: () => now }, 20);
   const enter = (kind: 'submit' | 'show', count: number): (number | null)[] =>
     Array.from({ length: count }, () => admission.enter(kind));
   expect(enter('show', 16).filter((away) => away === null)).toHaveLength(15);
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -65,7 +65,7 @@
       node: 'n-0',
       incarnation: 'leader-life',
       term: TERM,
-      at: this.clock.wall(),
+      at: this.clock.epochMs(),
       number: this.number,
       answers: [],
       attention: [],
@@ -78,7 +78,7 @@
   }
 
   snapshot(more: Partial<AnswersMessage> = {}): void {
-    this.intake.receive(this.message({ isSnapshot: true, provenAt: this.clock.wall(), ...more }));
+    this.intake.receive(this.message({ isSnapshot: true, provenAt: this.clock.epochMs(), ...more }));
   }
 
   /** Takes a report; the result: how it was answered at once, or that it was forwarded. */
@@ -87,7 +87,7 @@
     const before = this.intake.forwarded;
     if (!this.intake.take(report('m', seq, tasks, more), (status, body) => (told = `${status} ${body}`)))
       return 'not taken';
-    await this.world.runUntil(this.world.now + 2 * TIMES.forwardHold);
+    await this.world.runUntil(this.world.now + 2 * TIMES.forwardBatchDelayMs);
     return this.intake.forwarded > before ? `forwarded, ${told}` : told;
   }
 
@@ -114,7 +114,7 @@
     const bench = await IntakeBench.settled();
     expect(await bench.take(2)).toBe(LOCAL);
     bench.intake.flush();
-    expect(bench.sent.at(-1)?.heartbeats).toMatchObject([{ machine: 'm', session: 1, seq: 2 }]);
+    expect(bench.sent.at(-1)?.heartbeats).toMatchObject([{ machine: 'm', agentEpoch: 1, sequence: 2 }]);
   });
 
   const news: readonly [string, (bench: IntakeBench) => Promise<string>][] = [
@@ -125,9 +125,9 @@
     ['its tasks changed', (bench) => bench.take(2, [task('req-1/0', 1, 'saving')])],
     ['a task of it ended', (bench) => bench.take(2, [task('req-1/0', 1, 'exited', 'done')])],
     ['it has not seen the token', (bench) => bench.take(2, RUNNING, { token: TERM - 1 })],
-    ['the cloud will take the machine', (bench) => bench.take(2, RUNNING, { noticeS: 30 })],
+    ['the cloud will take the machine', (bench) => bench.take(2, RUNNING, { terminationNoticeS: 30 })],
     ['a report in between went elsewhere', (bench) => bench.take(3)],
-    ['its session is another', (bench) => bench.take(2, RUNNING, { session: 2 })],
+    ['its session is another', (bench) => bench.take(2, RUNNING, { agentEpoch: 2 })],
   ];
   test.each(news)('not when %s', async (_what, take) => {
     expect(await take(await IntakeBench.settled())).toMatch(/^forwarded/);
@@ -164,8 +164,8 @@
 
   test('not beyond the authority window of the read that proved the leader’s view', async () => {
     const bench = await IntakeBench.settled();
-    const provenAt = bench.clock.wall();
-    await bench.world.runUntil(TIMES.authority - 200 - 100);
+    const provenAt = bench.clock.epochMs();
+    await bench.world.runUntil(TIMES.authorityWindowMs - 200 - 100);
     bench.snapshot({ provenAt });
     expect(await bench.take(2)).toBe(LOCAL);
     await bench.world.runUntil(bench.world.now + 200);
@@ -183,7 +183,7 @@
 
   test('not on the word of an earlier message that comes after a newer one', async () => {
     const bench = await IntakeBench.settled();
-    const earlier = bench.message({ isSnapshot: true, provenAt: bench.clock.wall() });
+    const earlier = bench.message({ isSnapshot: true, provenAt: bench.clock.epochMs() });
     bench.snapshot({ attention: ['m'] });
     bench.intake.receive(earlier);
     expect(await bench.take(2)).toMatch(/^forwarded/);
@@ -214,7 +214,7 @@
       await bench.world.runUntil(bench.world.now + 500);
       bench.snapshot();
     }
-    expect(bench.world.now - from).toBeLessThan(TIMES.authority + 1000);
+    expect(bench.world.now - from).toBeLessThan(TIMES.authorityWindowMs + 1000);
   });
 });
 
@@ -245,14 +245,14 @@
   bench.leader = 'n-2';
   bench.number = 0;
   bench.intake.receive({ ...bench.message({ isSnapshot: true }), node: 'n-2', incarnation: 'other' });
-  await bench.world.runUntil(bench.world.now + 2 * TIMES.forwardHold);
+  await bench.world.runUntil(bench.world.now + 2 * TIMES.forwardBatchDelayMs);
   expect(bench.sent.flatMap(({ reports }) => reports.map((one) => one.report.machine))).toEqual(['m', 'm']);
 });
 
 describe('a heartbeat', () => {
   const machineOf = (
     bench: CoreBench,
-  ): { heardAt: number | null; seq: number; claims: ReadonlyMap<string, unknown> } =>
+  ): { lastHeartbeatAt: number | null; heartbeatSequence: number; claims: ReadonlyMap<string, unknown> } =>
     bench.state.machines.get('m') as never;
   const running = (): CoreBench => {
     const bench = new CoreBench();
@@ -266,29 +266,29 @@
   test('says that a machine lives as of when it came, and proves nothing absent', () => {
     const bench = running();
     bench.now += 1000;
-    bench.do({ kind: 'heartbeats', heartbeats: [{ machine: 'm', session: 1, seq: 4, ageMs: 300 }] });
-    expect(machineOf(bench)).toMatchObject({ heardAt: bench.now - 300, seq: 4 });
+    bench.do({ kind: 'keepalives', keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 4, ageMs: 300 }] });
+    expect(machineOf(bench)).toMatchObject({ lastHeartbeatAt: bench.now - 300, heartbeatSequence: 4 });
     expect(machineOf(bench).claims.size).toBe(1);
   });
 
   test.each([
-    ['of an earlier report', { session: 1, seq: 3, ageMs: 0 }],
-    ['of a session that this leader has not heard of', { session: 2, seq: 9, ageMs: 0 }],
+    ['of an earlier report', { agentEpoch: 1, sequence: 3, ageMs: 0 }],
+    ['of a session that this leader has not heard of', { agentEpoch: 2, sequence: 9, ageMs: 0 }],
   ])('%s changes nothing', (_what, heartbeat) => {
     const bench = running();
-    const { heardAt } = machineOf(bench);
+    const { lastHeartbeatAt } = machineOf(bench);
     bench.now += 1000;
-    bench.do({ kind: 'heartbeats', heartbeats: [{ machine: 'm', ...heartbeat }] });
-    expect(machineOf(bench)).toMatchObject({ heardAt, seq: 3 });
+    bench.do({ kind: 'keepalives', keepalives: [{ machine: 'm', ...heartbeat }] });
+    expect(machineOf(bench)).toMatchObject({ lastHeartbeatAt, heartbeatSequence: 3 });
   });
 
   test('of a machine that has not shown this leader its token changes nothing', () => {
     const bench = new CoreBench();
     bench.hear(report('m', 1, [], { token: TERM - 1 }));
-    const { heardAt } = machineOf(bench);
+    const { lastHeartbeatAt } = machineOf(bench);
     bench.now += 1000;
-    bench.do({ kind: 'heartbeats', heartbeats: [{ machine: 'm', session: 1, seq: 2, ageMs: 0 }] });
-    expect(machineOf(bench).heardAt).toBe(heardAt);
+    bench.do({ kind: 'keepalives', keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 2, ageMs: 0 }] });
+    expect(machineOf(bench).lastHeartbeatAt).toBe(lastHeartbeatAt);
   });
 });
 
@@ -327,7 +327,7 @@
     const bench = idle();
     bench.add(job('req-1', 1, 4, 50));
     bench.proven = false;
-    bench.now += TIMES.leaderLease;
+    bench.now += TIMES.leaderLeaseMs;
     bench.hear(report('m', 3));
     expect(bench.state.attention.size).toBe(1);
   });
@@ -346,7 +346,7 @@
   constructor() {
     const settings = testSettings(0);
     const rules = rulesFor(settings, createPolicy(settings, 'shared_reports_from = 1.0'));
-    Object.assign(this.core.state, { rules });
+    Object.assign(this.core.state, { config: rules });
     const ports = { clock: this.clock, log: { info: () => undefined }, incarnation: 'x' };
     const owner = { state: this.core.state, push: () => undefined };
     const common = { settings, timing: TIMES, ports, owner, standing: {} } as unknown as Common;
@@ -366,7 +366,7 @@
       node: 'n-1',
       incarnation: 'y',
       term: TERM,
-      at: this.clock.wall(),
+      at: this.clock.epochMs(),
       reports: [{ reference: 1, report: report('m', 3) }],
       heartbeats: [],
       ...more,
@@ -379,7 +379,7 @@
     const bench = new LeaderBench();
     bench.receive({});
     bench.receive({ term: TERM - 1 });
-    bench.receive({ at: bench.clock.wall() - 0.6 * TIMES.workerLease });
+    bench.receive({ at: bench.clock.epochMs() - 0.6 * TIMES.workerLeaseMs });
     expect(bench.pushed).toEqual(['m']);
   });
 
@@ -424,7 +424,7 @@
     bench.shared.tell();
     expect(bench.sent).toMatchObject([{ isSnapshot: true, isSharing: true, attention: ['m'] }]);
     // One that hands over gives nobody a proof to answer by.
-    bench.core.do({ kind: 'yield' });
+    bench.core.do({ kind: 'transferLeadership' });
     bench.shared.tell();
     expect(bench.sent.at(-1)).toMatchObject({ isSnapshot: true, provenAt: 0 });
   });
@@ -432,21 +432,21 @@
 
 test('a report forwarded late was heard when it came to the follower', () => {
   const bench = new CoreBench();
-  bench.do({ kind: 'report', reply: 1, report: report('m', 1), ageMs: 800 });
-  expect(bench.state.machines.get('m')?.heardAt).toBe(bench.now - 800);
+  bench.do({ kind: 'heartbeat', reply: 1, heartbeat: report('m', 1), ageMs: 800 });
+  expect(bench.state.machines.get('m')?.lastHeartbeatAt).toBe(bench.now - 800);
 });
 
 test('messages about shared reports survive the wire, and are no status to versions before', () => {
   const envelope = { node: 'n-1', incarnation: 'x', term: 7, at: 1e12 };
   const forwarded = report('m', 9, [task('req-1/0', 2, 'running'), task('req-1/1', 1, 'exited', 'error')], {
-    noticeS: 0,
+    terminationNoticeS: 0,
   });
   const messages: IntakeMessage[] = [
     {
       kind: 'reports',
       ...envelope,
       reports: [{ reference: 3, report: forwarded }],
-      heartbeats: [{ machine: 'k', session: 2, seq: 5, ageMs: 40 }],
+      heartbeats: [{ machine: 'k', agentEpoch: 2, sequence: 5, ageMs: 40 }],
     },
     {
       kind: 'answers',
--- a/test/standins/clock.ts
+++ b/test/standins/clock.ts
@@ -65,11 +65,11 @@
     private readonly wallError: number,
   ) {}
 
-  mono(): number {
+  monotonicMs(): number {
     return this.world.now * this.drift;
   }
 
-  wall(): number {
+  epochMs(): number {
     return 1_000_000_000_000 + this.world.now + this.wallError;
   }
 
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,7 +1,7 @@
 /** The cloud and the workers on its machines, as PROTOCOL tells of them. */
 import type { Cloud, RentalOutcome } from '../../src/adapters/cloud.js';
 import type { Workers } from '../../src/adapters/workers.js';
-import type { ListedMachine, MachineType, Report, WorkerCommand } from '../../src/core/types.js';
+import type { ListedMachine, MachineType, Heartbeat, WorkerCommand } from '../../src/core/types.js';
 import { asObject, type Json } from '../../src/core/values.js';
 import { encodeRental, encodeReturn } from '../../src/wire/cloud.js';
 import { encodeDirect, parseReport } from '../../src/wire/workers.js';
@@ -422,7 +422,12 @@
         const met = await this.network.ask<boolean>(node, worker.listed.name, 750, (reply) => reply(true));
         return met === true;
       },
-      direct: async (address, token, session, commands: readonly WorkerCommand[]): Promise<Report | null> => {
+      direct: async (
+        address,
+        token,
+        session,
+        commands: readonly WorkerCommand[],
+      ): Promise<Heartbeat | null> => {
         const worker = [...this.workers.values()].find(({ listed }) => listed.address === address);
         if (worker === undefined) return null;
         const text = encodeDirect(token, session, commands);
--- a/test/standins/core.ts
+++ b/test/standins/core.ts
@@ -4,7 +4,7 @@
 import type { CoreState } from '../../src/core/state.js';
 import { createState } from '../../src/core/create-state.js';
 import { step } from '../../src/core/step.js';
-import type { Claim, JobSpec, MachineType, Report, ReportedTask } from '../../src/core/types.js';
+import type { Claim, JobSpec, MachineType, Heartbeat, ReportedTask } from '../../src/core/types.js';
 import { rulesFor } from '../../src/rules.js';
 import { createPolicy } from '../../src/policy.js';
 import { testSettings } from './world.js';
@@ -62,18 +62,18 @@
   machine: string,
   seq: number,
   tasks: readonly ReportedTask[] = [],
-  more: Partial<Report> = {},
-): Report {
+  more: Partial<Heartbeat> = {},
+): Heartbeat {
   return {
     machine,
     address: '10.0.0.9:1',
     type: 'eight',
     zone: 'a',
     spot: true,
-    session: 1,
-    seq,
+    agentEpoch: 1,
+    sequence: seq,
     token: TERM,
-    noticeS: null,
+    terminationNoticeS: null,
     tasks,
     ...more,
   };
@@ -95,8 +95,8 @@
 
 function tellCommand(command: Command): string | null {
   switch (command.kind) {
-    case 'report':
-      return `report of ${command.report.machine} (session ${command.report.session}, token ${command.report.token}): ${command.report.tasks.map(tellTask).join(', ') || 'no tasks'}`;
+    case 'heartbeat':
+      return `report of ${command.heartbeat.machine} (session ${command.heartbeat.agentEpoch}, token ${command.heartbeat.token}): ${command.heartbeat.tasks.map(tellTask).join(', ') || 'no tasks'}`;
     case 'jobAdded': {
       const { id, tasks, cpus, estimateS } = command.job.value;
       return `job ${id}: ${tasks} tasks of ${cpus} cpus, estimated ${estimateS} s`;
@@ -105,7 +105,7 @@
       return `job ${command.id} is withdrawn`;
     case 'committed':
       return `commit ${command.outcome.kind}`;
-    case 'returned':
+    case 'terminated':
       return `the cloud confirms the return of ${command.machines.join(', ')}`;
     default:
       return null;
@@ -115,16 +115,16 @@
 function tellEffect(effect: Effect): string | null {
   switch (effect.kind) {
     case 'commit':
-      return `commit ${effect.txn.apply.map((write) => ('put' in write ? `put ${write.put}` : `remove ${write.remove}`)).join(', ')} when ${effect.txn.when.map(({ key, stamp }) => `${key}@${stamp}`).join(' ')}`;
+      return `commit ${effect.transaction.mutations.map((write) => ('put' in write ? `put ${write.put}` : `remove ${write.remove}`)).join(', ')} when ${effect.transaction.preconditions.map(({ key, modRevision }) => `${key}@${modRevision}`).join(' ')}`;
     case 'reply':
       return effect.body.kind === 'unable'
         ? 'answer 503'
         : `answer: ${effect.body.commands.map(({ op, job, task, attempt }) => `${op} ${job}/${task}#${attempt}`).join(', ') || 'nothing to do'}`;
-    case 'return':
+    case 'terminate':
       return `give back ${effect.machines.join(', ')}`;
     case 'steppedDown':
       return `step down: ${effect.reason}`;
-    case 'recheck':
+    case 'reconcile':
       return `read again ${[...effect.jobs, ...effect.chunks].join(', ')}`;
     default:
       return null;
@@ -137,7 +137,7 @@
   now = 100_000;
   /** The state service answers: each batch comes with a proof that the view is fresh. */
   proven = true;
-  #stamp = TERM_STAMP;
+  #modRevision = TERM_STAMP;
   #reply = 0;
 
   constructor(cpusMax = 0, types: MachineType[] = [EIGHT], limits: object = {}) {
@@ -148,15 +148,15 @@
       this.state,
       [
         {
-          kind: 'lead',
+          kind: 'becomeLeader',
           term: TERM,
-          stamp: TERM_STAMP,
-          provenAt: this.now,
+          modRevision: TERM_STAMP,
+          viewConfirmedAt: this.now,
           layout: this.state.layout,
-          wide: this.state.wide,
+          legacyChunkTasks: this.state.legacyChunkTasks,
           jobs: [],
           chunks: [],
-          memory: [],
+          demandHistory: [],
         },
       ],
       this.time(),
@@ -164,13 +164,15 @@
     this.now += 2000;
   }
 
-  time(): { mono: number; wall: number } {
-    return { mono: this.now, wall: this.now };
+  time(): { monotonicMs: number; epochMs: number } {
+    return { monotonicMs: this.now, epochMs: this.now };
   }
 
   /** One batch; commits are not answered. */
   raw(...given: Command[]): Effect[] {
-    const commands: Command[] = this.proven ? [{ kind: 'proof', sentAt: this.now }, ...given] : [...given];
+    const commands: Command[] = this.proven
+      ? [{ kind: 'viewConfirmed', sentAt: this.now }, ...given]
+      : [...given];
     const tell = (mark: string, line: string | null): void => {
       if (line !== null)
         this.lines.push(`${((this.now - 102_000) / 1000).toFixed(1).padStart(6)} ${mark} ${line}`);
@@ -188,7 +190,7 @@
       const next = this.raw({
         kind: 'committed',
         id: commit.id,
-        outcome: { kind: 'applied', revision: ++this.#stamp },
+        outcome: { kind: 'applied', revision: ++this.#modRevision },
       });
       all.push(...next);
       commit = next.find((effect) => effect.kind === 'commit');
@@ -197,7 +199,7 @@
   }
 
   add(spec: JobSpec): Effect[] {
-    return this.do({ kind: 'jobAdded', job: { value: spec, stamp: ++this.#stamp } });
+    return this.do({ kind: 'jobAdded', job: { value: spec, modRevision: ++this.#modRevision } });
   }
 
   /** A new leader, which knows one job and who may be where of it from the state service alone. */
@@ -205,20 +207,20 @@
     const { id, team, cpus, gpus, memoryGb } = spec;
     const record = { team, cpus, gpus, memoryGb, done: '', attempts: {}, claims };
     this.do({
-      kind: 'lead',
+      kind: 'becomeLeader',
       term: TERM,
-      stamp: TERM_STAMP,
-      provenAt: this.now,
+      modRevision: TERM_STAMP,
+      viewConfirmedAt: this.now,
       layout: this.state.layout,
-      wide: this.state.wide,
-      memory: [],
-      jobs: [{ value: spec, stamp: 50 }],
-      chunks: [{ job: id, name: { index: 0, width: null }, record: { value: record, stamp: 60 } }],
+      legacyChunkTasks: this.state.legacyChunkTasks,
+      demandHistory: [],
+      jobs: [{ value: spec, modRevision: 50 }],
+      chunks: [{ job: id, name: { index: 0, width: null }, record: { value: record, modRevision: 60 } }],
     });
   }
 
-  hear(from: Report): Effect[] {
-    return this.do({ kind: 'report', reply: ++this.#reply, report: from });
+  hear(from: Heartbeat): Effect[] {
+    return this.do({ kind: 'heartbeat', reply: ++this.#reply, heartbeat: from });
   }
 
   /** The tasks that a batch of effects starts, as `job/task#attempt`. */
--- a/test/standins/days.ts
+++ b/test/standins/days.ts
@@ -189,7 +189,7 @@
   };
   world.clock.in(PAGES_EVERY_MS, pages);
   await world.clock.runUntil(plan.draw(world, seed));
-  for (const [key, { value, stamp }] of [...world.state.keys].sort(([a], [b]) => (a < b ? -1 : 1)))
-    tap('state', 'end', `${key} ${stamp} ${JSON.stringify(value)}`);
+  for (const [key, { value, modRevision }] of [...world.state.keys].sort(([a], [b]) => (a < b ? -1 : 1)))
+    tap('state', 'end', `${key} ${modRevision} ${JSON.stringify(value)}`);
   return `${seed} ${kind} ${lines} ${hash.digest('hex')}`;
 }
--- a/test/standins/explore.ts
+++ b/test/standins/explore.ts
@@ -33,8 +33,8 @@
   revision: number;
   /** Revision of the latest change of the leader's record. */
   leaderAt: number;
-  leader: { record: LeaderRecord; stamp: number; lease: number } | null;
-  term: { value: number; stamp: number } | null;
+  leader: { record: LeaderRecord; modRevision: number; lease: number } | null;
+  term: { value: number; modRevision: number } | null;
   leases: number[];
   nextLease: number;
 }
@@ -101,7 +101,7 @@
   }
 
   #born(scene: Scene, name: string): ElectionState {
-    return createElection(name, `life-${scene.lives++}`, TIMES, name === 'n-2' ? 4 * TIMES.tick : 0);
+    return createElection(name, `life-${scene.lives++}`, TIMES, name === 'n-2' ? 4 * TIMES.tickMs : 0);
   }
 
   tell(scene: Scene, node: Node, event: ElectionEvent): void {
@@ -139,33 +139,33 @@
       return { ...event, leader: 'unknown' };
     if (this.mutant === 'follows no record' && event.kind === 'read' && event.leader !== 'unknown')
       return election.holding === null
-        ? { ...event, leader: { ...event.leader, value: null, stamp: 0 } }
+        ? { ...event, leader: { ...event.leader, value: null, modRevision: 0 } }
         : event;
     return event;
   }
 
   /** A transaction, as the state service takes it; the revision it made, or null if a condition failed. */
   #apply({ store }: Scene, txn: Transaction): number | null {
-    const leaderStamp = store.leader?.stamp ?? 0;
-    const termStamp = store.term?.stamp ?? 0;
+    const leaderRevision = store.leader?.modRevision ?? 0;
+    const termRevision = store.term?.modRevision ?? 0;
     const free = this.mutant === 'stands without the condition on the term' && txn.kind === 'stand';
     const loose = this.mutant === 'names without the condition on the record' && txn.kind === 'name';
-    if (!free && txn.termStamp !== termStamp && !loose) return null;
-    if (!free && !loose && txn.leaderStamp !== leaderStamp) return null;
+    if (!free && txn.termRevision !== termRevision && !loose) return null;
+    if (!free && !loose && txn.leaderRevision !== leaderRevision) return null;
     if (!store.leases.includes(txn.lease)) return null;
     store.revision += 1;
-    store.leader = { record: txn.record, stamp: store.revision, lease: txn.lease };
+    store.leader = { record: txn.record, modRevision: store.revision, lease: txn.lease };
     store.leaderAt = store.revision;
-    if (txn.kind === 'stand') store.term = { value: txn.record.term, stamp: store.revision };
+    if (txn.kind === 'stand') store.term = { value: txn.record.term, modRevision: store.revision };
     return store.revision;
   }
 
   #leader({ store }: Scene): Kept<LeaderRecord> {
-    return { value: store.leader?.record ?? null, stamp: store.leader?.stamp ?? 0 };
+    return { value: store.leader?.record ?? null, modRevision: store.leader?.modRevision ?? 0 };
   }
 
   #term({ store }: Scene): Kept<number> {
-    return { value: store.term?.value ?? null, stamp: store.term?.stamp ?? 0 };
+    return { value: store.term?.value ?? null, modRevision: store.term?.modRevision ?? 0 };
   }
 
   endLease({ store }: Scene, lease: number): void {
@@ -272,7 +272,7 @@
       });
       if (election.phase === 'following')
         take(`${election.node} takes the leader for crashed`, true, (next) =>
-          this.tell(next, of(next), { kind: 'inherit', stamp: of(next).election.followed }),
+          this.tell(next, of(next), { kind: 'inherit', modRevision: of(next).election.followed }),
         );
       if (election.phase === 'holding') {
         const to = NODES[(i + 1) % NODES.length] as string;
@@ -303,11 +303,11 @@
 
   /** What must hold in every state. */
   check(scene: Scene): void {
-    const termStamp = scene.store.term?.stamp ?? 0;
+    const termRevision = scene.store.term?.modRevision ?? 0;
     const { leader, term } = scene.store;
     if (leader !== null && leader.record.term !== term?.value)
       this.broken.push('the record tells of another term than the one in force');
-    const writers = scene.nodes.filter(({ election }) => election.holding?.won.stamp === termStamp);
+    const writers = scene.nodes.filter(({ election }) => election.holding?.won.modRevision === termRevision);
     if (writers.length > 1) this.broken.push('the writes of two leaders would be applied');
     for (const { election } of writers) {
       const { won } = election.holding as { won: { term: number } };
@@ -326,10 +326,10 @@
       const leaders = scene.nodes.filter(({ election }) => election.phase === 'holding');
       const [one] = leaders;
       if (leaders.length !== 1 || one === undefined) return null;
-      const stamp = scene.store.leader?.stamp;
+      const modRevision = scene.store.leader?.modRevision;
       const all = scene.nodes.every(
         ({ election }) =>
-          election === one.election || (election.phase === 'following' && election.followed === stamp),
+          election === one.election || (election.phase === 'following' && election.followed === modRevision),
       );
       return all && one.election.holding?.named === null ? one.election.incarnation : null;
     };
@@ -375,25 +375,30 @@
 /** Two states that differ only in how large their numbers have grown are the same. */
 function keyOf(scene: Scene): string {
   const { store } = scene;
-  const stamps = new Set<number>([0, store.leaderAt, store.leader?.stamp ?? 0, store.term?.stamp ?? 0]);
+  const stamps = new Set<number>([
+    0,
+    store.leaderAt,
+    store.leader?.modRevision ?? 0,
+    store.term?.modRevision ?? 0,
+  ]);
   const terms = new Set<number>([store.term?.value ?? 0, store.leader?.record.term ?? 0]);
   const leases = new Set<number>(store.leases);
   const asked = [...scene.nodes.flatMap((node) => node.asked), ...scene.late];
   for (const one of asked) {
     if ('after' in one) stamps.add(one.after);
-    if ('leaderStamp' in one) stamps.add(one.leaderStamp).add(one.termStamp);
+    if ('leaderRevision' in one) stamps.add(one.leaderRevision).add(one.termRevision);
     if ('record' in one) terms.add(one.record.term);
     if ('lease' in one) leases.add(one.lease);
   }
   for (const { election } of scene.nodes) {
-    stamps.add(election.followed).add(election.leaderStamp);
+    stamps.add(election.followed).add(election.leaderRevision);
     if (election.holding !== null) {
-      stamps.add(election.holding.leaderStamp).add(election.holding.won.stamp);
+      stamps.add(election.holding.leaderRevision).add(election.holding.won.modRevision);
       terms.add(election.holding.won.term);
       leases.add(election.holding.lease);
     }
     if (election.standsFor !== null) {
-      stamps.add(election.standsFor.termStamp);
+      stamps.add(election.standsFor.termRevision);
       terms.add(election.standsFor.term);
     }
   }
@@ -401,37 +406,41 @@
     const sorted = [...numbers].sort((a, b) => a - b);
     return (n) => sorted.indexOf(n);
   };
-  const [stamp, term, lease] = [rank(stamps), rank(terms), rank(leases)];
+  const [modRevision, term, lease] = [rank(stamps), rank(terms), rank(leases)];
   const record = (one: LeaderRecord): string =>
     `${one.node}${one.incarnation}${term(one.term)}${one.successor ?? ''}`;
   const transaction = (one: Transaction): string =>
-    `${one.kind}${record(one.record)}${lease(one.lease)},${stamp(one.leaderStamp)},${stamp(one.termStamp)}`;
+    `${one.kind}${record(one.record)}${lease(one.lease)},${modRevision(one.leaderRevision)},${modRevision(one.termRevision)}`;
   const whole = JSON.stringify([
     scene.faults,
-    store.leader && [record(store.leader.record), stamp(store.leader.stamp), lease(store.leader.lease)],
-    store.term && [term(store.term.value), stamp(store.term.stamp)],
-    stamp(store.leaderAt),
+    store.leader && [
+      record(store.leader.record),
+      modRevision(store.leader.modRevision),
+      lease(store.leader.lease),
+    ],
+    store.term && [term(store.term.value), modRevision(store.term.modRevision)],
+    modRevision(store.leaderAt),
     store.leases.map(lease),
     scene.late.map(transaction),
     scene.nodes.map(({ election: e, asked: all }) => [
       e.incarnation,
       e.phase,
       e.deferred,
-      stamp(e.followed),
-      stamp(e.leaderStamp),
+      modRevision(e.followed),
+      modRevision(e.leaderRevision),
       e.lease === null ? null : lease(e.lease),
-      e.standsFor && [term(e.standsFor.term), stamp(e.standsFor.termStamp)],
+      e.standsFor && [term(e.standsFor.term), modRevision(e.standsFor.termRevision)],
       e.holding && [
         lease(e.holding.lease),
         term(e.holding.won.term),
-        stamp(e.holding.won.stamp),
+        modRevision(e.holding.won.modRevision),
         e.holding.named,
       ],
       all.map((one) => [
         one.kind,
         // Of its round only counts whether it is one that is waited for.
         'round' in one ? [e.round, e.renewal, e.sentry].indexOf(one.round) : null,
-        'after' in one ? stamp(one.after) : null,
+        'after' in one ? modRevision(one.after) : null,
         'lease' in one ? lease(one.lease) : null,
         'record' in one ? transaction(one) : null,
       ]),
--- a/test/standins/golden-messages.ts
+++ b/test/standins/golden-messages.ts
@@ -78,10 +78,10 @@
   type: 'small',
   zone: 'a',
   spot: true,
-  session: 2,
-  seq: 41,
+  agentEpoch: 2,
+  sequence: 41,
   token: 7,
-  noticeS: null,
+  terminationNoticeS: null,
   tasks: TASKS,
 };
 const COMMANDS = [
@@ -95,9 +95,12 @@
     ...ENVELOPE,
     reports: [
       { reference: 1, report: REPORT },
-      { reference: 2, report: { ...REPORT, machine: 'vm-000002', noticeS: 30, spot: false, tasks: [] } },
+      {
+        reference: 2,
+        report: { ...REPORT, machine: 'vm-000002', terminationNoticeS: 30, spot: false, tasks: [] },
+      },
     ],
-    heartbeats: [{ machine: 'vm-000003', session: 1, seq: 9, ageMs: 120 }],
+    heartbeats: [{ machine: 'vm-000003', agentEpoch: 1, sequence: 9, ageMs: 120 }],
   },
   answers: {
     kind: 'answers',
@@ -276,8 +279,8 @@
   const claim = (task: number): object => ({
     attempt: 1 + task,
     machine: `vm-00000${task % 2}`,
-    session: 3,
-    madeAt: 1_000_000_000_000 - 250 * task,
+    agentEpoch: 3,
+    createdAt: 1_000_000_000_000 - 250 * task,
   });
   const chunk = {
     team: 'crew',
@@ -300,9 +303,9 @@
     [chunkKey('req-000001', { index: 12, width: null }), records.encodeChunk(chunk)],
     ['the same, read', read(records.encodeChunk(chunk))],
     ['without claims', records.encodeChunk(empty)],
-    [chunkKey('req-000001', { index: 12, width: 24 }), records.encodeSmallChunk(chunk)],
-    ['the same, read', read(records.encodeSmallChunk(chunk))],
-    ['without claims', records.encodeSmallChunk(empty)],
+    [chunkKey('req-000001', { index: 12, width: 24 }), records.encodeCompactChunk(chunk)],
+    ['the same, read', read(records.encodeCompactChunk(chunk))],
+    ['without claims', records.encodeCompactChunk(empty)],
     ['damaged', read({ of: 1 })],
     [
       `${records.endedKey('req-000001')} done`,
@@ -318,17 +321,17 @@
       records.decodeLeader({ term: 7, node: 'n-0', incarnation: 'life', successor: 'n-1' }),
     ],
     ['damaged', records.decodeLeader({ term: 7, node: 'n-0' })],
-    [records.MEMORY_KEY, records.decodeMemory({ classes: [classMemory, {}, 7] })],
+    [records.DEMAND_KEY, records.decodeDemand({ classes: [classMemory, {}, 7] })],
     [
-      records.memoryKey(3),
-      records.packMemory(records.decodeMemory({ classes: [classMemory, classMemory] }), 600),
+      records.demandKey(3),
+      records.packDemand(records.decodeDemand({ classes: [classMemory, classMemory] }), 600),
     ],
     [records.deputyKey('n-1', 2), records.decodeDeputy({ at: 5.5, machines: ['vm-000001', 7] })],
     ['parts', records.packMachines(['vm-000001', 'vm-000002', 'vm-000003'], 90)],
     [records.versionKey('n-1'), records.decodeFormat({ format: 2 })],
     [records.FORMAT_KEY, records.decodeFormat({ format: 2, wide: 128, tasks: 24 })],
     ['prefixes', [records.JOB_PREFIX, records.RUN_PREFIX, records.DEPUTY_PREFIX, records.VERSION_PREFIX]],
-    ['more prefixes', [records.MEMORY_PREFIX, records.FORMAT]],
+    ['more prefixes', [records.DEMAND_PREFIX, records.FORMAT]],
   ];
   return lines.map(([key, value]) => `${key} ${json(value)}`);
 }
@@ -475,8 +478,8 @@
   };
   const entry = { key: 'job/req-000001', data: { id: 1 }, stamp: 8 };
   const txn = {
-    when: [{ key: 'term', stamp: 4 }],
-    apply: [
+    preconditions: [{ key: 'term', modRevision: 4 }],
+    mutations: [
       { put: 'leader', value: { term: 5 }, lease: 12 },
       { put: 'term', value: { term: 5 } },
       { remove: 'run/req-000001/00000' },
@@ -593,7 +596,7 @@
   const users: Users = new Users({
     state: service,
     clock: systemClock,
-    teams: new Map([['crew', { cpus: 0, cpusMax: 8, gpus: 0, gpusMax: 1 }]]),
+    teams: new Map([['crew', { guaranteedCpus: 0, maxCpus: 8, guaranteedGpus: 0, maxGpus: 1 }]]),
     patience: 100,
     rps: 10_000,
     valueBytes: 2048,
--- a/test/standins/serve.ts
+++ b/test/standins/serve.ts
@@ -6,8 +6,9 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { HttpClient } from '../../src/adapters/http.js';
-import type { ListedMachine, Transaction, Write } from '../../src/core/types.js';
+import type { ListedMachine, Mutation } from '../../src/core/types.js';
 import { parseAddress } from '../../src/settings.js';
+import type { Entry } from '../../src/wire/state.js';
 import { asObject, isText } from '../../src/core/values.js';
 import { Checker } from './checker.js';
 import { VirtualClock } from './clock.js';
@@ -49,10 +50,10 @@
 const app = express();
 app.use(express.json({ type: () => true, strict: false }));
 const text = (value: unknown): string => (typeof value === 'string' ? value : '');
-const entryOf = ({ key, value, stamp }: { key: string; value: unknown; stamp: number }): object => ({
+const entryOf = ({ key, value, modRevision }: Entry): object => ({
   key,
   data: value,
-  stamp,
+  stamp: modRevision,
 });
 
 app.get('/keys', (request, response) => {
@@ -72,12 +73,18 @@
 });
 app.post('/commit', (request, response) => {
   const body = asObject(request.body) ?? {};
-  const apply = ((body['apply'] ?? []) as Record<string, unknown>[]).map((raw): Write => {
+  const apply = ((body['apply'] ?? []) as Record<string, unknown>[]).map((raw): Mutation => {
     if (!isText(raw['put'])) return { remove: text(raw['remove']) };
     const lease = raw['permit'];
     return { put: raw['put'], value: raw['data'], ...(typeof lease === 'number' ? { lease } : {}) };
   });
-  const outcome = state.commit({ when: (body['when'] ?? []) as Transaction['when'], apply });
+  const outcome = state.commit({
+    preconditions: ((body['when'] ?? []) as { key: string; stamp: number }[]).map(({ key, stamp }) => ({
+      key,
+      modRevision: stamp,
+    })),
+    mutations: apply,
+  });
   if (outcome.kind === 'applied') response.json({ ledgerRev: outcome.revision });
   else if (outcome.kind === 'failed')
     response.status(409).json({ failed: outcome.keys, ledgerRev: state.revision });
@@ -104,7 +111,7 @@
     (found) => {
       if (found.kind !== 'changes') response.status(410).json({});
       else {
-        const events = found.changes.map(({ key, value, stamp }) =>
+        const events = found.changes.map(({ key, value, modRevision: stamp }) =>
           value === undefined ? { remove: key, stamp } : { put: key, data: value, stamp },
         );
         response.json({ ledgerRev: found.revision, events });
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -8,7 +8,7 @@
 
 interface Kept {
   readonly value: unknown;
-  readonly stamp: number;
+  readonly modRevision: number;
   readonly lease: number | null;
 }
 
@@ -141,17 +141,17 @@
     }
   }
 
-  #change(writes: Transaction['apply']): void {
+  #change(writes: Transaction['mutations']): void {
     this.revision += 1;
     for (const write of writes) {
       if ('put' in write) {
         // Values cross the wire: nobody may share an object with the service.
         const value = JSON.parse(JSON.stringify(write.value)) as unknown;
-        this.keys.set(write.put, { value, stamp: this.revision, lease: write.lease ?? null });
-        this.#changes.push({ key: write.put, value, stamp: this.revision });
+        this.keys.set(write.put, { value, modRevision: this.revision, lease: write.lease ?? null });
+        this.#changes.push({ key: write.put, value, modRevision: this.revision });
         this.network.tap?.('state', 'kept', `${this.revision} put ${write.put} ${JSON.stringify(value)}`);
       } else if (this.keys.delete(write.remove)) {
-        this.#changes.push({ key: write.remove, value: undefined, stamp: this.revision });
+        this.#changes.push({ key: write.remove, value: undefined, modRevision: this.revision });
         this.network.tap?.('state', 'kept', `${this.revision} remove ${write.remove}`);
       }
     }
@@ -184,29 +184,31 @@
     const { txn_ops, value_kb } = this.limits;
     const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
     if (
-      txn.apply.length > txn_ops ||
-      txn.when.length > 4 * txn_ops ||
+      txn.mutations.length > txn_ops ||
+      txn.preconditions.length > 4 * txn_ops ||
       bytes(txn) > 64 * 1024 ||
-      txn.apply.some((write) => 'put' in write && bytes(write.value) > value_kb * 1024)
+      txn.mutations.some((write) => 'put' in write && bytes(write.value) > value_kb * 1024)
     ) {
       this.rejected += 1;
       return { kind: 'rejected' };
     }
-    if (!this.#withinRate(txn.apply.length)) return { kind: 'refused' };
-    for (const write of txn.apply) {
+    if (!this.#withinRate(txn.mutations.length)) return { kind: 'refused' };
+    for (const write of txn.mutations) {
       if ('put' in write && write.lease !== undefined && !this.#leases.has(write.lease))
         return { kind: 'rejected' };
     }
-    const failed = txn.when.filter(({ key, stamp }) => (this.keys.get(key)?.stamp ?? 0) !== stamp);
+    const failed = txn.preconditions.filter(
+      ({ key, modRevision }) => (this.keys.get(key)?.modRevision ?? 0) !== modRevision,
+    );
     if (failed.length > 0) return { kind: 'failed', keys: failed.map(({ key }) => key) };
-    this.#change(txn.apply);
+    this.#change(txn.mutations);
     return { kind: 'applied', revision: this.revision };
   }
 
   read(key: string): Entry | null {
     this.expire();
     const kept = this.keys.get(key);
-    return kept === undefined ? null : { key, value: kept.value, stamp: kept.stamp };
+    return kept === undefined ? null : { key, value: kept.value, modRevision: kept.modRevision };
   }
 
   list(prefix: string): Entry[] {
@@ -214,15 +216,21 @@
     return [...this.keys.keys()]
       .filter((key) => key.startsWith(prefix))
       .sort()
-      .map((key) => ({ key, value: this.keys.get(key)?.value, stamp: this.keys.get(key)?.stamp ?? 0 }));
+      .map((key) => ({
+        key,
+        value: this.keys.get(key)?.value,
+        modRevision: this.keys.get(key)?.modRevision ?? 0,
+      }));
   }
 
   /** What has changed since a revision. */
   since(prefix: string, after: number): Exclude<Watch, { readonly kind: 'unknown' }> {
     this.expire();
-    const oldest = this.#changes[0]?.stamp ?? 0;
+    const oldest = this.#changes[0]?.modRevision ?? 0;
     if (this.#changes.length >= KEPT_CHANGES && after < oldest) return { kind: 'tooOld' };
-    const changes = this.#changes.filter(({ key, stamp }) => stamp > after && key.startsWith(prefix));
+    const changes = this.#changes.filter(
+      ({ key, modRevision }) => modRevision > after && key.startsWith(prefix),
+    );
     return { kind: 'changes', changes, revision: this.revision };
   }
 
@@ -282,7 +290,7 @@
     private readonly node: string,
     private readonly service: StateStandin,
     private readonly timeoutMs: number,
-    private readonly clock: { mono(): number; awake(call: () => void): void },
+    private readonly clock: { monotonicMs(): number; awake(call: () => void): void },
   ) {}
 
   /** An answer that reaches a process that is no more wakes nobody; one that stands still takes it later. */
@@ -292,7 +300,7 @@
 
   async #ask<T>(request: string, serve: () => T, lost = false): Promise<T | 'down' | null> {
     this.service.network.tap?.(this.node, 'state', request);
-    const sentAt = this.clock.mono();
+    const sentAt = this.clock.monotonicMs();
     const answer = await this.service.network.ask<T | 'down'>(this.node, 'state', this.timeoutMs, (reply) => {
       const { clock } = this.service.network;
       const answer = (): void => {
@@ -359,7 +367,7 @@
   }
 
   async watch(prefix: string, after: number, waitMs: number): Promise<Watch> {
-    const sentAt = this.clock.mono();
+    const sentAt = this.clock.monotonicMs();
     this.service.network.tap?.(this.node, 'state', `watch ${prefix} ${after} ${waitMs}`);
     const found = await this.service.network.ask<Watch>(
       this.node,
@@ -443,7 +451,7 @@
   }
 
   override async commit(txn: Transaction): Promise<Commit> {
-    const key = txn.apply
+    const key = txn.mutations
       .map((write) => ('put' in write ? write.put : write.remove))
       .find((k) => LATER.test(k));
     return key === undefined ? super.commit(txn) : { kind: 'refused' };
--- a/test/standins/world.ts
+++ b/test/standins/world.ts
@@ -373,7 +373,7 @@
     const clock = new ProcessClock(this.clock, 1 + 0.001 * (this.draw() - 0.5), 200 * (this.draw() - 0.5));
     const access = this.cloud.accessFor(name);
     const node = new ControllerNode(settings, {
-      state: new Client(name, this.state, timing(settings).stateTimeout, clock),
+      state: new Client(name, this.state, timing(settings).storeTimeoutMs, clock),
       cloud: access,
       workers: access,
       clock,
--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -90,9 +90,11 @@
 test('a crashed leader is followed before its lease is over, and starts go on', async () => {
   const { world, leader } = await atWork();
   world.crash(leader, 60_000);
-  expect(await pauseIn(world, FROM, FROM + 15_000)).toBeLessThan(TIMES.leaderLease + 2 * TIMES.longestReport);
+  expect(await pauseIn(world, FROM, FROM + 15_000)).toBeLessThan(
+    TIMES.leaderLeaseMs + 2 * TIMES.maxHeartbeatIntervalMs,
+  );
   const elected = world.logged.find(({ at, msg }) => at > FROM && msg === 'elected');
-  expect((elected?.at ?? Infinity) - FROM).toBeLessThan(TIMES.leaderLease);
+  expect((elected?.at ?? Infinity) - FROM).toBeLessThan(TIMES.leaderLeaseMs);
   expect(world.logged.some(({ msg }) => msg === 'the leader has crashed, standing early')).toBe(true);
   expect(changes(world)).toBe(1);
   await endsWell(world, 'crash');
@@ -102,7 +104,9 @@
 test('a leader that hears no worker hands over to one that can reach them', async () => {
   const { world, leader } = await atWork();
   for (const name of world.cloud.workers.keys()) world.network.cut(`n-${leader}`, name, 40_000);
-  expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(4000 + 1000 + 2 * TIMES.longestReport);
+  expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(
+    4000 + 1000 + 2 * TIMES.maxHeartbeatIntervalMs,
+  );
   expect(world.leaders()).not.toEqual([`n-${leader}`]);
   expect([changes(world), givenBack(world)]).toEqual([1, []]);
   await endsWell(world, 'no-workers');
@@ -118,7 +122,7 @@
   await world.clock.runUntil(FROM + 13_000);
   const [second] = world.leaders();
   expect(second).not.toBe(`n-${leader}`);
-  world.freeze(Number(second?.slice(2)), 3 * TIMES.leaderLease);
+  world.freeze(Number(second?.slice(2)), 3 * TIMES.leaderLeaseMs);
   await pauseIn(world, world.clock.now, FROM + 25_000);
   const elected = world.logged
     .filter(({ at, msg }) => at > FROM && msg === 'elected')
@@ -136,7 +140,7 @@
   await world.clock.runUntil(FROM + 3000);
   world.state.refuse(`n-${leader}`, 30_000);
   const pause = await pauseIn(world, FROM + 3000, FROM + 40_000);
-  expect(pause).toBeLessThan(TIMES.leaderLease + 1000 + 4 * TIMES.longestReport);
+  expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 1000 + 4 * TIMES.maxHeartbeatIntervalMs);
   expect([changes(world), givenBack(world)]).toEqual([1, []]);
   await endsWell(world, 'refused-peers');
 });
@@ -144,14 +148,14 @@
 test('peers refused and nothing else: nobody stands, nobody is judged, no worker is kept', async () => {
   const { world, leader } = await atWork();
   world.refusePeers(30_000);
-  expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(2 * TIMES.longestReport);
+  expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(2 * TIMES.maxHeartbeatIntervalMs);
   expect([world.leaders(), changes(world), givenBack(world)]).toEqual([[`n-${leader}`], 0, []]);
   await endsWell(world, 'only-refused');
 });
 
 test('a stall of half a lease changes nothing; one of two leases changes the leader once', async () => {
   const short = await atWork();
-  short.world.freeze(short.leader, 0.5 * TIMES.leaderLease);
+  short.world.freeze(short.leader, 0.5 * TIMES.leaderLeaseMs);
   await pauseIn(short.world, FROM, FROM + 10_000);
   expect([short.world.leaders(), changes(short.world), givenBack(short.world)]).toEqual([
     [`n-${short.leader}`],
@@ -159,7 +163,7 @@
     [],
   ]);
   const long = await atWork();
-  long.world.freeze(long.leader, 2 * TIMES.leaderLease);
+  long.world.freeze(long.leader, 2 * TIMES.leaderLeaseMs);
   await pauseIn(long.world, FROM, FROM + 20_000);
   expect([changes(long.world), givenBack(long.world)]).toEqual([1, []]);
   await endsWell(long.world, 'stall');
@@ -168,7 +172,7 @@
 // A leader that computed four times slower kept the lead however far it was behind.
 test('a leader that falls behind its own timers hands over, and once only', async () => {
   const { world, leader } = await atWork();
-  world.slow(leader, 2 * TIMES.tick);
+  world.slow(leader, 2 * TIMES.tickMs);
   await pauseIn(world, FROM, FROM + 15_000);
   expect(world.leaders()).not.toEqual([`n-${leader}`]);
   world.slow(leader, 0);
@@ -180,7 +184,8 @@
 // Each time it came back it got the lead, and was frozen again.
 test('leadership is not handed back at once to a node that flaps', async () => {
   const { world, leader } = await atWork();
-  for (const at of [0, 9000, 18_000]) world.clock.in(at, () => world.freeze(leader, 1.5 * TIMES.leaderLease));
+  for (const at of [0, 9000, 18_000])
+    world.clock.in(at, () => world.freeze(leader, 1.5 * TIMES.leaderLeaseMs));
   await pauseIn(world, FROM, FROM + 30_000);
   expect(changes(world)).toBeLessThanOrEqual(2);
   await endsWell(world, 'flaps');
@@ -206,7 +211,7 @@
   world.crash(leader, 8000);
   world.crash(others(leader)[0] as number, 8000);
   const pause = await pauseIn(world, FROM, FROM + 12_000);
-  expect(pause).toBeLessThan(TIMES.leaderLease + 2 * TIMES.longestReport + 2000);
+  expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 2 * TIMES.maxHeartbeatIntervalMs + 2000);
   await endsWell(world, 'two-crash');
 });
 
@@ -218,7 +223,7 @@
   for (const host of ['cloud', ...others(leader).map((node) => `n-${node}`)])
     world.network.cut(alone, host, 30_000);
   const pause = await pauseIn(world, FROM, FROM + 25_000);
-  expect(pause).toBeLessThan(TIMES.leaderLease + 1000 + 4 * TIMES.longestReport);
+  expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 1000 + 4 * TIMES.maxHeartbeatIntervalMs);
   expect([changes(world), givenBack(world)]).toEqual([1, []]);
   expect(world.leaders()).not.toContain(alone);
   expect(world.ready()[leader]).toBe(false);
@@ -229,7 +234,9 @@
   const { world, leader } = await atWork();
   for (const at of [0, 150, 400, 900]) world.clock.in(at, () => world.crash(leader, 60));
   world.clock.in(500, () => world.crash(others(leader)[0] as number, 60));
-  expect(await pauseIn(world, FROM, FROM + 15_000)).toBeLessThan(TIMES.leaderLease + 3 * TIMES.longestReport);
+  expect(await pauseIn(world, FROM, FROM + 15_000)).toBeLessThan(
+    TIMES.leaderLeaseMs + 3 * TIMES.maxHeartbeatIntervalMs,
+  );
   expect(world.leaders()).toHaveLength(1);
   expect(givenBack(world)).toEqual([]);
   await endsWell(world, 'back-at-once');
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -10,11 +10,11 @@
 import {
   chunkKey,
   decodeChunk,
-  decodeMemory,
+  decodeDemand,
   encodeChunk,
-  encodeSmallChunk,
+  encodeCompactChunk,
   packMachines,
-  packMemory,
+  packDemand,
   parseChunkKey,
 } from '../src/core/persistence/index.js';
 import { CoreBench, job, report, task, TERM } from './standins/core.js';
@@ -33,7 +33,7 @@
   world.cloud.capacity = 12;
   world.state.revision = production.revision;
   for (const { key, value, stamp } of production.keys)
-    world.state.keys.set(key, { value, stamp, lease: null });
+    world.state.keys.set(key, { value, modRevision: stamp, lease: null });
   const place = { team: 'crew', cpus: 1, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
   for (const [i, tasks] of [3, 90, 40, 12, 150].entries()) {
     const id = `req-00000${i}`;
@@ -105,21 +105,21 @@
   Object.fromEntries(
     Array.from({ length: count }, (_, i) => [
       from + i,
-      { attempt: 12, machine: machine(i), session: 12, madeAt: 1_700_000_000_000 - 100 * i },
+      { attempt: 12, machine: machine(i), agentEpoch: 12, createdAt: 1_700_000_000_000 - 100 * i },
     ]),
   );
 
 test('every record fits the limits to come', () => {
   const settings = testSettings(0, 0, { next: { value_kb: 2, txn_ops: 6, write_rps: 18 } });
   const layout = lastingLayout(settings, formatRecord(settings, null));
-  expect(layout).toMatchObject({ width: 64, tasks: 64, txnOps: 6, valueBytes: 2048 });
+  expect(layout).toMatchObject({ keyWidth: 64, tasksPerChunk: 64, maxMutations: 6, maxValueBytes: 2048 });
   const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
   // The worst: each task of a late chunk on a machine of its own, often tried.
-  const worst = claims(99_900, layout.tasks, (i) => `vm-${String(100_000 + i)}`);
+  const worst = claims(99_900, layout.tasksPerChunk, (i) => `vm-${String(100_000 + i)}`);
   const of = { team: 'plantao-partitura', cpus: 2.5, gpus: 0, memoryGb: 25.5 };
   const record = { ...of, done: 'A'.repeat(12), attempts: {}, claims: worst };
-  expect(bytes(encodeSmallChunk(record))).toBeLessThan(2048);
-  expect(decodeChunk(encodeSmallChunk(record))).toEqual(record);
+  expect(bytes(encodeCompactChunk(record))).toBeLessThan(2048);
+  expect(decodeChunk(encodeCompactChunk(record))).toEqual(record);
   expect(decodeChunk(encodeChunk(record))).toEqual(record);
   const machines = Array.from({ length: 170 }, (_, i) => `vm-${String(100_000 + i)}`);
   const parts = packMachines(machines, 2048);
@@ -132,8 +132,8 @@
     gap: 1234.5678901234567,
     ratio: 1.0123456789012345,
   }));
-  const packed = packMemory(memory, 2048).map((classes) => ({ classes }));
-  expect(packed.flatMap(decodeMemory)).toEqual(memory);
+  const packed = packDemand(memory, 2048).map((classes) => ({ classes }));
+  expect(packed.flatMap(decodeDemand)).toEqual(memory);
   for (const part of packed) expect(bytes(part)).toBeLessThan(2048);
 });
 
@@ -153,12 +153,15 @@
   expect(known).toEqual({ format: 2, wide: 128, tasks: 24 });
   // Settings of later days: the small limits are the usual ones, or they have grown again.
   const small = testSettings(0, 0, { value_kb: 1, txn_ops: 6 });
-  expect(lastingLayout(small, formatRecord(small, known))).toMatchObject({ width: 24, tasks: 24 });
+  expect(lastingLayout(small, formatRecord(small, known))).toMatchObject({ keyWidth: 24, tasksPerChunk: 24 });
   const grown = testSettings(0);
-  expect(lastingLayout(grown, formatRecord(grown, known))).toMatchObject({ width: 24, tasks: 24 });
-  expect(firstLayout(grown)).toMatchObject({ width: null, tasks: 512 });
+  expect(lastingLayout(grown, formatRecord(grown, known))).toMatchObject({ keyWidth: 24, tasksPerChunk: 24 });
+  expect(firstLayout(grown)).toMatchObject({ keyWidth: null, tasksPerChunk: 512 });
   // Without limits to come, nothing changes.
-  expect(lastingLayout(grown, formatRecord(grown, null))).toMatchObject({ width: null, tasks: 512 });
+  expect(lastingLayout(grown, formatRecord(grown, null))).toMatchObject({
+    keyWidth: null,
+    tasksPerChunk: 512,
+  });
 });
 
 test('limits to come: optional, each of them, and checked', () => {
@@ -178,7 +181,9 @@
 const puts = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) =>
     effect.kind === 'commit'
-      ? effect.txn.apply.map((write) => ('put' in write ? `put ${write.put}` : `remove ${write.remove}`))
+      ? effect.transaction.mutations.map((write) =>
+          'put' in write ? `put ${write.put}` : `remove ${write.remove}`,
+        )
       : [],
   );
 
@@ -194,7 +199,7 @@
 test('the way over: a narrow chunk outranks the wide one, which goes when all it knows is held', async () => {
   const bench = leading();
   const settings = testSettings(0, 0, TIGHT);
-  bench.do({ kind: 'adopt', layout: lastingLayout(settings, formatRecord(settings, null)) });
+  bench.do({ kind: 'adoptLayout', layout: lastingLayout(settings, formatRecord(settings, null)) });
   const running = [...Array(8).keys()].map((i) => task(`req-1/${i}`, 1, 'running'));
   // Claims stay as durable as they were: nothing is started twice, nothing written for it.
   expect(puts(bench.hear(report('m', 3, running)))).toEqual([]);
@@ -214,17 +219,17 @@
   const wide = { ...of, done: '', claims: claims(0, 30, () => 'old') };
   const narrow = { ...of, done: Buffer.from([1]).toString('base64'), claims: claims(1, 3, () => 'new') };
   bench.do({
-    kind: 'lead',
+    kind: 'becomeLeader',
     term: TERM,
-    stamp: 100,
-    provenAt: bench.now,
+    modRevision: 100,
+    viewConfirmedAt: bench.now,
     layout: lastingLayout(settings, format),
-    wide: format.wide,
-    memory: [],
-    jobs: [{ value: job('req-1', 60, 1, 50), stamp: 50 }],
+    legacyChunkTasks: format.wide,
+    demandHistory: [],
+    jobs: [{ value: job('req-1', 60, 1, 50), modRevision: 50 }],
     chunks: [
-      { job: 'req-1', name: { index: 0, width: null }, record: { value: wide, stamp: 60 } },
-      { job: 'req-1', name: { index: 0, width: 24 }, record: { value: narrow, stamp: 61 } },
+      { job: 'req-1', name: { index: 0, width: null }, record: { value: wide, modRevision: 60 } },
+      { job: 'req-1', name: { index: 0, width: 24 }, record: { value: narrow, modRevision: 61 } },
     ],
   });
   const loaded = bench.state.jobs.get('req-1');
@@ -240,7 +245,7 @@
   const bench = new CoreBench();
   bench.hear(report('m', 1));
   let sent = 0;
-  let effects = bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 8, 1, 50), stamp: 101 } });
+  let effects = bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 8, 1, 50), modRevision: 101 } });
   for (let ms = 0; ms < 60_000; ms += 250) {
     const commit = effects.find((effect) => effect.kind === 'commit');
     if (commit?.kind === 'commit') {
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -65,7 +65,7 @@
     movements: [{ movement: 'req-1/3', take: 2, stage: 'ended', cadence: 'new kind of end' }],
   };
   expect(parseReport(report)).toMatchObject({
-    noticeS: null,
+    terminationNoticeS: null,
     tasks: [{ job: 'req-1', task: 3, exit: 'error' }],
   });
   expect(parseReport({ ...report, recallS: null, movements: null })).toMatchObject({ tasks: [] });
@@ -94,5 +94,5 @@
       { put: 'job/req-1', data: {}, stamp: 7 },
     ],
   };
-  expect(parseChanges(told)?.changes.map(({ stamp }) => stamp)).toEqual([7, 8]);
+  expect(parseChanges(told)?.changes.map(({ modRevision }) => modRevision)).toEqual([7, 8]);
 });
