--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -2,7 +2,8 @@
 import TinyQueue from 'tinyqueue';
 import { allowedWait, isBestEffort, isCostSensitive, latestStart } from '../jobs/objectives.js';
 import type { Effect } from '../effects.js';
-import { expectedEnd } from '../fleet/machines.js';
+import { expectedEnd } from '../fleet/expected-end.js';
+import { TerminationReason } from '../fleet/termination-reasons.js';
 import { expectedRun, isReady, waitingTasks } from '../jobs/jobs.js';
 import { ARRIVALS_OVER } from '../placement/headroom.js';
 import { log } from '../log.js';
@@ -607,7 +608,7 @@
       const paid = now.monotonicMs - machine.provisionedAt >= LEAST_PAID_MS;
       // What it completed would run again, were it gone before that is written and this leader with it.
       const kept = [...machine.exits.values()].every(isExitDurable);
-      if (paid && kept && now.monotonicMs - machine.idleSince > hold) machine.terminationReason = 'idle';
+      if (paid && kept && now.monotonicMs - machine.idleSince > hold) machine.terminationReason = TerminationReason.idle;
     }
     if (machine.terminationReason === null) continue;
     const asked = machine.terminationRequestedAt;
--- /dev/null
+++ b/src/core/fleet/expected-end.ts
@@ -0,0 +1,14 @@
+/** When running tasks are expected to free their resources. */
+import type { LiveClaim, Now } from '../model.js';
+import type { CoreState } from '../state.js';
+
+/**
+ * Steady time in milliseconds at which a claimed task is expected to end: Infinity for a service; for one
+ * past its expected end, the policy's overrun allowance from now.
+ */
+export function expectedEnd(state: CoreState, claim: LiveClaim, now: Now): number {
+  const { spec } = claim.job;
+  if (spec.form === 'service') return Infinity;
+  if (claim.expectedEnd > now.monotonicMs) return claim.expectedEnd;
+  return now.monotonicMs + state.config.policy.overrunAllowanceMs(spec);
+}
--- a/src/core/fleet/fault-attribution.ts
+++ b/src/core/fleet/fault-attribution.ts
@@ -8,6 +8,7 @@
 import { isFaultyJob } from '../placement/resources.js';
 import type { JobState, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
+import { TerminationReason } from './termination-reasons.js';
 
 /** One that fails on so many is no witness against any of them. */
 const DOUBTFUL_WITNESS = 2;
@@ -17,7 +18,7 @@
 const MOST_DOUBLINGS = 8;
 const LONGEST_PAUSE = 30;
 
-const FAILS = 'fails its tasks';
+const FAILS = TerminationReason.failsTasks;
 
 /** A task has failed on a machine; its claim is still there. */
 export function recordTaskFailure(state: CoreState, machine: Machine, job: JobState, now: Now): void {
--- /dev/null
+++ b/src/core/fleet/graceful-eviction.ts
@@ -0,0 +1,29 @@
+/** Graceful eviction of tasks from a machine that the cloud is about to reclaim. */
+import { needAttention } from '../attention.js';
+import type { LiveClaim, Machine, Now } from '../model.js';
+import type { CoreState } from '../state.js';
+import { expectedEnd } from './expected-end.js';
+
+/** Heartbeat intervals that a stop command and the report of a saved checkpoint take together, at most. */
+const EVICTION_INTERVALS = 2;
+
+/** Whether a task has time to run on and save a checkpoint later. */
+function canSaveLater(state: CoreState, { job }: LiveClaim, reclaimedAt: number, now: Now): boolean {
+  const { checkpointS, saveS } = job.spec;
+  const neededMs = saveS * 1000 + EVICTION_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
+  return checkpointS > 0 && neededMs < reclaimedAt - now.monotonicMs;
+}
+
+/**
+ * Stops the tasks that are not expected to end before the machine is reclaimed (a steady time, in
+ * milliseconds), so that they run elsewhere the sooner. Those that can save a checkpoint are stopped as late
+ * as it is safe.
+ */
+export function evictBeforeReclaim(state: CoreState, machine: Machine, reclaimedAt: number, now: Now): void {
+  for (const claim of machine.claims.values()) {
+    if (claim.stopRequested || expectedEnd(state, claim, now) <= reclaimedAt) continue;
+    if (canSaveLater(state, claim, reclaimedAt, now)) continue;
+    claim.stopRequested = true;
+    needAttention(state, machine.name);
+  }
+}
--- /dev/null
+++ b/src/core/fleet/pending-heartbeats.ts
@@ -0,0 +1,18 @@
+/** Heartbeats that wait for their answer: the worker's request stays open until commands for it are ready. */
+import type { Machine, Now } from '../model.js';
+import type { CoreState } from '../state.js';
+
+/** Keeps a heartbeat's reply handle until it is answered. */
+export function holdHeartbeat(state: CoreState, machine: Machine, reply: number, now: Now): void {
+  machine.pendingHeartbeat = { reply, since: now.monotonicMs };
+  state.pendingHeartbeats.add(machine);
+  state.answerable.push(machine);
+}
+
+/** Removes and returns a machine's open heartbeat, which the caller must answer; null if there is none. */
+export function takePendingHeartbeat(state: CoreState, machine: Machine): Machine['pendingHeartbeat'] {
+  const { pendingHeartbeat } = machine;
+  machine.pendingHeartbeat = null;
+  state.pendingHeartbeats.delete(machine);
+  return pendingHeartbeat;
+}
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -1,4 +1,5 @@
 /** The things a leader knows of: jobs, their tasks' claims, machines, and the rules it goes by. */
+import type { TerminationReason } from './fleet/termination-reasons.js';
 import type { Timing } from './timing.js';
 import type {
   FinalStage,
@@ -246,7 +247,7 @@
   /** Jobs that have failed on it, and not elsewhere, since the last completion. */
   readonly failedJobs: Set<string>;
   /** Why it gets no more work and goes back; null while it is of use. */
-  terminationReason: string | null;
+  terminationReason: TerminationReason | null;
   terminationRequestedAt: number | null;
   /** The report waiting for an answer. */
   pendingHeartbeat: { readonly reply: number; readonly since: number } | null;
--- a/src/core/placement/easy.ts
+++ b/src/core/placement/easy.ts
@@ -11,7 +11,8 @@
   losesObjectiveWithin,
   startDeadline,
 } from '../jobs/objectives.js';
-import { expectedEnd, isSchedulable } from '../fleet/machines.js';
+import { expectedEnd } from '../fleet/expected-end.js';
+import { isSchedulable } from '../fleet/machines.js';
 import { expectedRun, nextTask, waitingTasks } from '../jobs/jobs.js';
 import { reserveHeadroom } from './headroom.js';
 import { claimTask } from '../persistence/write-back.js';
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -6,7 +6,7 @@
  */
 import { needAttention } from '../attention.js';
 import { spotSlots, hasDeadline } from '../jobs/objectives.js';
-import { expectedEnd } from '../fleet/machines.js';
+import { expectedEnd } from '../fleet/expected-end.js';
 import { fits, release, resourcesOf, addResources, allocate } from './resources.js';
 import type { NodeCapacity } from './capacity-index.js';
 import type { JobState, LiveClaim, Machine, Now } from '../model.js';
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -8,18 +8,13 @@
 } from './autoscaling/autoscaler.js';
 import { place } from './placement/easy.js';
 import type { Command, Effect } from './effects.js';
-import {
-  answerHeartbeat,
-  awaitsCommit,
-  removeTerminated,
-  holdHeartbeat,
-  detectFailures,
-  getOrCreateMachine,
-  announceToken,
-  takePendingHeartbeat,
-  applyListing,
-  applyHeartbeat,
-} from './fleet/machines.js';
+import { applyListing, removeTerminated } from './fleet/cloud-listing.js';
+import { detectFailures } from './fleet/failure-detection.js';
+import { applyHeartbeat } from './fleet/heartbeats.js';
+import { getOrCreateMachine } from './fleet/machines.js';
+import { holdHeartbeat, takePendingHeartbeat } from './fleet/pending-heartbeats.js';
+import { announceToken } from './fleet/token-announcement.js';
+import { answerHeartbeat, awaitsCommit } from './fleet/worker-commands.js';
 import {
   addJob,
   chunkRange,
