--- a/src/core/fleet/fault-attribution.ts
+++ b/src/core/fleet/fault-attribution.ts
@@ -1,61 +1,65 @@
 /**
- * Who is to blame for a task that failed: its machine, or its job. The evidence goes both ways. A
- * machine on which tasks of several jobs fail, and none completes, is faulty; a job that completes
- * nowhere and fails on several machines was submitted with a mistake. Nothing of this is written down:
- * a new leader learns it from the next few errors.
+ * Fault attribution: whether a failed task speaks against its machine or its job. A machine on which tasks of
+ * several jobs fail, and none completes, is faulty; a job that completes nowhere and fails on several machines
+ * was submitted with a mistake. None of it is stored: a new leader learns it from the next few failures.
  */
 import { updateTaskCounts } from '../jobs/jobs.js';
 import { isFaultyJob } from '../placement/resources.js';
 import type { JobState, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
+import { markForTermination } from './machines.js';
 import { TerminationReason } from './termination-reasons.js';
 
-/** One that fails on so many is no witness against any of them. */
-const DOUBTFUL_WITNESS = 2;
-/** A machine on which so many jobs fail that fail nowhere else is faulty. */
-const WITNESSES = 2;
-/** Pauses between tries double so many times at most, and last so many leases of a worker at most. */
-const MOST_DOUBLINGS = 8;
-const LONGEST_PAUSE = 30;
+/** A job that completes nowhere and fails on so many machines is no evidence against any of them. */
+const MIN_MACHINES_FOR_DOUBT = 2;
+/** Jobs that must fail on a machine, and nowhere else, for it to be faulty. */
+const MIN_FAILED_JOBS = 2;
+/** The backoff between tries of a faulty job doubles at most so many times. */
+const MAX_BACKOFF_DOUBLINGS = 8;
+/** The backoff lasts at most so many worker leases. */
+const MAX_BACKOFF_LEASES = 30;
 
-const FAILS = TerminationReason.failsTasks;
-
-/** A task has failed on a machine; its claim is still there. */
+/** A task of a job has failed on a machine; its claim is still there. */
 export function recordTaskFailure(state: CoreState, machine: Machine, job: JobState, now: Now): void {
   job.failedMachines.add(machine.name);
-  const doubtful = job.doneCount === 0 && job.failedMachines.size >= DOUBTFUL_WITNESS;
-  if (!doubtful) {
+  const isJobDoubtful = job.doneCount === 0 && job.failedMachines.size >= MIN_MACHINES_FOR_DOUBT;
+  if (!isJobDoubtful) {
     machine.failedJobs.add(job.spec.id);
-    if (machine.failedJobs.size >= WITNESSES) machine.terminationReason ??= FAILS;
+    if (machine.failedJobs.size >= MIN_FAILED_JOBS) markForTermination(machine, TerminationReason.failsTasks);
     return;
   }
-  // Two jobs with a mistake cost a sound machine its place, and all that ran on it.
-  for (const name of job.failedMachines) clear(state, name, job);
-  if (!isFaultyJob(job)) return;
-  // All that was out when the first of them failed is one try.
+  // Otherwise two faulty jobs would cost a sound machine, and all that runs on it.
+  for (const name of job.failedMachines) withdrawEvidence(state, name, job);
+  if (isFaultyJob(job)) delayRetry(state, job, now);
+}
+
+/** Puts off the next try of a faulty job, for longer with each failed one. */
+function delayRetry(state: CoreState, job: JobState, now: Now): void {
+  // All tasks that were out when the first of them failed are one try.
   if (job.claims.size <= 1) job.failedAttempts += 1;
   const { maxHeartbeatIntervalMs, workerLeaseMs } = state.config.timing;
-  const pause = maxHeartbeatIntervalMs * 2 ** Math.min(MOST_DOUBLINGS, job.failedAttempts);
-  job.retryAt = now.monotonicMs + Math.min(pause, LONGEST_PAUSE * workerLeaseMs);
+  const backoffMs = maxHeartbeatIntervalMs * 2 ** Math.min(MAX_BACKOFF_DOUBLINGS, job.failedAttempts);
+  job.retryAt = now.monotonicMs + Math.min(backoffMs, MAX_BACKOFF_LEASES * workerLeaseMs);
   updateTaskCounts(state, job);
 }
 
-function clear(state: CoreState, name: string, job: JobState): void {
+/** Takes back the termination of a machine for failing its tasks, unless the cloud has been asked for it. */
+function cancelTermination(machine: Machine): void {
+  if (machine.terminationReason === TerminationReason.failsTasks && machine.terminationRequestedAt === null)
+    machine.terminationReason = null;
+}
+
+/** A job's failure no longer counts against a machine. */
+function withdrawEvidence(state: CoreState, name: string, job: JobState): void {
   const machine = state.machines.get(name);
   if (machine?.failedJobs.delete(job.spec.id) !== true) return;
-  if (
-    machine.terminationReason === FAILS &&
-    machine.terminationRequestedAt === null &&
-    machine.failedJobs.size < WITNESSES
-  )
-    machine.terminationReason = null;
+  if (machine.failedJobs.size < MIN_FAILED_JOBS) cancelTermination(machine);
 }
 
-/** A task has completed on a machine: neither it nor the job is at fault. */
+/** A task of a job has completed on a machine: neither of them is at fault. */
 export function recordTaskSuccess(state: CoreState, machine: Machine, job: JobState): void {
   machine.failedJobs.clear();
-  if (machine.terminationReason === FAILS && machine.terminationRequestedAt === null)
-    machine.terminationReason = null;
+  cancelTermination(machine);
   if (job.failedMachines.size === 0) return;
   job.failedMachines.clear();
   job.failedAttempts = 0;
--- a/src/core/fleet/health-summary.ts
+++ b/src/core/fleet/health-summary.ts
@@ -1,133 +1,201 @@
-/** One walk over the machines at a tick: which zones are heard, and how many machines are silent together. */
+/**
+ * The fleet's health in one pass over the machines, made at each tick: which zones report, which are
+ * partitioned, and whether so many machines are silent together that it is one event.
+ */
 import { isExpectedToReport } from './probes.js';
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
-/** A zone of which a smaller share is heard may be cut off, or this node be. */
-const LEAST_HEARD = 0.5;
-/** More silent machines than this share are no chance: the fault may be this node's own. */
-const MOST_SILENT = 0.3;
-/** Within so many of the longest time between two reports every machine is heard that can be. */
-const SOON = 1.1;
+/** A zone of which a smaller share reports may be partitioned, or this node be. */
+const MIN_REPORTING_SHARE = 0.5;
+/** If more than this share of machines is silent, the fault may be this node's own. */
+const MAX_SILENT_SHARE = 0.3;
+/** Every machine that can report does so within so many of the longest heartbeat intervals. */
+const REPORTING_INTERVALS = 1.1;
+/** A machine is silent after so many intervals. */
+const SILENT_INTERVALS = 3;
+/** A zone is partitioned if more than this share of its running machines is silent, */
+const MIN_PARTITION_SHARE = 0.9;
+/** and at least so many. */
+const MIN_PARTITION_MACHINES = 3;
+/** Intervals that a new leader gives machines to report for the first time, once some have done so, */
+const FIRST_REPORT_INTERVALS = 3;
+/** and while none has. */
+const FIRST_REPORT_INTERVALS_WITHOUT_CONTACT = 1.5;
 
 interface ZoneCounts {
-  /** Machines that should speak, and those heard within one report's time. */
-  speaking: number;
-  heard: number;
-  /** Those that should be up, those of them silent for long, and when any was last heard. */
-  up: number;
+  /** Machines that are expected to report, and those of them that do. */
+  expected: number;
+  reporting: number;
+  /** Machines that should be up, and those of them that are silent. */
+  running: number;
+  silent: number;
+  /** Steady time at which any of them was last heard of, in milliseconds. */
+  lastContactAt: number;
+}
+
+interface FleetCounts {
+  /** Machines that had time to report to this leader, and those of them that do. */
+  expected: number;
+  reporting: number;
+  /** Machines that should be up, and those of them that never reported to this leader. */
+  running: number;
+  neverReported: number;
+  /** Machines that have reported to this leader, and those of them silent now. */
+  known: number;
   silent: number;
-  last: number;
+  /** Steady time of the latest heartbeat, or of the leadership's begin, in milliseconds. */
+  lastHeartbeatAt: number;
 }
 
+/** What the failure detector asks of the fleet as a whole. */
 export interface HealthSummary {
-  /** Zones most of whose machines have been heard within one report's time. */
+  /** Zones most of whose machines have sent a heartbeat within the longest interval. */
   readonly reachableZones: ReadonlySet<string>;
   /** Zones all of whose machines fell silent together. */
   readonly partitionedZones: ReadonlySet<string>;
-  /** Some zone is apart, and nobody at all has been heard of late. */
+  /** Some zone is partitioned, and no machine at all has sent a heartbeat of late. */
   readonly hearsNobody: boolean;
-  /** Of the machines that were heard, so many are silent that it is one event. */
+  /** So many of the machines that have reported are silent that it is one event. */
   readonly isMassSilence: boolean;
-  /** The same of those that should be up and were never heard by this leader. */
+  /** The same of running machines that never reported to this leader. */
   readonly isMassNeverReported: boolean;
 }
 
+/** One pass over the machines: what it goes by, and what it has counted. */
+interface SummaryPass {
+  readonly state: CoreState;
+  readonly now: Now;
+  /** Whether this leader has had time to receive a first heartbeat of every machine. */
+  readonly isFirstReportDue: boolean;
+  readonly fleet: FleetCounts;
+  readonly zones: Map<string, ZoneCounts>;
+}
+
 /** Whether a machine should be up; one still booting says nothing. */
 const shouldBeUp = ({ terminationReason, lastHeartbeatAt, cloudStage, claims }: Machine): boolean =>
   terminationReason === null && (lastHeartbeatAt !== null || cloudStage === 'running' || claims.size > 0);
 
 /**
- * Zones of which all machines fell silent together: more likely a cut between here and there than so
- * many deaths. A wave of withdrawals leaves some behind. Giving them all back would cost a boot of
- * each, where the end of the cut brings the proof at once.
+ * Finds the zones all of whose machines fell silent together: rather a network partition than so many deaths,
+ * for a wave of spot reclamations leaves some behind. Terminating them would cost a boot of each, whereas the
+ * end of the partition brings proof of their tasks at once.
  */
-function zonesApart(state: CoreState, zones: ReadonlyMap<string, ZoneCounts>, now: Now): Set<string> {
+function findPartitionedZones({ state, now, zones }: SummaryPass): Set<string> {
   const { maxHeartbeatIntervalMs } = state.config.timing;
-  const apart = new Set<string>();
-  for (const [zone, { silent, up, last }] of zones) {
-    // A machine known from claims alone, listed nowhere, is of no known zone, and likely gone.
-    if (zone === '' || silent < 3 || silent <= 0.9 * up) continue;
-    apart.add(zone);
-    // What a leader before has seen of it counts: each takeover would begin the wait anew.
-    state.silentZones.set(zone, Math.min(last, state.silentZones.get(zone) ?? Infinity));
+  const partitioned = new Set<string>();
+  for (const [zone, { silent, running, lastContactAt }] of zones) {
+    // A machine known from claims alone has no zone, and is probably gone.
+    if (zone === '' || silent < MIN_PARTITION_MACHINES || silent <= MIN_PARTITION_SHARE * running) continue;
+    partitioned.add(zone);
+    // What an earlier leader saw of the partition counts: otherwise each failover would begin the wait anew.
+    state.silentZones.set(zone, Math.min(lastContactAt, state.silentZones.get(zone) ?? Infinity));
   }
   for (const zone of state.silentZones.keys()) {
-    if (
-      !apart.has(zone) &&
-      now.monotonicMs - (zones.get(zone)?.last ?? -Infinity) <= 3 * maxHeartbeatIntervalMs
-    )
+    const silentMs = now.monotonicMs - (zones.get(zone)?.lastContactAt ?? -Infinity);
+    if (!partitioned.has(zone) && silentMs <= SILENT_INTERVALS * maxHeartbeatIntervalMs)
       state.silentZones.delete(zone);
   }
-  return apart;
+  return partitioned;
 }
 
-export function summarizeHealth(state: CoreState, now: Now): HealthSummary {
-  const { maxHeartbeatIntervalMs, workerLeaseMs } = state.config.timing;
-  const since = state.leadership?.since ?? now.monotonicMs;
-  const zones = new Map<string, ZoneCounts>();
-  let known = 0;
-  let silent = 0;
-  let up = 0;
-  let unheard = 0;
-  let expected = 0;
-  let heard = 0;
-  let latest = since;
-  // One that has heard nobody at all need not wait as long as one that hears them by and by.
-  const some = state.health !== null && state.health.neverReported < state.health.running;
-  const patience = (some ? 3 : 1.5) * maxHeartbeatIntervalMs;
-  for (const machine of state.machines.values()) {
-    const { lastHeartbeatAt, discoveredAt, lastRelayedAt, zone, terminationReason } = machine;
-    let counts = zones.get(zone);
-    if (counts === undefined) {
-      counts = { speaking: 0, heard: 0, up: 0, silent: 0, last: -Infinity };
-      zones.set(zone, counts);
-    }
-    if (lastHeartbeatAt !== null && lastHeartbeatAt > latest) latest = lastHeartbeatAt;
-    const justHeard =
-      lastHeartbeatAt !== null && lastHeartbeatAt > now.monotonicMs - SOON * maxHeartbeatIntervalMs;
-    if (isExpectedToReport(machine)) {
-      counts.speaking += 1;
-      if (justHeard) counts.heard += 1;
-      // One silent for a whole lease is a matter of its own; one never heard had time to find this leader.
-      if (
-        lastHeartbeatAt === null
-          ? now.monotonicMs - since > patience
-          : lastHeartbeatAt > now.monotonicMs - workerLeaseMs
-      ) {
-        expected += 1;
-        if (justHeard) heard += 1;
-      }
-    }
-    if (shouldBeUp(machine)) {
-      up += 1;
-      counts.up += 1;
-      counts.last = Math.max(counts.last, lastHeartbeatAt ?? discoveredAt);
-      if (now.monotonicMs - (lastHeartbeatAt ?? discoveredAt) > 3 * maxHeartbeatIntervalMs)
-        counts.silent += 1;
-      if (lastHeartbeatAt === null) unheard += 1;
-    }
-    if (lastHeartbeatAt === null || terminationReason !== null) continue;
-    known += 1;
-    if (now.monotonicMs - Math.max(lastHeartbeatAt, lastRelayedAt ?? 0) > 3 * maxHeartbeatIntervalMs)
-      silent += 1;
+function findReachableZones(zones: ReadonlyMap<string, ZoneCounts>): Set<string> {
+  const reachable = new Set<string>();
+  for (const [zone, { expected, reporting }] of zones)
+    if (expected > 0 && reporting >= MIN_REPORTING_SHARE * expected) reachable.add(zone);
+  return reachable;
+}
+
+function zoneCountsOf(zones: Map<string, ZoneCounts>, zone: string): ZoneCounts {
+  let counts = zones.get(zone);
+  if (counts === undefined) {
+    counts = { expected: 0, reporting: 0, running: 0, silent: 0, lastContactAt: -Infinity };
+    zones.set(zone, counts);
   }
-  state.health = {
-    reporting: heard,
-    expected,
-    running: up,
-    neverReported: unheard,
-    silentMs: now.monotonicMs - latest,
+  return counts;
+}
+
+/** Counts a machine that is expected to report. */
+function countExpected(pass: SummaryPass, zone: ZoneCounts, { lastHeartbeatAt }: Machine): void {
+  const { state, now, fleet } = pass;
+  const { maxHeartbeatIntervalMs, workerLeaseMs } = state.config.timing;
+  const isReporting =
+    lastHeartbeatAt !== null &&
+    lastHeartbeatAt > now.monotonicMs - REPORTING_INTERVALS * maxHeartbeatIntervalMs;
+  zone.expected += 1;
+  if (isReporting) zone.reporting += 1;
+  // A machine silent for a whole lease is a case of its own, and says nothing of this node's contact.
+  const isExpected =
+    lastHeartbeatAt === null ? pass.isFirstReportDue : lastHeartbeatAt > now.monotonicMs - workerLeaseMs;
+  if (!isExpected) return;
+  fleet.expected += 1;
+  if (isReporting) fleet.reporting += 1;
+}
+
+/** Counts a machine that should be up. */
+function countRunning({ state, now, fleet }: SummaryPass, zone: ZoneCounts, machine: Machine): void {
+  const lastContactAt = machine.lastHeartbeatAt ?? machine.discoveredAt;
+  fleet.running += 1;
+  if (machine.lastHeartbeatAt === null) fleet.neverReported += 1;
+  zone.running += 1;
+  zone.lastContactAt = Math.max(zone.lastContactAt, lastContactAt);
+  if (now.monotonicMs - lastContactAt > SILENT_INTERVALS * state.config.timing.maxHeartbeatIntervalMs)
+    zone.silent += 1;
+}
+
+function countMachine(pass: SummaryPass, machine: Machine): void {
+  const { state, now, fleet } = pass;
+  const { lastHeartbeatAt, lastRelayedAt } = machine;
+  const zone = zoneCountsOf(pass.zones, machine.zone);
+  if (lastHeartbeatAt !== null && lastHeartbeatAt > fleet.lastHeartbeatAt)
+    fleet.lastHeartbeatAt = lastHeartbeatAt;
+  if (isExpectedToReport(machine)) countExpected(pass, zone, machine);
+  if (shouldBeUp(machine)) countRunning(pass, zone, machine);
+  if (lastHeartbeatAt === null || machine.terminationReason !== null) return;
+  fleet.known += 1;
+  const silentMs = now.monotonicMs - Math.max(lastHeartbeatAt, lastRelayedAt ?? 0);
+  if (silentMs > SILENT_INTERVALS * state.config.timing.maxHeartbeatIntervalMs) fleet.silent += 1;
+}
+
+/** An empty pass over the machines, with the time since which this leader has waited for heartbeats. */
+function beginPass(state: CoreState, now: Now): SummaryPass {
+  const leaderSince = state.leadership?.since ?? now.monotonicMs;
+  // A leader without any contact need not wait as long as one whose machines report one after another.
+  const hasContact = state.health !== null && state.health.neverReported < state.health.running;
+  const firstReportMs =
+    (hasContact ? FIRST_REPORT_INTERVALS : FIRST_REPORT_INTERVALS_WITHOUT_CONTACT) *
+    state.config.timing.maxHeartbeatIntervalMs;
+  return {
+    state,
+    now,
+    isFirstReportDue: now.monotonicMs - leaderSince > firstReportMs,
+    fleet: {
+      expected: 0,
+      reporting: 0,
+      running: 0,
+      neverReported: 0,
+      known: 0,
+      silent: 0,
+      lastHeartbeatAt: leaderSince,
+    },
+    zones: new Map(),
   };
-  const awake = new Set<string>();
-  for (const [zone, counts] of zones)
-    if (counts.speaking > 0 && counts.heard >= LEAST_HEARD * counts.speaking) awake.add(zone);
-  const apart = zonesApart(state, zones, now);
+}
+
+/** Counts the machines, keeps the counts in `state.health`, and returns what the failure detector needs. */
+export function summarizeHealth(state: CoreState, now: Now): HealthSummary {
+  const pass = beginPass(state, now);
+  for (const machine of state.machines.values()) countMachine(pass, machine);
+  const { expected, reporting, running, neverReported, known, silent, lastHeartbeatAt } = pass.fleet;
+  const silentMs = now.monotonicMs - lastHeartbeatAt;
+  state.health = { reporting, expected, running, neverReported, silentMs };
+  const partitionedZones = findPartitionedZones(pass);
   return {
-    reachableZones: awake,
-    partitionedZones: apart,
-    hearsNobody: apart.size > 0 && now.monotonicMs - latest >= 3 * maxHeartbeatIntervalMs,
-    isMassSilence: silent > MOST_SILENT * known,
-    isMassNeverReported: unheard > MOST_SILENT * up,
+    reachableZones: findReachableZones(pass.zones),
+    partitionedZones,
+    hearsNobody:
+      partitionedZones.size > 0 && silentMs >= SILENT_INTERVALS * state.config.timing.maxHeartbeatIntervalMs,
+    isMassSilence: silent > MAX_SILENT_SHARE * known,
+    isMassNeverReported: neverReported > MAX_SILENT_SHARE * running,
   };
 }
--- a/src/core/fleet/keepalives.ts
+++ b/src/core/fleet/keepalives.ts
@@ -1,30 +1,31 @@
 /**
- * Heartbeats: reports without news that a follower has answered in the leader's place. They say that a machine
- * lives and hears its answers, and nothing else. They prove no task absent and free nothing.
+ * Keepalives: heartbeats without news that a follower has answered in the leader's place. They say that a
+ * machine is up and receives its answers, and nothing else: they prove no task absent and release no claim.
  */
 import type { Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
-/** One machine's latest report without news, as a follower tells of it. */
+/** One machine's latest heartbeat without news, as a follower relays it. */
 export interface Keepalive {
+  /** Name of the machine. */
   readonly machine: string;
   readonly agentEpoch: number;
+  /** The heartbeat's number within the agent epoch. */
   readonly sequence: number;
   /** Milliseconds from its arrival at the follower until now. */
   readonly ageMs: number;
 }
 
-/** Takes in a heartbeat of a machine whose reports this leader has taken in itself; others change nothing. */
-export function applyKeepalive(state: CoreState, heartbeat: Keepalive, now: Now): void {
-  const machine = state.machines.get(heartbeat.machine);
+/** Takes in a keepalive of a machine that this leader has reconciled; others change nothing. */
+export function applyKeepalive(state: CoreState, keepalive: Keepalive, now: Now): void {
+  const machine = state.machines.get(keepalive.machine);
   if (machine === undefined || !machine.isReconciled || machine.lastHeartbeatAt === null) return;
-  if (heartbeat.agentEpoch !== machine.agentEpoch || heartbeat.sequence <= machine.heartbeatSequence) return;
-  const at = now.monotonicMs - heartbeat.ageMs;
-  machine.heartbeatSequence = heartbeat.sequence;
-  machine.lastHeartbeatAt = Math.max(machine.lastHeartbeatAt, at);
+  if (keepalive.agentEpoch !== machine.agentEpoch || keepalive.sequence <= machine.heartbeatSequence) return;
+  machine.heartbeatSequence = keepalive.sequence;
+  machine.lastHeartbeatAt = Math.max(machine.lastHeartbeatAt, now.monotonicMs - keepalive.ageMs);
   machine.failedProbes = 0;
   machine.leaseExpired = false;
-  // The follower answers at once, and forwards the next report if it does not come in its time.
+  // The follower answers at once, and forwards the next heartbeat if that one is late.
   machine.lastAnsweredAt = machine.lastHeartbeatAt;
   machine.unacknowledgedStarts = [];
   machine.unresponsiveSince = null;
--- a/src/core/fleet/probes.ts
+++ b/src/core/fleet/probes.ts
@@ -1,62 +1,77 @@
 /**
- * Machines that owe a report are knocked at. One whose host takes no connection, while most
- * machines around it are heard, is dead: what ran on it need not wait for as long as a
- * worker that has lost its controller may take to find another.
+ * Probes: a connection attempt to each machine whose heartbeat is overdue. A machine whose host accepts none,
+ * while most machines of its zone report, is dead: its tasks need not wait out the time that a worker without
+ * contact to its controller may take to find another.
  */
 import type { Effect } from '../effects.js';
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
-/** So many knocks in a row that met nobody are no chance. */
-const KNOCKS = 2;
+/** Probes in a row that must fail before a machine counts as unreachable; a single one may fail by chance. */
+const MIN_FAILED_PROBES = 2;
+/** A heartbeat is overdue after so many of the longest heartbeat intervals. */
+const OVERDUE_INTERVALS = 1.25;
+/** A successful probe says for so many intervals that the host is up. */
+const REACHABLE_INTERVALS = 2;
 
 const isOverdue = (state: CoreState, machine: Machine, now: Now): boolean =>
   now.monotonicMs - Math.max(machine.lastHeartbeatAt ?? machine.discoveredAt, machine.lastRelayedAt ?? 0) >
-  1.25 * state.config.timing.maxHeartbeatIntervalMs;
+  OVERDUE_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
 
-/** Whether a machine should be up and speaking: it was heard, or has been at work for a leader before. */
+/** Whether a machine should be up and sending heartbeats: it has sent one, or holds claims of an earlier leader. */
 export const isExpectedToReport = ({ terminationReason, lastHeartbeatAt, claims }: Machine): boolean =>
   terminationReason === null && (lastHeartbeatAt !== null || claims.size > 0);
 
-/** Knocks at a machine that owes a report, if its zone is one of these. */
-export function probeIfOverdue(
-  state: CoreState,
-  machine: Machine,
-  awake: ReadonlySet<string>,
-  now: Now,
-  effects: Effect[],
-): void {
-  // A cut explains what was met until now, and its end must not be taken for deaths.
-  if (!awake.has(machine.zone)) machine.failedProbes = 0;
-  else if (
+/** Whether a machine's heartbeat is overdue and no probe of it is under way or was successful of late. */
+function needsProbe(state: CoreState, machine: Machine, now: Now): boolean {
+  return (
     !machine.isProbing &&
     (machine.lastReachableAt === null ||
       now.monotonicMs - machine.lastReachableAt > state.config.timing.maxHeartbeatIntervalMs) &&
     machine.address !== '' &&
     isExpectedToReport(machine) &&
     isOverdue(state, machine, now)
-  ) {
+  );
+}
+
+/** Probes a machine whose heartbeat is overdue, if its zone is among the reachable ones. */
+export function probeIfOverdue(
+  state: CoreState,
+  machine: Machine,
+  reachableZones: ReadonlySet<string>,
+  now: Now,
+  effects: Effect[],
+): void {
+  // A network partition explains the probes that failed until now; its end must not count them as deaths.
+  if (!reachableZones.has(machine.zone)) {
+    machine.failedProbes = 0;
+  } else if (needsProbe(state, machine, now)) {
     machine.isProbing = true;
     effects.push({ kind: 'probe', machine: machine.name, address: machine.address });
   }
 }
 
-/** Takes in what a knock met: somebody, nobody, or no word of either. */
-export function settleProbe(state: CoreState, name: string, met: boolean | null, now: Now): void {
+/**
+ * Takes in a probe's result. `isReachable`: whether the host accepted the connection; null: the probe
+ * could not tell.
+ */
+export function settleProbe(state: CoreState, name: string, isReachable: boolean | null, now: Now): void {
   const machine = state.machines.get(name);
   if (machine === undefined) return;
   machine.isProbing = false;
-  if (met === true) {
+  if (isReachable === true) {
     machine.failedProbes = 0;
     machine.lastReachableAt = now.monotonicMs;
+  } else if (isReachable === false && isOverdue(state, machine, now)) {
+    // A heartbeat, its own or one relayed by a follower, may have come since the probe was sent.
+    machine.failedProbes += 1;
   }
-  // It may have been heard, here or by a deputy, since the knock.
-  else if (met === false && isOverdue(state, machine, now)) machine.failedProbes += 1;
 }
 
-/** Whether somebody was met there of late, though it owes a report: it hangs, or another controller hears it. */
+/** Whether a machine's host accepted a probe of late: its worker hangs, or reports to another controller. */
 export const isHanging = (state: CoreState, { lastReachableAt }: Machine, now: Now): boolean =>
   lastReachableAt !== null &&
-  now.monotonicMs - lastReachableAt < 2 * state.config.timing.maxHeartbeatIntervalMs;
+  now.monotonicMs - lastReachableAt < REACHABLE_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
 
-export const isUnreachable = (machine: Machine): boolean => machine.failedProbes >= KNOCKS;
+/** Whether so many probes of a machine have failed in a row that it counts as dead. */
+export const isUnreachable = (machine: Machine): boolean => machine.failedProbes >= MIN_FAILED_PROBES;
--- a/src/core/fleet/response-tracking.ts
+++ b/src/core/fleet/response-tracking.ts
@@ -1,28 +1,31 @@
 /**
- * Whether a machine hears what it is told. Its reports alone do not show that: where they arrive and
- * nothing comes back, it looks alive for ever, and takes task after task that it never learns of. And a
- * report may be a late copy of one that was sent long ago. Doubt costs a machine new work, nothing else;
- * what is on it is free on proof alone, as ever.
+ * Response tracking: whether a machine receives the answers to its heartbeats. In a one-way partition its
+ * heartbeats arrive and nothing gets back: it looks alive, and would be given task after task that it never
+ * starts. A heartbeat may also be a late copy of one sent long ago. An unresponsive machine only gets no new
+ * work; its claims still end on proof alone.
  */
-import { taskKey, type Machine, type Now } from '../model.js';
+import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { Heartbeat } from '../types.js';
+import { attemptKey } from './task-reports.js';
 
-/** One that got its answer speaks again within so many of the longest times between two reports. */
-const IN_RHYTHM = 1.25;
-/** More doubted machines than this share are one event: the path to them, or this node. */
-const MOST_DEAF = 0.3;
+/** A worker that got its answer sends the next heartbeat within so many of the longest heartbeat intervals. */
+const MAX_ANSWERED_INTERVALS = 1.25;
+/** If more than this share of machines is unresponsive, the network or this node is at fault. */
+const MAX_UNRESPONSIVE_SHARE = 0.3;
+/** Answers in a row that must be missed before a machine is given up; a single one may be lost by chance. */
+const MIN_MISSED_RESPONSES = 2;
 
-/** So many answers in a row that were missed are no chance. */
-const MISSES = 2;
-
-/** Remembers an answer. One that was given late may have been dropped for that: it says nothing. */
+/**
+ * Records an answer to a machine, with the keys of the attempts that it starts. An answer of an overloaded
+ * leader may come after the worker's timeout: whether it is received says nothing.
+ */
 export function recordResponse(state: CoreState, machine: Machine, starts: readonly string[]): void {
   machine.lastAnsweredAt = state.isOverloaded ? null : state.monotonicMs;
   machine.unacknowledgedStarts = state.isOverloaded ? [] : starts;
 }
 
-/** Whether a machine has not heard what it is told for so long that it is of no use. */
+/** Whether a machine has missed its answers for longer than the silence timeout. */
 export const isUnresponsive = (
   state: CoreState,
   { unresponsiveSince, missedResponses }: Machine,
@@ -30,24 +33,26 @@
 ): boolean =>
   !state.isOverloaded &&
   unresponsiveSince !== null &&
-  missedResponses >= MISSES &&
+  missedResponses >= MIN_MISSED_RESPONSES &&
   now.monotonicMs - unresponsiveSince > state.config.timing.silenceTimeoutMs;
 
-/** What a report that is newer than the latest says of the answers before it. */
+/** Concludes from a heartbeat newer than the latest one whether the answer before it was received. */
 export function observeResponse(state: CoreState, machine: Machine, report: Heartbeat, now: Now): void {
   const { maxHeartbeatIntervalMs, workerLeaseMs } = state.config.timing;
   const { lastAnsweredAt, agentEpoch, unacknowledgedStarts } = machine;
   if (lastAnsweredAt === null) return;
-  const since = now.monotonicMs - lastAnsweredAt;
-  const listed = new Set(report.tasks.map(({ job, task, attempt }) => `${taskKey(job, task)}#${attempt}`));
-  // It has one report under way at a time: this one was sent after the answer came, or was given up.
-  const missed = report.agentEpoch === agentEpoch && unacknowledgedStarts.some((start) => !listed.has(start));
-  const heard = unacknowledgedStarts.some((start) => listed.has(start));
-  const expired = report.agentEpoch > agentEpoch && agentEpoch > 0 && since < workerLeaseMs;
-  if (heard || (!missed && !expired && since <= IN_RHYTHM * maxHeartbeatIntervalMs)) {
+  const sinceAnswerMs = now.monotonicMs - lastAnsweredAt;
+  const listed = new Set(report.tasks.map(({ job, task, attempt }) => attemptKey(job, task, attempt)));
+  // A worker has one heartbeat under way at a time: this one was sent after the answer came, or was given up.
+  const hasMissedStart =
+    report.agentEpoch === agentEpoch && unacknowledgedStarts.some((start) => !listed.has(start));
+  const hasReceivedStart = unacknowledgedStarts.some((start) => listed.has(start));
+  const hasLostLease = report.agentEpoch > agentEpoch && agentEpoch > 0 && sinceAnswerMs < workerLeaseMs;
+  const isOnTime = sinceAnswerMs <= MAX_ANSWERED_INTERVALS * maxHeartbeatIntervalMs;
+  if (hasReceivedStart || (!hasMissedStart && !hasLostLease && isOnTime)) {
     machine.unresponsiveSince = null;
     machine.missedResponses = 0;
-  } else if (missed || expired) {
+  } else if (hasMissedStart || hasLostLease) {
     machine.unresponsiveSince ??= now.monotonicMs;
     machine.missedResponses += 1;
   }
@@ -55,28 +60,33 @@
 }
 
 /**
- * Whether a report is a sign of life. One that carries an earlier token still, a whole lease after this
- * leader first heard the machine and answered it, is none: copies of old reports go on for as long as they
- * were late, and a worker that drops every answer has lost its tasks by now.
+ * Whether a heartbeat is a sign of life. One that still carries an earlier token, a whole lease after this
+ * leader first answered the machine, is none: it is a late copy, or its worker receives no answers and has
+ * stopped its tasks by now.
  */
-export function isSignOfLife(state: CoreState, machine: Machine, whole: boolean, now: Now): boolean {
+export function isSignOfLife(
+  state: CoreState,
+  machine: Machine,
+  isAuthoritative: boolean,
+  now: Now,
+): boolean {
   const { firstHeartbeatAt, lastAnsweredAt } = machine;
   return (
-    whole ||
+    isAuthoritative ||
     lastAnsweredAt === null ||
     firstHeartbeatAt === null ||
     now.monotonicMs - firstHeartbeatAt < state.config.timing.workerLeaseMs
   );
 }
 
-/** Whether so many machines do not hear that it is no fault of theirs. */
+/** Whether so many machines miss their answers that the fault is not theirs. */
 export function isMassUnresponsive(state: CoreState): boolean {
   let known = 0;
-  let deaf = 0;
+  let unresponsive = 0;
   for (const { lastHeartbeatAt, terminationReason, unresponsiveSince } of state.machines.values()) {
     if (lastHeartbeatAt === null || terminationReason !== null) continue;
     known += 1;
-    if (unresponsiveSince !== null) deaf += 1;
+    if (unresponsiveSince !== null) unresponsive += 1;
   }
-  return deaf > 1 && deaf > MOST_DEAF * known;
+  return unresponsive > 1 && unresponsive > MAX_UNRESPONSIVE_SHARE * known;
 }
