--- /dev/null
+++ b/src/core/autoscaling/headroom-planning.ts
@@ -0,0 +1,116 @@
+/**
+ * Headroom: capacity for classes that cannot wait for a boot, provisioned ahead of their arrival. Their
+ * waiting tasks alone would not request it: they get their turn, late, before a new machine could be up.
+ */
+import { expectedEnd } from '../fleet/expected-end.js';
+import { allowedWait } from '../jobs/objectives.js';
+import type { Demand, Now } from '../model.js';
+import { soleType } from '../placement/constrained-types.js';
+import { ARRIVALS_OVER } from '../placement/headroom.js';
+import { allocate, fits, resourcesOf } from '../placement/resources.js';
+import type { CoreState } from '../state.js';
+import type { JobSpec, ResourceRequest, Resources } from '../types.js';
+import { mayUse, requestInstance, type CapacityPlan } from './capacity-plan.js';
+import { availableKinds, cheapestBalancedKind, type InstanceKind } from './instance-kinds.js';
+import type { PlannedMachine } from './planned-machine.js';
+
+/** Tasks counted on one machine at most, for tasks that request next to nothing. */
+const MAX_TASKS_PER_MACHINE = 2000;
+/** Boot times without an arrival after which no more arrivals of a class are expected. */
+const MAX_ARRIVAL_GAP_BOOTS = 2;
+
+/** The headroom of one class, as far as it is not covered yet. */
+interface HeadroomGap {
+  readonly spec: JobSpec;
+  /** The class can use several types, and leaves the constrained ones to others. */
+  readonly isFlexible: boolean;
+  /** How long its tasks may wait, in milliseconds. */
+  readonly allowedWaitMs: number;
+  /** Tasks for which instances are missing. */
+  missing: number;
+  /** Tasks for which nothing is up now. */
+  missingNow: number;
+}
+
+/** How many tasks with this request fit into resources. */
+function countFitting(request: ResourceRequest, resources: Resources): number {
+  const left = { ...resources };
+  let count = 0;
+  while (count < MAX_TASKS_PER_MACHINE && fits(request, left)) {
+    allocate(left, request);
+    count += 1;
+  }
+  return count;
+}
+
+/** The shortest boot time of a type that a class can use, in seconds; Infinity: none can hold its tasks. */
+function shortestBootS(state: CoreState, spec: JobSpec): number {
+  let shortest = Infinity;
+  for (const type of state.machineTypes.values())
+    if (fits(spec, type)) shortest = Math.min(shortest, type.bootS);
+  return shortest;
+}
+
+/** Whether no more arrivals of a class are expected, by its usual gap or by the length of a boot. */
+function hasEnded({ lastArrivalAt, meanArrivalGap }: Demand, bootS: number, now: Now): boolean {
+  const maxGapMs = Math.min(ARRIVALS_OVER * meanArrivalGap, MAX_ARRIVAL_GAP_BOOTS * 1000 * bootS);
+  return now.monotonicMs - lastArrivalAt > maxGapMs;
+}
+
+/** How many tasks of a class a machine could hold in time, beside the tasks of others that stay on it. */
+function countTasksOn({ state, now }: CapacityPlan, gap: HeadroomGap, planned: PlannedMachine): number {
+  const { spec, allowedWaitMs } = gap;
+  const resources = resourcesOf(planned.type);
+  const machine = planned.machine === null ? undefined : state.machines.get(planned.machine);
+  for (const claim of machine?.claims.values() ?? []) {
+    const stays = expectedEnd(state, claim, now) > now.monotonicMs + allowedWaitMs;
+    if (stays && claim.job.spec.jobClass !== spec.jobClass) allocate(resources, claim.job.spec);
+  }
+  return countFitting(spec, resources);
+}
+
+/**
+ * Covers a gap with the plan's spot or on-demand machines. `isLasting`: they make instances unnecessary;
+ * otherwise they only stand in until those are up.
+ */
+function coverWithMachines(plan: CapacityPlan, gap: HeadroomGap, spot: boolean, isLasting: boolean): void {
+  for (const planned of plan.machines) {
+    if ((isLasting ? gap.missing : gap.missingNow) <= 0) break;
+    if (planned.spot !== spot || !mayUse(plan, gap.spec, gap.isFlexible, planned)) continue;
+    const found = countTasksOn(plan, gap, planned);
+    if (found > 0) planned.isUsed = true;
+    if (planned.readyAt <= plan.now.monotonicMs) gap.missingNow -= found;
+    if (isLasting) gap.missing -= found;
+  }
+}
+
+/** Requests instances for what is missing still. */
+function coverWithInstances(plan: CapacityPlan, gap: HeadroomGap, kinds: readonly InstanceKind[]): void {
+  while (gap.missing > 0) {
+    const kind = cheapestBalancedKind(plan.counts, kinds);
+    const found = kind === undefined ? 0 : countFitting(gap.spec, resourcesOf(kind.type));
+    if (kind === undefined || found === 0) return;
+    requestInstance(plan, kind);
+    gap.missing -= found;
+  }
+}
+
+/**
+ * Plans headroom for a class that cannot wait for a boot: capacity for its recent peak of tasks at once, times
+ * the policy's factor.
+ */
+export function planHeadroom(plan: CapacityPlan, demand: Demand): void {
+  const { state, now, constrainedTypes } = plan;
+  const { spec, peak } = demand;
+  const allowedWaitMs = allowedWait(state, spec);
+  const bootS = shortestBootS(state, spec);
+  if (allowedWaitMs > bootS * 1000 || hasEnded(demand, bootS, now)) return;
+  const isFlexible = soleType(state, spec) === null;
+  const needed = Math.ceil(peak * state.config.policy.headroomFactor(spec));
+  const gap: HeadroomGap = { spec, isFlexible, allowedWaitMs, missing: needed, missingNow: needed };
+  const spotKinds = availableKinds(state, spec, constrainedTypes, isFlexible, now).filter(({ spot }) => spot);
+  coverWithMachines(plan, gap, true, true);
+  // On-demand machines stand in until spot ones are up, or replace them where none can be had.
+  coverWithMachines(plan, gap, false, spotKinds.length === 0);
+  coverWithInstances(plan, gap, spotKinds);
+}
--- a/src/core/autoscaling/index.ts
+++ b/src/core/autoscaling/index.ts
@@ -1,2 +1,14 @@
-/** Renting and returning machines. The area's public face: code outside the core imports from here alone. */
-export * from './autoscaler.js';
+/**
+ * Autoscaling: provisioning and termination of machines. The area's public interface: code outside the core
+ * imports from here alone.
+ */
+export * from './capacity-plan.js';
+export * from './demand-history.js';
+export * from './headroom-planning.js';
+export * from './instance-kinds.js';
+export * from './planned-machine.js';
+export * from './provisioning.js';
+export * from './scale-in.js';
+export * from './scale-out.js';
+export * from './start-queue.js';
+export * from './task-planning.js';
--- /dev/null
+++ b/src/core/autoscaling/planned-machine.ts
@@ -0,0 +1,73 @@
+/**
+ * A machine in the capacity plan: the resources that it has free over time. The plan only estimates where
+ * tasks could start; placement decides where they do.
+ */
+import { allocate, fits, release, resourcesOf } from '../placement/resources.js';
+import type { Now } from '../model.js';
+import type { MachineType, ResourceRequest, Resources } from '../types.js';
+
+/** A machine that is up, booting, requested or only planned, with its free resources over time. */
+export interface PlannedMachine {
+  /** Its name; null: it is not provisioned yet. */
+  readonly machine: string | null;
+  readonly type: MachineType;
+  readonly zone: string;
+  readonly spot: boolean;
+  /** Steady time in milliseconds from which tasks can start on it. */
+  readonly readyAt: number;
+  /** What is free before the first of `ends`. */
+  readonly free: Resources;
+  /** When resources become free, in ascending order of the steady time in milliseconds. */
+  readonly ends: { at: number; resources: Resources }[];
+  /** It holds claims now. */
+  readonly isBusy: boolean;
+  /** The plan puts something on it. */
+  isUsed: boolean;
+  /** Goes up with each task that the plan puts on it. */
+  version: number;
+}
+
+/** An empty machine of this type, as if it were provisioned now. */
+export function newPlannedMachine(type: MachineType, zone: string, spot: boolean, now: Now): PlannedMachine {
+  return {
+    machine: null,
+    type,
+    zone,
+    spot,
+    readyAt: now.monotonicMs + type.bootS * 1000,
+    free: resourcesOf(type),
+    ends: [],
+    isBusy: false,
+    isUsed: false,
+    version: 0,
+  };
+}
+
+/**
+ * Steady time in milliseconds at which a task with this request could start on a planned machine; Infinity:
+ * it never could.
+ */
+export function earliestStart(planned: PlannedMachine, request: ResourceRequest): number {
+  if (!fits(request, planned.type)) return Infinity;
+  if (fits(request, planned.free)) return planned.readyAt;
+  const free = { ...planned.free };
+  for (const { at, resources } of planned.ends) {
+    release(free, resources);
+    if (fits(request, free)) return Math.max(planned.readyAt, at);
+  }
+  return Infinity;
+}
+
+/** Puts a task on a planned machine from its earliest start until a steady time, in milliseconds. */
+export function occupy(planned: PlannedMachine, request: ResourceRequest, from: number, until: number): void {
+  while ((planned.ends[0]?.at ?? Infinity) <= from) {
+    const first = planned.ends.shift();
+    if (first !== undefined) release(planned.free, first.resources);
+  }
+  allocate(planned.free, request);
+  const index = planned.ends.findIndex((end) => end.at > until);
+  const end = { at: until, resources: resourcesOf(request) };
+  planned.ends.splice(index < 0 ? planned.ends.length : index, 0, end);
+  planned.isUsed = true;
+  planned.version += 1;
+}
--- /dev/null
+++ b/src/core/autoscaling/task-planning.ts
@@ -0,0 +1,113 @@
+/** Plans a job's waiting tasks onto the machines of a capacity plan, and requests what is missing. */
+import { expectedRun } from '../jobs/jobs.js';
+import { isBestEffort, isCostSensitive } from '../jobs/objectives.js';
+import type { JobState } from '../model.js';
+import {
+  addCandidate,
+  findCandidates,
+  requestInstance,
+  type Candidates,
+  type CapacityPlan,
+  type ShapeCandidates,
+} from './capacity-plan.js';
+import { availableKinds, cheapestBalancedKind, type InstanceKind } from './instance-kinds.js';
+import { newPlannedMachine } from './planned-machine.js';
+import type { StartQueue } from './start-queue.js';
+
+/** A plan covers at most so many tasks of one job, or more if the fleet is large: */
+const MAX_PLANNED_TASKS = 2000;
+/** so many for each machine. */
+const PLANNED_TASKS_PER_MACHINE = 2;
+
+/** What a job's tasks are planned by. */
+interface TaskPlan {
+  readonly candidates: Candidates;
+  /** Kinds of instance that may be requested, cheapest first. */
+  readonly kinds: readonly InstanceKind[];
+  /** Steady time in milliseconds by which the tasks are to start. */
+  readonly latestStartAt: number;
+  readonly runMs: number;
+  /** The job does not use on-demand machines. */
+  readonly isSpotOnly: boolean;
+}
+
+/** Key of what jobs of the same candidates have in common; null: the job has candidates of its own. */
+function shapeKey({ spec, failedMachines }: JobState): string | null {
+  if (failedMachines.size > 0) return null;
+  const { cpus, gpus, memoryGb, types, zone, spot } = spec;
+  return JSON.stringify([cpus, gpus, memoryGb, types, zone, spot]);
+}
+
+/** The queue with the earliest start; on-demand machines are for what would be too late on spot ones. */
+function earliestQueue({ candidates, latestStartAt, isSpotOnly }: TaskPlan): StartQueue {
+  const { spot, onDemand } = candidates;
+  const spotStart = spot.first()?.at ?? Infinity;
+  if (spotStart <= latestStartAt || isSpotOnly) return spot;
+  return (onDemand.first()?.at ?? Infinity) < spotStart ? onDemand : spot;
+}
+
+/** Requests an instance and plans a task on it as soon as it has booted. */
+function planTaskOnNewInstance(plan: CapacityPlan, kind: InstanceKind, tasks: TaskPlan): void {
+  requestInstance(plan, kind);
+  const planned = newPlannedMachine(kind.type, kind.zone, kind.spot, plan.now);
+  addCandidate(plan, planned, tasks.candidates);
+  const queue = kind.spot ? tasks.candidates.spot : tasks.candidates.onDemand;
+  queue.occupy(queue.machines.length - 1, planned.readyAt, planned.readyAt + tasks.runMs);
+}
+
+/** Plans one task at its earliest start; false: neither a machine nor an instance can ever take it. */
+function planTask(plan: CapacityPlan, tasks: TaskPlan): boolean {
+  const queue = earliestQueue(tasks);
+  const first = queue.first();
+  const start = first?.at ?? Infinity;
+  if (start > tasks.latestStartAt) {
+    const kind = cheapestBalancedKind(plan.counts, tasks.kinds);
+    if (kind !== undefined && start > plan.now.monotonicMs + kind.type.bootS * 1000) {
+      planTaskOnNewInstance(plan, kind, tasks);
+      return true;
+    }
+  }
+  if (first === null) return false;
+  queue.occupy(first.index, first.at, first.at + tasks.runMs);
+  return true;
+}
+
+/**
+ * Finds each of `count` tasks of a job its earliest start, on a new instance if that would be after
+ * `latestStartAt` (steady time in milliseconds) otherwise. `isFlexible`: the job can use several types, and
+ * leaves the constrained ones to others.
+ */
+export function planTasks(
+  plan: CapacityPlan,
+  job: JobState,
+  count: number,
+  latestStartAt: number,
+  isFlexible: boolean,
+): void {
+  const { state, now, constrainedTypes } = plan;
+  const { spec } = job;
+  // Best-effort work fills what is there; only spot instances are requested for it.
+  const requestsSpotOnly = spec.spot && isBestEffort(state, spec);
+  const kinds = availableKinds(state, spec, constrainedTypes, isFlexible, now).filter(
+    ({ spot }) => spot || !requestsSpotOnly,
+  );
+  const shape = shapeKey(job) ?? spec.id;
+  const known: ShapeCandidates = plan.shapes.get(shape) ?? {
+    spec,
+    isFlexible,
+    candidates: findCandidates(plan, job, isFlexible),
+  };
+  plan.shapes.set(shape, known);
+  const tasks: TaskPlan = {
+    candidates: known.candidates,
+    kinds,
+    latestStartAt,
+    runMs: spec.form === 'service' ? Infinity : expectedRun(state, spec),
+    isSpotOnly: isCostSensitive(state, job, now),
+  };
+  const limit = Math.max(MAX_PLANNED_TASKS, PLANNED_TASKS_PER_MACHINE * state.machines.size);
+  let left = Math.min(count, limit);
+  while (left > 0 && planTask(plan, tasks)) left -= 1;
+  // A job that excludes some machines has candidates of its own, which no other job asks for.
+  if (shape === spec.id) plan.shapes.delete(shape);
+}
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -1,11 +1,8 @@
 /** One batch of commands into the state, and the effects that follow. */
-import {
-  scaleIn,
-  restoreDemandHistory,
-  saveDemandHistory,
-  scaleOut,
-  settleProvisioning,
-} from './autoscaling/autoscaler.js';
+import { restoreDemandHistory, saveDemandHistory } from './autoscaling/demand-history.js';
+import { settleProvisioning } from './autoscaling/provisioning.js';
+import { scaleIn } from './autoscaling/scale-in.js';
+import { scaleOut } from './autoscaling/scale-out.js';
 import { place } from './placement/easy.js';
 import type { Command, Effect } from './effects.js';
 import { applyListing, removeTerminated } from './fleet/cloud-listing.js';
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -1,7 +1,7 @@
 /** What makes planning and placing cheap at size must not change what they choose. */
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
-import { earliest, Openings, type Planned } from '../src/core/autoscaling/index.js';
+import { earliestStart, StartQueue, type PlannedMachine } from '../src/core/autoscaling/index.js';
 import { reserveAcrossMachines, earliestShadow, fits, freeResources } from '../src/core/placement/index.js';
 import { claimTask, addJob } from '../src/core/persistence/index.js';
 import { getOrCreateMachine } from '../src/core/fleet/index.js';
@@ -21,7 +21,7 @@
       need,
       fc.integer({ min: 1, max: 12 }),
       (all, of, tasks) => {
-        const planned = all.map(({ ready, ends }, i): Planned => {
+        const planned = all.map(({ ready, ends }, i): PlannedMachine => {
           const free = { cpus: 8, gpus: 0, memoryGb: 64 };
           const kept = ends.filter(({ need: taken }) => fits(taken, free) && (free.cpus -= taken.cpus) >= 0);
           for (const { need: taken } of kept) free.memoryGb -= taken.memoryGb;
@@ -33,15 +33,15 @@
             spot: true,
             readyAt: ready,
             free,
-            ends: kept.map((end) => ({ at: end.at, room: end.need })),
-            busy: kept.length > 0,
-            used: false,
+            ends: kept.map((end) => ({ at: end.at, resources: end.need })),
+            isBusy: kept.length > 0,
+            isUsed: false,
             version: 0,
           };
         });
-        const openings = new Openings([...planned], of);
+        const openings = new StartQueue([...planned], of);
         for (let i = 0; i < tasks; i += 1) {
-          const starts = planned.map((one) => earliest(one, of));
+          const starts = planned.map((one) => earliestStart(one, of));
           const soonest = Math.min(Infinity, ...starts);
           const first = openings.first();
           expect(first?.at ?? Infinity).toBe(soonest);
