--- a/src/core/autoscaling/capacity-plan.ts
+++ b/src/core/autoscaling/capacity-plan.ts
@@ -49,7 +49,7 @@
   readonly requested: Map<string, RequestedKind>;
   /** Machines of each kind that are up, booting or requested, by the kind's key. */
   readonly counts: Map<string, number>;
-  /** Candidates of the job shapes met so far, by the shape's key. */
+  /** Candidates of the job shapes planned so far, by the shape's key. */
   readonly shapes: Map<string, ShapeCandidates>;
 }
 
@@ -74,8 +74,8 @@
   !isUnconfirmed(machine);
 
 /**
- * Steady time in milliseconds at which a best-effort task's resources can be had for other work, at the cost
- * of saving a checkpoint; Infinity: the task is not preempted. The plan finds such a task another place.
+ * Monotonic time in milliseconds at which a best-effort task's resources can be had for other work, at the
+ * cost of saving a checkpoint; Infinity: the task is not preempted. The plan finds such a task another place.
  */
 function preemptibleAt(state: CoreState, { spec }: JobState, now: Now): number {
   if (spec.checkpointS === 0 || !isBestEffort(state, spec)) return Infinity;
@@ -84,7 +84,7 @@
   );
 }
 
-/** Steady time in milliseconds from which tasks can start on a machine. */
+/** Monotonic time in milliseconds from which tasks can start on a machine. */
 function readyTime(machine: Machine, type: MachineType, now: Now): number {
   if (machine.lastHeartbeatAt !== null) return now.monotonicMs;
   const bootMs = type.bootS * 1000;
@@ -130,7 +130,8 @@
     for (let i = 0; i < request.count; i += 1)
       planned.push(newPlannedMachine(type, request.zone, request.spot, now));
   }
-  // Busy machines come first, then those with most cached images: the idle ones with the fewest fall out of use.
+  // Busy machines come first, then those with most cached images: the idle ones with the
+  // fewest fall out of use.
   const imageCount = ({ machine }: PlannedMachine): number =>
     state.machines.get(machine ?? '')?.cachedImages.size ?? 0;
   return planned.sort((a, b) => Number(b.isBusy) - Number(a.isBusy) || imageCount(b) - imageCount(a));
--- a/src/core/autoscaling/planned-machine.ts
+++ b/src/core/autoscaling/planned-machine.ts
@@ -13,11 +13,11 @@
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** Steady time in milliseconds from which tasks can start on it. */
+  /** Monotonic time in milliseconds from which tasks can start on it. */
   readonly readyAt: number;
   /** What is free before the first of `ends`. */
   readonly free: Resources;
-  /** When resources become free, in ascending order of the steady time in milliseconds. */
+  /** When resources become free, in ascending order of the monotonic time in milliseconds. */
   readonly ends: { at: number; resources: Resources }[];
   /** It holds claims now. */
   readonly isBusy: boolean;
@@ -44,7 +44,7 @@
 }
 
 /**
- * Steady time in milliseconds at which a task with this request could start on a planned machine; Infinity:
+ * Monotonic time in milliseconds at which a task with this request could start on a planned machine; Infinity:
  * it never could.
  */
 export function earliestStart(planned: PlannedMachine, request: ResourceRequest): number {
@@ -58,7 +58,7 @@
   return Infinity;
 }
 
-/** Puts a task on a planned machine from its earliest start until a steady time, in milliseconds. */
+/** Puts a task on a planned machine from its earliest start until a monotonic time, in milliseconds. */
 export function occupy(planned: PlannedMachine, request: ResourceRequest, from: number, until: number): void {
   while ((planned.ends[0]?.at ?? Infinity) <= from) {
     const first = planned.ends.shift();
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -19,7 +19,8 @@
   if (now.monotonicMs - machine.provisionedAt < MIN_BILLED_MS) return false;
   if (now.monotonicMs - machine.idleSince <= state.config.policy.idleTimeoutMs(type, machine.spot))
     return false;
-  // Completed tasks would run again if both the machine and this leader were gone before their exits are written.
+  // Completed tasks would run again if both the machine and this leader were gone before
+  // their exits are written.
   for (const exit of machine.exits.values()) if (!isExitDurable(exit)) return false;
   return true;
 }
--- a/src/core/autoscaling/start-queue.ts
+++ b/src/core/autoscaling/start-queue.ts
@@ -6,7 +6,7 @@
 interface QueueEntry {
   /** Position in the queue's list of machines. */
   readonly index: number;
-  /** Steady time of the earliest start, in milliseconds. */
+  /** Monotonic time of the earliest start, in milliseconds. */
   readonly at: number;
   /** The machine's version when `at` was worked out. */
   readonly version: number;
@@ -43,7 +43,7 @@
     return index;
   }
 
-  /** The machine with the earliest start, the first of several, and that start; null: none ever has room. */
+  /** The machine with the earliest start, the first of several, and that start; null: none has one. */
   first(): { readonly index: number; readonly at: number } | null {
     for (;;) {
       const front = this.#byStart.peek();
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Puts a task on the machine at this index, from and until a steady time in milliseconds. */
+  /** Puts a task on the machine at this index, from and until a monotonic time in milliseconds. */
   occupy(index: number, from: number, until: number): void {
     const planned = this.machines[index];
     if (planned !== undefined) occupy(planned, this.request, from, until);
--- a/src/core/autoscaling/task-planning.ts
+++ b/src/core/autoscaling/task-planning.ts
@@ -24,7 +24,7 @@
   readonly candidates: Candidates;
   /** Kinds of instance that may be requested, cheapest first. */
   readonly kinds: readonly InstanceKind[];
-  /** Steady time in milliseconds by which the tasks are to start. */
+  /** Monotonic time in milliseconds by which the tasks are to start. */
   readonly latestStartAt: number;
   readonly runMs: number;
   /** The job does not use on-demand machines. */
@@ -74,7 +74,7 @@
 
 /**
  * Finds each of `count` tasks of a job its earliest start, on a new instance if that would be after
- * `latestStartAt` (steady time in milliseconds) otherwise. `isFlexible`: the job can use several types, and
+ * `latestStartAt` (monotonic time in milliseconds) otherwise. `isFlexible`: the job can use several types, and
  * leaves the constrained ones to others.
  */
 export function planTasks(
--- a/src/core/fleet/expected-end.ts
+++ b/src/core/fleet/expected-end.ts
@@ -3,7 +3,7 @@
 import type { CoreState } from '../state.js';
 
 /**
- * Steady time in milliseconds at which a claimed task is expected to end: Infinity for a service; for one
+ * Monotonic time in milliseconds at which a claimed task is expected to end: Infinity for a service; for one
  * past its expected end, the policy's overrun allowance from now.
  */
 export function expectedEnd(state: CoreState, claim: LiveClaim, now: Now): number {
--- a/src/core/fleet/graceful-eviction.ts
+++ b/src/core/fleet/graceful-eviction.ts
@@ -15,7 +15,7 @@
 }
 
 /**
- * Stops the tasks that are not expected to end before the machine is reclaimed (a steady time, in
+ * Stops the tasks that are not expected to end before the machine is reclaimed (a monotonic time, in
  * milliseconds), so that they run elsewhere the sooner. Those that can save a checkpoint are stopped as late
  * as it is safe.
  */
--- a/src/core/fleet/health-summary.ts
+++ b/src/core/fleet/health-summary.ts
@@ -30,7 +30,7 @@
   /** Machines that should be up, and those of them that are silent. */
   running: number;
   silent: number;
-  /** Steady time at which any of them was last heard of, in milliseconds. */
+  /** Monotonic time at which any of them was last heard of, in milliseconds. */
   lastContactAt: number;
 }
 
@@ -44,7 +44,7 @@
   /** Machines that have reported to this leader, and those of them silent now. */
   known: number;
   silent: number;
-  /** Steady time of the latest heartbeat, or of the leadership's begin, in milliseconds. */
+  /** Monotonic time of the latest heartbeat, or of the start of the leadership, in milliseconds. */
   lastHeartbeatAt: number;
 }
 
--- a/src/core/fleet/heartbeats.ts
+++ b/src/core/fleet/heartbeats.ts
@@ -24,13 +24,13 @@
 function releaseAbsentClaims(
   state: CoreState,
   machine: Machine,
-  report: Heartbeat,
+  heartbeat: Heartbeat,
   isAuthoritative: boolean,
 ): void {
   const listed = new Set<string>();
-  for (const { job, task, attempt } of report.tasks) listed.add(attemptKey(job, task, attempt));
+  for (const { job, task, attempt } of heartbeat.tasks) listed.add(attemptKey(job, task, attempt));
   for (const [key, claim] of [...machine.claims]) {
-    if (claim.agentEpoch < report.agentEpoch) {
+    if (claim.agentEpoch < heartbeat.agentEpoch) {
       // In a new epoch the worker has killed and forgotten all tasks of the one before.
       releaseClaim(state, claim, false);
     } else if (isAuthoritative && !listed.has(`${key}#${claim.attempt}`)) {
@@ -48,11 +48,11 @@
   (agentEpoch === machine.agentEpoch && sequence > machine.heartbeatSequence);
 
 /** The first heartbeat describes its machine; a record made from claims alone has no type or zone. */
-function adoptDescription(state: CoreState, machine: Machine, report: Heartbeat, now: Now): void {
+function adoptDescription(state: CoreState, machine: Machine, heartbeat: Heartbeat, now: Now): void {
   if (machine.lastHeartbeatAt !== null && machine.type !== '') return;
-  machine.type = report.type;
-  machine.zone = report.zone;
-  machine.spot = report.spot;
+  machine.type = heartbeat.type;
+  machine.zone = heartbeat.zone;
+  machine.spot = heartbeat.spot;
   machine.idleSince = now.monotonicMs;
   state.isPlacementDue = true;
 }
@@ -91,8 +91,8 @@
   log(effects, 'machine will be taken', { machine: machine.name, inS: noticeS });
 }
 
-function applyTaskReports(state: CoreState, machine: Machine, report: Heartbeat, now: Now): void {
-  for (const task of report.tasks) {
+function applyTaskReports(state: CoreState, machine: Machine, heartbeat: Heartbeat, now: Now): void {
+  for (const task of heartbeat.tasks) {
     if (task.stage === 'exited') {
       recordTaskExit(state, machine, task, now);
       continue;
@@ -109,34 +109,34 @@
  */
 export function applyHeartbeat(
   state: CoreState,
-  report: Heartbeat,
+  heartbeat: Heartbeat,
   now: Now,
   effects: Effect[],
   direct: boolean,
 ): boolean {
-  if (state.terminatedMachines.has(report.machine)) return false;
-  const isKnown = state.machines.has(report.machine);
-  const machine = getOrCreateMachine(state, report.machine, now);
-  if (!isNewer(machine, report)) return false;
-  if (!isKnown) state.unexpected.push(report.machine);
-  adoptDescription(state, machine, report, now);
-  if (!direct) observeResponse(state, machine, report, now);
-  const hasRestarted = report.agentEpoch > machine.agentEpoch && machine.agentEpoch > 0;
+  if (state.terminatedMachines.has(heartbeat.machine)) return false;
+  const isKnown = state.machines.has(heartbeat.machine);
+  const machine = getOrCreateMachine(state, heartbeat.machine, now);
+  if (!isNewer(machine, heartbeat)) return false;
+  if (!isKnown) state.unexpected.push(heartbeat.machine);
+  adoptDescription(state, machine, heartbeat, now);
+  if (!direct) observeResponse(state, machine, heartbeat, now);
+  const hasRestarted = heartbeat.agentEpoch > machine.agentEpoch && machine.agentEpoch > 0;
   if (hasRestarted) dropAllImages(state, machine);
-  machine.address = report.address;
-  machine.agentEpoch = report.agentEpoch;
-  machine.heartbeatSequence = report.sequence;
+  machine.address = heartbeat.address;
+  machine.agentEpoch = heartbeat.agentEpoch;
+  machine.heartbeatSequence = heartbeat.sequence;
   // The answer to a direct command may overtake a start that is still on its way in the
   // response to a heartbeat, so only heartbeats prove that something is absent.
-  const isAuthoritative = !direct && report.token === (state.leadership?.term ?? 0);
+  const isAuthoritative = !direct && heartbeat.token === (state.leadership?.term ?? 0);
   if (direct) recordDirectAnswer(machine, hasRestarted, now);
   else recordContact(state, machine, isAuthoritative, now);
   // A notice in a heartbeat with an earlier token may be as old as the heartbeat.
-  if (report.terminationNoticeS !== null && machine.reclaimedAt === null && (isAuthoritative || direct))
-    recordTerminationNotice(state, machine, report.terminationNoticeS, now, effects);
-  applyTaskReports(state, machine, report, now);
-  releaseAbsentClaims(state, machine, report, isAuthoritative);
-  machine.reportedTasks = report.tasks;
+  if (heartbeat.terminationNoticeS !== null && machine.reclaimedAt === null && (isAuthoritative || direct))
+    recordTerminationNotice(state, machine, heartbeat.terminationNoticeS, now, effects);
+  applyTaskReports(state, machine, heartbeat, now);
+  releaseAbsentClaims(state, machine, heartbeat, isAuthoritative);
+  machine.reportedTasks = heartbeat.tasks;
   state.changedMachines.add(machine);
   if (machine.claims.size > 0) machine.idleSince = now.monotonicMs;
   return true;
--- a/src/core/fleet/index.ts
+++ b/src/core/fleet/index.ts
@@ -1,6 +1,6 @@
 /**
- * Machines: what their heartbeats prove, what they are told, and when they are given up. The area's public
- * interface: code outside the core imports from here alone.
+ * Machines: what their heartbeats prove, the commands sent to them, and when they are given up. The area's
+ * public interface: code outside the core imports from here alone.
  */
 export * from './cloud-listing.js';
 export * from './expected-end.js';
--- a/src/core/fleet/probes.ts
+++ b/src/core/fleet/probes.ts
@@ -18,7 +18,7 @@
   now.monotonicMs - Math.max(machine.lastHeartbeatAt ?? machine.discoveredAt, machine.lastRelayedAt ?? 0) >
   OVERDUE_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
 
-/** Whether a machine should be up and sending heartbeats: it has sent one, or holds claims of an earlier leader. */
+/** Whether a machine should be up and sending heartbeats: it has sent one, or holds claims. */
 export const isExpectedToReport = ({ terminationReason, lastHeartbeatAt, claims }: Machine): boolean =>
   terminationReason === null && (lastHeartbeatAt !== null || claims.size > 0);
 
--- a/src/core/fleet/response-tracking.ts
+++ b/src/core/fleet/response-tracking.ts
@@ -37,17 +37,17 @@
   now.monotonicMs - unresponsiveSince > state.config.timing.silenceTimeoutMs;
 
 /** Concludes from a heartbeat newer than the latest one whether the answer before it was received. */
-export function observeResponse(state: CoreState, machine: Machine, report: Heartbeat, now: Now): void {
+export function observeResponse(state: CoreState, machine: Machine, heartbeat: Heartbeat, now: Now): void {
   const { maxHeartbeatIntervalMs, workerLeaseMs } = state.config.timing;
   const { lastAnsweredAt, agentEpoch, unacknowledgedStarts } = machine;
   if (lastAnsweredAt === null) return;
   const sinceAnswerMs = now.monotonicMs - lastAnsweredAt;
-  const listed = new Set(report.tasks.map(({ job, task, attempt }) => attemptKey(job, task, attempt)));
+  const listed = new Set(heartbeat.tasks.map(({ job, task, attempt }) => attemptKey(job, task, attempt)));
   // A worker has one heartbeat under way at a time: this one was sent after the answer came, or was given up.
   const hasMissedStart =
-    report.agentEpoch === agentEpoch && unacknowledgedStarts.some((start) => !listed.has(start));
+    heartbeat.agentEpoch === agentEpoch && unacknowledgedStarts.some((start) => !listed.has(start));
   const hasReceivedStart = unacknowledgedStarts.some((start) => listed.has(start));
-  const hasLostLease = report.agentEpoch > agentEpoch && agentEpoch > 0 && sinceAnswerMs < workerLeaseMs;
+  const hasLostLease = heartbeat.agentEpoch > agentEpoch && agentEpoch > 0 && sinceAnswerMs < workerLeaseMs;
   const isOnTime = sinceAnswerMs <= MAX_ANSWERED_INTERVALS * maxHeartbeatIntervalMs;
   if (hasReceivedStart || (!hasMissedStart && !hasLostLease && isOnTime)) {
     machine.unresponsiveSince = null;
--- a/src/core/fleet/worker-commands.ts
+++ b/src/core/fleet/worker-commands.ts
@@ -17,7 +17,7 @@
   return false;
 }
 
-/** What a worker is told of a task that it lists; null: it goes on as it is. */
+/** The command about a task that the worker lists; null: there is none. */
 function commandForListed(machine: Machine, listed: ReportedTask): WorkerCommand | null {
   const { job, task, attempt, stage } = listed;
   if (stage === 'exited') {
