--- a/bench/versions.mjs
+++ b/bench/versions.mjs
@@ -1,7 +1,7 @@
 // Today's sources and, if a commit is named, those of that commit, each bundled for a benchmark.
 import { execFileSync } from 'node:child_process';
 import { mkdirSync } from 'node:fs';
-import { join, resolve } from 'node:path';
+import { resolve } from 'node:path';
 
 /**
  * `bundle(name, root)` gives the bundle's file; the earlier version comes first. A version is driven by the
--- a/src/describe.ts
+++ b/src/describe.ts
@@ -35,13 +35,11 @@
   const waiting = [...state.jobs.values()].filter((job) => job.finalStage === null && !isReady(job));
   return {
     jobs: waiting.length,
-    first: waiting
-      .slice(0, 10)
-      .map(({ spec, pendingDependencies }) => ({
-        id: spec.id,
-        awaits: [...pendingDependencies].slice(0, 10),
-        of: pendingDependencies.size,
-      })),
+    first: waiting.slice(0, 10).map(({ spec, pendingDependencies }) => ({
+      id: spec.id,
+      awaits: [...pendingDependencies].slice(0, 10),
+      of: pendingDependencies.size,
+    })),
   };
 }
 
