--- a/src/adapters/users.ts
+++ b/src/adapters/users.ts
@@ -1,6 +1,6 @@
 /** The users' requests, served by every node straight from the state service. */
 import type { Clock } from '../clock.js';
-import { satisfiesConstraints, fits, REASONS } from '../core/placement/index.js';
+import { satisfiesConstraints, fits, WAIT_REASONS } from '../core/placement/index.js';
 import type { TeamQuota } from '../core/model.js';
 import type { Precondition, EndedRecord, JobSpec, MachineType, Mutation } from '../core/types.js';
 import { endedKey, jobBytes, jobKey } from '../core/persistence/index.js';
@@ -91,7 +91,7 @@
     if (found.kind === 'ended') view = { id, stage: found.record.stage, done: found.record.done, running: 0 };
     else {
       const { done, running, why } = this.context.counts(id) ?? { done: 0, running: 0, why: 0 };
-      view = { id, stage: running > 0 ? 'running' : 'pending', done, running, why: REASONS[why - 1] };
+      view = { id, stage: running > 0 ? 'running' : 'pending', done, running, why: WAIT_REASONS[why - 1] };
       const started = running + done > 0;
       const awaits = started
         ? []
--- a/src/controller/peering.ts
+++ b/src/controller/peering.ts
@@ -3,7 +3,7 @@
 import { stateAgeMs, type Common } from './common.js';
 import { FORMAT } from '../core/persistence/index.js';
 import { resolvedUntil } from '../core/jobs/index.js';
-import { REASONS, whyWaits } from '../core/placement/index.js';
+import { WAIT_REASONS, waitReason } from '../core/placement/index.js';
 import type { View } from '../membership/views.js';
 import type { JobCount, PeerStatus, QuietZone } from '../wire/peers.js';
 
@@ -68,11 +68,11 @@
   countOf(id: string): Omit<JobCount, 'id'> | null {
     const job = this.common.owner.state.jobs.get(id);
     if (this.common.owner.state.leadership === null || job === undefined) return this.#counts.get(id) ?? null;
-    const why = whyWaits(this.common.owner.state, job);
+    const why = waitReason(this.common.owner.state, job);
     return {
       done: job.doneCount,
       running: job.runningCount,
-      why: why === null ? 0 : REASONS.indexOf(why) + 1,
+      why: why === null ? 0 : WAIT_REASONS.indexOf(why) + 1,
     };
   }
 
--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -4,7 +4,7 @@
 import type { Effect } from '../effects.js';
 import { expectedEnd } from '../fleet/machines.js';
 import { expectedRun, isReady, waitingTasks } from '../jobs/jobs.js';
-import { ARRIVALS_OVER } from '../placement/headroom.js';
+import { MAX_ARRIVAL_GAPS } from '../placement/headroom.js';
 import { log } from '../log.js';
 import { waitingJobs } from '../placement/job-queue.js';
 import {
@@ -457,7 +457,7 @@
   );
   if (wait > boot * 1000) return;
   // None has come for long, by its own measure or by that of a boot: no more are expected.
-  if (now.monotonicMs - lastArrivalAt > Math.min(ARRIVALS_OVER * meanArrivalGap, 2000 * boot)) return;
+  if (now.monotonicMs - lastArrivalAt > Math.min(MAX_ARRIVAL_GAPS * meanArrivalGap, 2000 * boot)) return;
   const needed = Math.ceil(peak * state.config.policy.headroomFactor(spec));
   const cheap = kinds.filter(({ spot }) => spot);
   const kind = cheap[0];
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -11,30 +11,36 @@
 import type { EndedRecord, FinalStage } from '../types.js';
 
 /** Ends of jobs that are remembered at least; with more live jobs, twice their number is. */
-const MIN_REMEMBERED_ENDS = 4000;
-const MOST_ASKED = 16;
+const MIN_REMEMBERED_OUTCOMES = 4000;
+const MAX_QUERIED_OUTCOMES = 16;
 /** A pipeline longer than this passes its wishes back no further. */
-const DEEPEST = 200;
+const MAX_PROPAGATION_DEPTH = 200;
 /** The last task of an array ends later than the usual one. */
-const LAST_TASK = 1.3;
+const LAST_TASK_RUN_FACTOR = 1.3;
 
 /** What the view held at its latest proof had been settled: what is learned now came after. */
-const sinceProof = (state: CoreState): number => state.leadership?.viewConfirmedAt ?? 0;
+const viewConfirmedAt = (state: CoreState): number => state.leadership?.viewConfirmedAt ?? 0;
 
-function ask(state: CoreState, id: string, since = sinceProof(state)): void {
+function requestOutcome(state: CoreState, id: string, since = viewConfirmedAt(state)): void {
   if (!state.unresolvedDependencies.has(id)) state.unresolvedDependencies.set(id, { since, notBefore: 0 });
 }
 
 /** To be withdrawn: one that it needs is. It cannot have a task out, for that one was never done. */
-function doom(state: CoreState, job: JobState, since: number): void {
+function scheduleCancellation(state: CoreState, job: JobState, since: number): void {
   if (job.finalStage !== null || state.cancelPending.has(job)) return;
   state.cancelPending.set(job, since);
   markDirty(state, job);
 }
 
-function settle(state: CoreState, job: JobState, final: FinalOutcome, id: string, since: number): void {
+function resolveDependency(
+  state: CoreState,
+  job: JobState,
+  final: FinalOutcome,
+  id: string,
+  since: number,
+): void {
   if (final.stage === 'withdrawn') {
-    doom(state, job, since);
+    scheduleCancellation(state, job, since);
     return;
   }
   job.pendingDependencies.delete(id);
@@ -52,39 +58,39 @@
     job.pendingDependencies.add(id);
     const final = state.finalOutcomes.get(id);
     if (final !== undefined) {
-      settle(state, job, final, id, sinceProof(state));
+      resolveDependency(state, job, final, id, viewConfirmedAt(state));
       continue;
     }
     const others = state.dependents.get(id);
     if (others === undefined) state.dependents.set(id, new Set([job]));
     else others.add(job);
-    if (state.jobs.get(id)?.finalStage !== null) ask(state, id);
+    if (state.jobs.get(id)?.finalStage !== null) requestOutcome(state, id);
   }
-  passBack(state, job, DEEPEST);
+  propagateToDependencies(state, job, MAX_PROPAGATION_DEPTH);
 }
 
 /**
  * What a job needs has its priority, and has to be done early enough for what remains: the
  * users set both on the last job of a pipeline only.
  */
-function passBack(state: CoreState, job: JobState, depth: number): void {
+function propagateToDependencies(state: CoreState, job: JobState, depth: number): void {
   if (depth === 0) return;
   const { spec } = job;
   const own = spec.deadlineS === null ? Infinity : spec.submittedAt + spec.deadlineS * 1000;
-  const by = Math.min(own, job.inheritedDeadline) - expectedStay(state, job);
+  const by = Math.min(own, job.inheritedDeadline) - expectedCompletionMs(state, job);
   for (const id of spec.awaits ?? []) {
     const needed = state.jobs.get(id);
     if (needed === undefined || needed.finalStage !== null) continue;
     if (needed.priority <= job.priority && needed.inheritedDeadline <= by) continue;
     needed.priority = job.priority < needed.priority ? job.priority : needed.priority;
     needed.inheritedDeadline = Math.min(needed.inheritedDeadline, by);
-    passBack(state, needed, depth - 1);
+    propagateToDependencies(state, needed, depth - 1);
   }
 }
 
 /** How long a job is expected to take from being ready to being done. */
-const expectedStay = (state: CoreState, { spec }: JobState): number =>
-  startLatency(state) + LAST_TASK * expectedRun(state, spec);
+const expectedCompletionMs = (state: CoreState, { spec }: JobState): number =>
+  startLatency(state) + LAST_TASK_RUN_FACTOR * expectedRun(state, spec);
 
 /** A job has left the queue. Without its committed record, what waits for it learns only from that. */
 export function unregisterDependencies(state: CoreState, job: JobState, final: FinalOutcome | null): void {
@@ -98,15 +104,20 @@
     state.dependents.delete(needed);
     state.unresolvedDependencies.delete(needed);
   }
-  if (final !== null) learnFinal(state, id, final, since);
-  else if (state.dependents.has(id)) ask(state, id, since);
+  if (final !== null) recordFinalOutcome(state, id, final, since);
+  else if (state.dependents.has(id)) requestOutcome(state, id, since);
 }
 
 /** What the committed record of a job says of its end. */
-function learnFinal(state: CoreState, id: string, final: FinalOutcome, since = sinceProof(state)): void {
+function recordFinalOutcome(
+  state: CoreState,
+  id: string,
+  final: FinalOutcome,
+  since = viewConfirmedAt(state),
+): void {
   state.finalOutcomes.delete(id);
   state.finalOutcomes.set(id, final);
-  const remembered = Math.max(MIN_REMEMBERED_ENDS, 2 * state.jobs.size);
+  const remembered = Math.max(MIN_REMEMBERED_OUTCOMES, 2 * state.jobs.size);
   for (const oldest of state.finalOutcomes.keys()) {
     if (state.finalOutcomes.size <= remembered) break;
     state.finalOutcomes.delete(oldest);
@@ -116,7 +127,7 @@
   const waiting = state.dependents.get(id);
   if (waiting === undefined) return;
   state.dependents.delete(id);
-  for (const job of waiting) settle(state, job, final, id, from);
+  for (const job of waiting) resolveDependency(state, job, final, id, from);
 }
 
 export const finalOutcomeOf = (record: EndedRecord, now: Now): FinalOutcome => ({
@@ -133,7 +144,7 @@
   for (const [id, { notBefore }] of state.unresolvedDependencies) {
     if (notBefore > now.monotonicMs) continue;
     ids.push(id);
-    if (ids.length === MOST_ASKED) break;
+    if (ids.length === MAX_QUERIED_OUTCOMES) break;
   }
   if (ids.length === 0) return null;
   state.pendingDependencyQuery = ids;
@@ -149,7 +160,7 @@
   const { tickMs, workerLeaseMs } = state.config.timing;
   for (const [id, answer] of found) {
     if (typeof answer !== 'string') {
-      learnFinal(state, id, finalOutcomeOf(answer, now));
+      recordFinalOutcome(state, id, finalOutcomeOf(answer, now));
       continue;
     }
     const question = state.unresolvedDependencies.get(id);
--- a/src/core/jobs/index.ts
+++ b/src/core/jobs/index.ts
@@ -1,4 +1,7 @@
-/** Jobs: who is where, what they aim at, and what they await. The area's public face: code outside the core imports from here alone. */
+/**
+ * Jobs: their tasks and claims, service-level objectives, and DAG dependencies. Code outside the
+ * core imports from here alone.
+ */
 export * from './objectives.js';
 export * from './jobs.js';
 export * from './dependencies.js';
--- a/src/core/jobs/objectives.ts
+++ b/src/core/jobs/objectives.ts
@@ -9,21 +9,21 @@
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
 
-const NONE: ClassObjectives = { startTargetsMs: [], deadlineMultiples: [], finishTargetsMs: [] };
+const NO_OBJECTIVES: ClassObjectives = { startTargetsMs: [], deadlineMultiples: [], finishTargetsMs: [] };
 /** What a deadline means to a class of which no aim speaks of it. */
-const ONCE: readonly number[] = [1];
+const DEFAULT_DEADLINE_MULTIPLES: readonly number[] = [1];
 /** A job that should be done by a time is pressed once it has so much of a run left to wait. */
-const PRESSED_RUN = 0.5;
+const AT_RISK_RUN_SHARE = 0.5;
 
 export const objectivesOf = (state: CoreState, spec: JobSpec): ClassObjectives =>
-  state.config.objectives.get(spec.jobClass) ?? NONE;
+  state.config.objectives.get(spec.jobClass) ?? NO_OBJECTIVES;
 
 /** Idle-time work: of the lowest priority, with no aim that it could miss but the bound on waiting. */
 export const isBestEffort = (state: CoreState, spec: JobSpec): boolean =>
   spec.priority === 3 && spec.deadlineS === null && !state.config.objectives.has(spec.jobClass);
 
 /** An idle-time class may take so many bounds on waiting if it had all cheap machines; beyond, dear ones serve too. */
-const MOST_BOUNDS = 2.5;
+const MAX_BEST_EFFORT_WAITS = 2.5;
 
 /** Tasks of a kind that all cheap machines up now could hold at once. */
 export function spotSlots(state: CoreState, spec: JobSpec): number {
@@ -41,11 +41,11 @@
   const bound = state.config.policy.maxWaitMs(spec);
   if (now.epochMs - readyAt < bound) return true;
   const rounds = (state.outstandingByClass.get(spec.jobClass) ?? 0) / Math.max(1, spotSlots(state, spec));
-  return rounds * expectedRun(state, spec) < MOST_BOUNDS * bound;
+  return rounds * expectedRun(state, spec) < MAX_BEST_EFFORT_WAITS * bound;
 }
 
 /** Part of the bound on waiting after which room is rented for a job that nothing else hurries. */
-const RENTED_AFTER = 0.5;
+const SCALE_OUT_WAIT_SHARE = 0.5;
 
 /** The strictest start aim of a class, in milliseconds from being ready; undefined: none. */
 export const strictestStartTarget = (state: CoreState, spec: JobSpec): number | undefined =>
@@ -59,33 +59,39 @@
  * Milliseconds from now until the deadline, `times` its length after the submission; what
  * those that need the job leave it counts once.
  */
-export function timeLeft({ spec, inheritedDeadline }: JobState, times: number, now: Now): number {
+export function timeToDeadlineMs({ spec, inheritedDeadline }: JobState, times: number, now: Now): number {
   const own = spec.deadlineS === null ? Infinity : spec.submittedAt + spec.deadlineS * 1000 * times;
   return (times === 1 ? Math.min(own, inheritedDeadline) : own) - now.epochMs;
 }
 
 /** An aim of one job: how long its tasks may still wait to be placed, and when that becomes pressing. */
-interface Chance {
-  readonly left: number;
-  readonly pressing: number;
+interface ObjectiveSlack {
+  readonly slackMs: number;
+  readonly atRiskBelowMs: number;
 }
 
 /** Calls back with each aim of a job. */
-function eachChance(state: CoreState, job: JobState, now: Now, call: (chance: Chance) => void): void {
+function forEachObjective(
+  state: CoreState,
+  job: JobState,
+  now: Now,
+  call: (chance: ObjectiveSlack) => void,
+): void {
   const { startTargetsMs, deadlineMultiples, finishTargetsMs } = objectivesOf(state, job.spec);
   const latency = startLatency(state);
   const age = now.epochMs - job.readyAt;
   for (const within of startTargetsMs) {
     const by = within - Math.min(latency, within / 2);
-    call({ left: by - age, pressing: by / 2 });
+    call({ slackMs: by - age, atRiskBelowMs: by / 2 });
   }
   if (finishTargetsMs.length === 0 && !hasDeadline(job)) return;
   const run = expectedRun(state, job.spec);
   const needs = run + latency;
-  for (const within of finishTargetsMs) call({ left: within - age - needs, pressing: PRESSED_RUN * run });
+  for (const within of finishTargetsMs)
+    call({ slackMs: within - age - needs, atRiskBelowMs: AT_RISK_RUN_SHARE * run });
   if (!hasDeadline(job)) return;
-  for (const times of deadlineMultiples.length > 0 ? deadlineMultiples : ONCE)
-    call({ left: timeLeft(job, times, now) - needs, pressing: PRESSED_RUN * run });
+  for (const times of deadlineMultiples.length > 0 ? deadlineMultiples : DEFAULT_DEADLINE_MULTIPLES)
+    call({ slackMs: timeToDeadlineMs(job, times, now) - needs, atRiskBelowMs: AT_RISK_RUN_SHARE * run });
 }
 
 /** How many of its aims a job can no longer meet. */
@@ -96,9 +102,9 @@
 ): { lost: number; all: number } {
   let lost = 0;
   let all = 0;
-  eachChance(state, job, now, ({ left }) => {
+  forEachObjective(state, job, now, ({ slackMs: slackMs }) => {
     all += 1;
-    if (left < 0) lost += 1;
+    if (slackMs < 0) lost += 1;
   });
   return { lost, all };
 }
@@ -106,8 +112,8 @@
 /** Whether a job still can, but soon no longer will, meet one of its aims. */
 export function isDeadlineAtRisk(state: CoreState, job: JobState, now: Now): boolean {
   let pressed = false;
-  eachChance(state, job, now, ({ left, pressing }) => {
-    pressed ||= left >= 0 && left < pressing;
+  forEachObjective(state, job, now, ({ slackMs: slackMs, atRiskBelowMs: atRiskBelowMs }) => {
+    pressed ||= slackMs >= 0 && slackMs < atRiskBelowMs;
   });
   return pressed;
 }
@@ -115,8 +121,8 @@
 /** Whether a job loses an aim that it could still meet if its tasks wait for so long. */
 export function losesObjectiveWithin(state: CoreState, job: JobState, wait: number, now: Now): boolean {
   let loses = false;
-  eachChance(state, job, now, ({ left }) => {
-    loses ||= left >= 0 && left < wait;
+  forEachObjective(state, job, now, ({ slackMs: slackMs }) => {
+    loses ||= slackMs >= 0 && slackMs < wait;
   });
   return loses;
 }
@@ -139,7 +145,7 @@
 }
 
 /** The part of the time until an end that a job may wait, its run taken off, with slack to spare. */
-function shareOf(state: CoreState, spec: JobSpec, until: number): number {
+function spendableSlackMs(state: CoreState, spec: JobSpec, until: number): number {
   return (until - expectedRun(state, spec)) * state.config.policy.deadlineSlackShare(spec);
 }
 
@@ -147,16 +153,17 @@
 export function allowedWait(state: CoreState, spec: JobSpec): number {
   const { startTargetsMs, finishTargetsMs } = objectivesOf(state, spec);
   let wait = startTargetsMs[0] ?? Infinity;
-  if (finishTargetsMs[0] !== undefined) wait = Math.min(wait, shareOf(state, spec, finishTargetsMs[0]));
-  if (spec.deadlineS !== null) return Math.min(wait, shareOf(state, spec, spec.deadlineS * 1000));
-  return Math.min(wait, expectedRun(state, spec), RENTED_AFTER * state.config.policy.maxWaitMs(spec));
+  if (finishTargetsMs[0] !== undefined)
+    wait = Math.min(wait, spendableSlackMs(state, spec, finishTargetsMs[0]));
+  if (spec.deadlineS !== null) return Math.min(wait, spendableSlackMs(state, spec, spec.deadlineS * 1000));
+  return Math.min(wait, expectedRun(state, spec), SCALE_OUT_WAIT_SHARE * state.config.policy.maxWaitMs(spec));
 }
 
 /** The latest start, on the steady clock, that a job's aims still allow. */
 export function latestStart(state: CoreState, job: JobState, now: Now): number {
   const { spec } = job;
   const { lost, all } = countLostObjectives(state, job, now);
-  const left = timeLeft(job, 1, now);
+  const left = timeToDeadlineMs(job, 1, now);
   // Late whatever is rented now: no hurry that dear machines would be worth.
   if (spec.deadlineS !== null && lost >= all) {
     return now.monotonicMs + Math.max(0, spec.deadlineS * 1000 + Math.min(0, left));
--- /dev/null
+++ b/src/core/placement/capacity-refresh.ts
@@ -0,0 +1,35 @@
+/** Keeps the capacity index in line with the machines. */
+import { expectedEnd, isSchedulable } from '../fleet/machines.js';
+import type { NodeCapacity } from './capacity-index.js';
+import type { LiveClaim, Machine, Now } from '../model.js';
+import type { CoreState } from '../state.js';
+
+/** Whether tasks may be placed on a machine, as far as its own state goes. */
+function isPlaceable(state: CoreState, machine: Machine, now: Now): boolean {
+  if (!isSchedulable(state, machine, now)) return false;
+  // On-demand machines run dry unless the plan still has a use for them.
+  return machine.spot || state.nextPlanAt === 0 || state.plannedMachines.has(machine.name);
+}
+
+/**
+ * Takes in what has changed on machines since the last call. With `isFull` all machines are read
+ * again and the shadow times cleared, for expected ends have moved on. Returns the nodes that
+ * have changed; null: all may have.
+ */
+export function refreshCapacity(state: CoreState, now: Now, isFull: boolean): NodeCapacity[] | null {
+  const { capacityIndex, changedMachines } = state;
+  const endOf = (claim: LiveClaim): number => expectedEnd(state, claim, now);
+  const changed: NodeCapacity[] = [];
+  const refresh = (machine: Machine): void => {
+    const type = state.machineTypes.get(machine.type);
+    if (type === undefined || !state.machines.has(machine.name) || !isPlaceable(state, machine, now))
+      capacityIndex.remove(machine);
+    else changed.push(capacityIndex.update(machine, type, endOf));
+  };
+  for (const machine of changedMachines) refresh(machine);
+  changedMachines.clear();
+  if (!isFull) return changed;
+  capacityIndex.clearShadowTimes();
+  for (const machine of state.machines.values()) refresh(machine);
+  return null;
+}
--- a/src/core/placement/constrained-types.ts
+++ b/src/core/placement/constrained-types.ts
@@ -1,39 +1,39 @@
-/** Machine types that some can use nothing but. */
+/** Constrained machine types: those that some job can use nothing but. */
 import { fits } from './resources.js';
 import type { JobState } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
 
-/** Types that some waiting job needs for want of any other, with the first such job of each. */
+/** Types that some waiting job can use nothing but, with the first such job of each. */
 export function constrainedTypes(state: CoreState, queue: readonly JobState[]): Map<string, JobState> {
-  const scarce = new Map<string, JobState>();
-  if (state.machineTypes.size < 2) return scarce;
+  const firstJobs = new Map<string, JobState>();
+  if (state.machineTypes.size < 2) return firstJobs;
   for (const job of queue) {
-    const only = soleType(state, job.spec);
-    if (only !== null && !scarce.has(only)) scarce.set(only, job);
+    const type = soleType(state, job.spec);
+    if (type !== null && !firstJobs.has(type)) firstJobs.set(type, job);
   }
-  return scarce;
+  return firstJobs;
 }
 
-/** Types that some class that came of late needs for want of any other. */
+/** Types that some class with recent arrivals can use nothing but. */
 export function constrainedTypesInDemand(state: CoreState): Set<string> {
-  const scarce = new Set<string>();
-  if (state.machineTypes.size < 2) return scarce;
+  const types = new Set<string>();
+  if (state.machineTypes.size < 2) return types;
   for (const { spec } of state.demand.values()) {
-    const only = soleType(state, spec);
-    if (only !== null) scarce.add(only);
+    const type = soleType(state, spec);
+    if (type !== null) types.add(type);
   }
-  return scarce;
+  return types;
 }
 
-/** The one type that can take a job's tasks, or null if several can. */
+/** The one machine type that can take a job's tasks; null: none or several can. */
 export function soleType(state: CoreState, spec: JobSpec): string | null {
-  let only: string | null = null;
+  let sole: string | null = null;
   for (const type of state.machineTypes.values()) {
-    const able = fits(spec, type) && (spec.types?.includes(type.name) ?? true);
-    if (!able) continue;
-    if (only !== null) return null;
-    only = type.name;
+    const isSuitable = fits(spec, type) && (spec.types?.includes(type.name) ?? true);
+    if (!isSuitable) continue;
+    if (sole !== null) return null;
+    sole = type.name;
   }
-  return only;
+  return sole;
 }
--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -1,9 +1,15 @@
-/** Which task goes to which machine, and when: EASY backfilling. The area's public face: code outside the core imports from here alone. */
-export * from './capacity-index.js';
+/**
+ * Placement: which task goes to which machine, and when, by EASY backfilling. Code outside the
+ * core imports from here alone.
+ */
+export { CapacityIndex, type NodeCapacity, type NodeGroup } from './capacity-index.js';
 export * from './constrained-types.js';
 export * from './easy.js';
 export * from './headroom.js';
-export * from './preemption.js';
 export * from './job-queue.js';
-export * from './reservations.js';
+export * from './preemption.js';
 export * from './resources.js';
+export * from './shadow-time.js';
+export * from './starvation.js';
+export * from './team-quota.js';
+export * from './wait-reason.js';
--- /dev/null
+++ b/src/core/placement/node-capacity.ts
@@ -0,0 +1,62 @@
+/**
+ * Capacity of one worker node as placement sees it, and the groups of like nodes that the
+ * capacity index sorts into buckets of free CPUs.
+ */
+import type { Machine } from '../model.js';
+import type { MachineType, Resources } from '../types.js';
+
+/** Number of equal steps into which a machine type's CPUs are divided for the buckets. */
+const CPU_BUCKETS = 32;
+const EPSILON = 1e-6;
+
+/** A machine with the resources that placement may use on it. */
+export interface NodeCapacity {
+  readonly machine: Machine;
+  readonly type: MachineType;
+  /** Resources neither allocated to a claim nor held as headroom. */
+  readonly unreserved: Resources;
+  /** Resources held for start-sensitive tasks that are expected to arrive. */
+  readonly headroom: Resources;
+  /** Monotonic time in milliseconds at which the last of its tasks is expected to end. */
+  busyUntil: number;
+  /** Incremented whenever its free resources, its tasks or its headroom change. */
+  version: number;
+  readonly group: NodeGroup;
+  /** Positions in the buckets of its group. */
+  buckets: { unreserved: number; free: number };
+}
+
+/** Nodes of one machine type, zone and price class, in buckets of ascending CPUs. */
+export interface NodeGroup {
+  readonly type: MachineType;
+  readonly zone: string;
+  readonly spot: boolean;
+  /** Nodes by unreserved CPUs: headroom counts as taken. */
+  readonly byUnreservedCpus: readonly Set<NodeCapacity>[];
+  /** Nodes by free CPUs: headroom counts as free. */
+  readonly byFreeCpus: readonly Set<NodeCapacity>[];
+  /** Number of nodes. */
+  size: number;
+}
+
+/** An empty group. */
+export const createNodeGroup = (type: MachineType, zone: string, spot: boolean): NodeGroup => ({
+  type,
+  zone,
+  spot,
+  byUnreservedCpus: createBuckets(),
+  byFreeCpus: createBuckets(),
+  size: 0,
+});
+
+const createBuckets = (): Set<NodeCapacity>[] =>
+  Array.from({ length: CPU_BUCKETS + 1 }, () => new Set<NodeCapacity>());
+
+/** Bucket of a node of this type with so many CPUs. */
+export const bucketOf = (type: MachineType, cpus: number): number => {
+  const bucket = Math.floor((cpus / Math.max(EPSILON, type.cpus)) * CPU_BUCKETS + EPSILON);
+  return Math.max(0, Math.min(CPU_BUCKETS, bucket));
+};
+
+/** First bucket whose nodes may have so many CPUs. */
+export const firstBucketFor = (type: MachineType, cpus: number): number => bucketOf(type, cpus - EPSILON);
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -1,201 +1,231 @@
 /**
- * Preemption: one more way for a job to get its room in time. Work of strictly lower priority is stopped,
- * or what another team runs above its guarantee; what loses least first, no more than is needed, and its
- * room is free on proof alone, as ever. Nothing is stopped that would end about as soon, and what was
- * stopped once gains a checkpoint's progress before it is stopped again.
+ * Preemption: stops tasks so that another job starts in time. Tasks of strictly lower priority may be
+ * stopped, and for a guaranteed job those of teams that use more than their guarantee; what loses
+ * least first, and no more than is needed. The resources count as free only once a task is proven
+ * gone. No task is stopped that would end about as soon by itself, and one that has been stopped
+ * before must have gained more than a checkpoint's progress first.
  */
 import { needAttention } from '../attention.js';
-import { spotSlots, hasDeadline } from '../jobs/objectives.js';
+import { hasDeadline, spotSlots } from '../jobs/objectives.js';
 import { expectedEnd } from '../fleet/machines.js';
-import { fits, release, resourcesOf, addResources, allocate } from './resources.js';
 import type { NodeCapacity } from './capacity-index.js';
+import { addResources, allocate, fits, release, resourcesOf } from './resources.js';
 import type { JobState, LiveClaim, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
-import type { ResourceRequest } from '../types.js';
+import type { ResourceRequest, Resources } from '../types.js';
 
 const EPSILON = 1e-6;
-/** Part of the bound on waiting that a task runs at least before it is stopped for others. */
-const LEAST_RUN = 0.125;
+/** Share of a job's longest wait that a task of it runs at least before it may be preempted. */
+const MIN_RUN_SHARE = 0.125;
+/** Share of the spot machines' capacity that the first job of a class keeps while others' objectives are at risk. */
+const PROTECTED_SPOT_SHARE = 0.25;
+/** Longest heartbeat intervals that stopping a task takes, beside the saving of its checkpoint. */
+const STOP_HEARTBEATS = 2;
 
 /** What a task loses by being stopped now, in milliseconds of its run. */
 export function preemptionLossMs({ job, runningSince, stage }: LiveClaim, now: Now): number {
   const { checkpointS, saveS, form } = job.spec;
   if (stage !== 'running' || runningSince === null) return 0;
-  const ran = now.monotonicMs - runningSince;
-  // What a job has begun with is the last of it to go; a replica goes on elsewhere as it was.
-  if (job.claims.size === 1) return ran + saveS * 1000;
-  return checkpointS > 0 ? saveS * 1000 : form === 'service' ? 0 : ran;
+  const ranMs = now.monotonicMs - runningSince;
+  // The only task of a job counts in full, so that it is the last to go.
+  if (job.claims.size === 1) return ranMs + saveS * 1000;
+  if (checkpointS > 0) return saveS * 1000;
+  // A replica of a service goes on elsewhere as it was.
+  return form === 'service' ? 0 : ranMs;
 }
 
 /** Whether stopping a task now is of any use, and fair to it. */
-function isStoppable(state: CoreState, claim: LiveClaim, now: Now): boolean {
+function isPreemptible(state: CoreState, claim: LiveClaim, now: Now): boolean {
   const { job, runningSince, stopRequested, attempt } = claim;
   const { form, checkpointS, saveS } = job.spec;
   if (stopRequested || job.finalStage !== null || form === 'gang') return false;
   const { maxHeartbeatIntervalMs } = state.config.timing;
-  if (expectedEnd(state, claim, now) <= now.monotonicMs + saveS * 1000 + 2 * maxHeartbeatIntervalMs)
-    return false;
+  const stopMs = saveS * 1000 + STOP_HEARTBEATS * maxHeartbeatIntervalMs;
+  if (expectedEnd(state, claim, now) <= now.monotonicMs + stopMs) return false;
+  const ranMs = runningSince === null ? 0 : now.monotonicMs - runningSince;
   // A start that is taken back at once is none to its user.
-  if (
-    runningSince !== null &&
-    now.monotonicMs - runningSince < LEAST_RUN * state.config.policy.maxWaitMs(job.spec)
-  )
-    return false;
-  // What begins again and again gets nowhere.
-  const gained = runningSince === null ? 0 : now.monotonicMs - runningSince;
-  return attempt === 1 || gained > checkpointS * 1000 + maxHeartbeatIntervalMs;
+  const minRunMs = MIN_RUN_SHARE * state.config.policy.maxWaitMs(job.spec);
+  if (runningSince !== null && ranMs < minRunMs) return false;
+  // What is stopped again and again must make progress in between.
+  return attempt === 1 || ranMs > checkpointS * 1000 + maxHeartbeatIntervalMs;
 }
 
-/** Whether a task counts on no aim of its own: idle-time work, or what has saved nearly all it would lose. */
-function isSpare(state: CoreState, { job }: LiveClaim): boolean {
+/** Whether a task has no objective to lose by being stopped, or saves nearly all of its progress. */
+function isExpendable(state: CoreState, { job }: LiveClaim): boolean {
   return job.spec.checkpointS > 0 || (!hasDeadline(job) && !state.config.objectives.has(job.spec.jobClass));
 }
 
-/** Share of the cheap machines' room that a class's first job keeps while others' aims are in danger. */
-const KEPT_SHARE = 0.25;
-
 /**
- * Of each class, tasks of the job that came first are let run to their end, those that began first, on a
- * part of the room: with all of them stopped by turns, not one of six arrays was done.
+ * Tasks protected from preemption for mere objectives: of each class, some of the job that came
+ * first, those that began first. With all jobs of a class stopped by turns none would complete.
  */
-function keptOf(state: CoreState): Set<LiveClaim> {
-  const first = new Map<string, { readonly job: JobState; readonly left: number }>();
+function protectedClaims(state: CoreState): Set<LiveClaim> {
+  const firstByClass = new Map<string, { readonly job: JobState; readonly count: number }>();
   for (const claims of state.claimsByPriority.values()) {
     for (const { job } of claims) {
       const { jobClass } = job.spec;
-      if (job.modRevision >= (first.get(jobClass)?.job.modRevision ?? Infinity)) continue;
-      first.set(jobClass, { job, left: Math.floor(KEPT_SHARE * spotSlots(state, job.spec)) });
+      if (job.modRevision >= (firstByClass.get(jobClass)?.job.modRevision ?? Infinity)) continue;
+      const count = Math.floor(PROTECTED_SPOT_SHARE * spotSlots(state, job.spec));
+      firstByClass.set(jobClass, { job, count });
     }
   }
-  const kept = new Set<LiveClaim>();
-  for (const { job, left } of first.values()) {
-    let more = left;
-    for (const claim of job.claims.values()) if (more-- > 0) kept.add(claim);
+  const found = new Set<LiveClaim>();
+  for (const { job, count } of firstByClass.values()) {
+    let remaining = count;
+    for (const claim of job.claims.values()) if (remaining-- > 0) found.add(claim);
   }
-  return kept;
+  return found;
+}
+
+/** Tells whether a team uses more CPUs than it is guaranteed. */
+function overGuaranteeFilter(state: CoreState): (team: string) => boolean {
+  const excessByTeam = new Map<string, number>();
+  return (team) => {
+    let excess = excessByTeam.get(team);
+    if (excess === undefined) {
+      const usedCpus = state.usageByTeam.get(team)?.cpus ?? 0;
+      excess = usedCpus - (state.config.teams.get(team)?.guaranteedCpus ?? 0);
+      excessByTeam.set(team, excess);
+    }
+    return excess > EPSILON;
+  };
 }
 
-/** Tasks that may be stopped for a job, by machine. */
-function victimsFor(state: CoreState, job: JobState, now: Now): Map<Machine, LiveClaim[]> {
-  const guaranteed = state.guaranteedJobs.has(job);
-  // To save one aim at the cost of another is no gain; what is owed its room has no other way.
-  const owed = guaranteed || state.reservedJobs.includes(job);
-  const over = new Map<string, number>();
-  const isOver = (team: string): boolean => {
-    const above =
-      (state.usageByTeam.get(team)?.cpus ?? 0) - (state.config.teams.get(team)?.guaranteedCpus ?? 0);
-    if (!over.has(team)) over.set(team, above);
-    return (over.get(team) ?? 0) > EPSILON;
+/** Tells which tasks may be preempted for a job. */
+function preemptibleFilter(state: CoreState, job: JobState, now: Now): (claim: LiveClaim) => boolean {
+  const isGuaranteed = state.guaranteedJobs.has(job);
+  // To meet one objective at the cost of another is no gain; a reservation has no other way.
+  const isOwed = isGuaranteed || state.reservedJobs.includes(job);
+  const isOverGuarantee = overGuaranteeFilter(state);
+  const protectedFromObjectives = protectedClaims(state);
+  return (claim) => {
+    const { priority, spec } = claim.job;
+    const isLower = priority > job.priority;
+    const isBorrowed = isGuaranteed && spec.team !== job.spec.team && isOverGuarantee(spec.team);
+    if (!isLower && !isBorrowed) return false;
+    if (state.guaranteedJobs.has(claim.job) || !isPreemptible(state, claim, now)) return false;
+    // What was started on a reservation is not stopped for another reservation.
+    if (claim.isReserved && !isGuaranteed) return false;
+    return isOwed || (!protectedFromObjectives.has(claim) && isExpendable(state, claim));
   };
+}
+
+/** Tasks that may be preempted for a job, by machine. */
+function preemptibleClaims(state: CoreState, job: JobState, now: Now): Map<Machine, LiveClaim[]> {
+  const isGuaranteed = state.guaranteedJobs.has(job);
   const found = new Map<Machine, LiveClaim[]>();
-  const lower = [...state.claimsByPriority].some(
+  const hasLower = [...state.claimsByPriority].some(
     ([priority, claims]) => priority > job.priority && claims.size > 0,
   );
-  if (!guaranteed && !lower) return found;
-  const kept = keptOf(state);
+  if (!isGuaranteed && !hasLower) return found;
+  const mayStop = preemptibleFilter(state, job, now);
   for (const [priority, claims] of state.claimsByPriority) {
-    // What needs a job may have raised its priority since, never lowered it.
-    if (!guaranteed && priority <= job.priority) continue;
+    // Dependent jobs may have raised a job's priority since its submission, never lowered it.
+    if (!isGuaranteed && priority <= job.priority) continue;
     for (const claim of claims) {
-      const less = claim.job.priority > job.priority;
-      const borrowed = guaranteed && claim.job.spec.team !== job.spec.team && isOver(claim.job.spec.team);
-      if (!(less || borrowed) || state.guaranteedJobs.has(claim.job) || !isStoppable(state, claim, now))
-        continue;
-      // What was begun on a promise is not taken back for another promise.
-      if (claim.isReserved && !guaranteed) continue;
-      if (!owed && (kept.has(claim) || !isSpare(state, claim))) continue;
+      if (!mayStop(claim)) continue;
       const machine = state.machines.get(claim.machine);
       if (machine === undefined) continue;
-      const known = found.get(machine);
-      if (known === undefined) found.set(machine, [claim]);
-      else known.push(claim);
+      const onMachine = found.get(machine);
+      if (onMachine === undefined) found.set(machine, [claim]);
+      else onMachine.push(claim);
     }
   }
   return found;
 }
 
-interface Way {
+/** A set of tasks of one machine whose preemption lets one task of the job start. */
+interface PreemptionOption {
   readonly victims: readonly LiveClaim[];
+  /** What they lose together, in milliseconds, with a little for each of them. */
   readonly loss: number;
 }
 
-/** Lower priority first, then what loses least; of those the one whose job came last, so that the first ends. */
-const byLoss = (a: LiveClaim, b: LiveClaim, now: Now): number =>
+/** Lower priority first, then what loses least; of equal ones the job that came last, so that the first completes. */
+const compareVictims = (a: LiveClaim, b: LiveClaim, now: Now): number =>
   b.job.priority - a.job.priority ||
   preemptionLossMs(a, now) - preemptionLossMs(b, now) ||
   b.job.modRevision - a.job.modRevision;
 
-/** The ways to make room for one task after another on a machine, the ones under way already first. */
-function waysOn(
-  site: NodeCapacity,
-  victims: LiveClaim[],
-  need: ResourceRequest,
+/** Takes victims from the candidates until a request fits; null: it does not fit with all of them gone. */
+function takeVictims(candidates: LiveClaim[], request: ResourceRequest, free: Resources): LiveClaim[] | null {
+  const victims: LiveClaim[] = [];
+  while (!fits(request, free)) {
+    const next = candidates.shift();
+    if (next === undefined) return null;
+    release(free, next.job.spec);
+    victims.push(next);
+  }
+  // A victim taken before a larger one turned up may not be needed.
+  for (const claim of [...victims].reverse()) {
+    const without = resourcesOf(free);
+    allocate(without, claim.job.spec);
+    if (!fits(request, without)) continue;
+    allocate(free, claim.job.spec);
+    victims.splice(victims.indexOf(claim), 1);
+  }
+  return victims;
+}
+
+/**
+ * Options to start one task after another on a node, up to `count` of them. Tasks that are being
+ * stopped already count as gone.
+ */
+function preemptionOptions(
+  node: NodeCapacity,
+  preemptible: readonly LiveClaim[],
+  request: ResourceRequest,
   count: number,
   now: Now,
-): Way[] {
-  const room = addResources(site.free, site.kept);
-  for (const claim of site.machine.claims.values()) if (claim.stopRequested) release(room, claim.job.spec);
-  const left = [...victims].sort((a, b) => byLoss(a, b, now));
-  const ways: Way[] = [];
-  while (ways.length < count) {
-    const chosen: LiveClaim[] = [];
-    while (!fits(need, room)) {
-      const next = left.shift();
-      if (next === undefined) return ways;
-      release(room, next.job.spec);
-      chosen.push(next);
-    }
-    // What was taken before a larger one turned up is not needed.
-    for (const claim of [...chosen].reverse()) {
-      const without = resourcesOf(room);
-      allocate(without, claim.job.spec);
-      if (!fits(need, without)) continue;
-      allocate(room, claim.job.spec);
-      chosen.splice(chosen.indexOf(claim), 1);
-    }
-    allocate(room, need);
-    ways.push({
-      victims: chosen,
-      loss: chosen.reduce((total, claim) => total + 1 + preemptionLossMs(claim, now), 0),
-    });
+): PreemptionOption[] {
+  const free = addResources(node.unreserved, node.headroom);
+  for (const claim of node.machine.claims.values()) if (claim.stopRequested) release(free, claim.job.spec);
+  const candidates = [...preemptible].sort((a, b) => compareVictims(a, b, now));
+  const options: PreemptionOption[] = [];
+  while (options.length < count) {
+    const victims = takeVictims(candidates, request, free);
+    if (victims === null) return options;
+    allocate(free, request);
+    const loss = victims.reduce((total, claim) => total + 1 + preemptionLossMs(claim, now), 0);
+    options.push({ victims, loss });
   }
-  return ways;
+  return options;
 }
 
-const lastOf = ({ victims }: Way): number => Math.max(0, ...victims.map(({ job }) => job.modRevision));
+const latestArrival = ({ victims }: PreemptionOption): number =>
+  Math.max(0, ...victims.map(({ job }) => job.modRevision));
+
+function requestStop(state: CoreState, claim: LiveClaim, now: Now): void {
+  claim.stopRequested = true;
+  needAttention(state, claim.machine);
+  claim.job.lastPreemptedAt = now.monotonicMs;
+  state.preemptedClaims.add(claim);
+}
 
-/** Stops what has to go for so many tasks of a job to start; how many tasks it stops. */
+/** Requests the stop of what has to go for `count` tasks of a job to start; returns how many tasks that is. */
 export function preemptFor(
   state: CoreState,
   job: JobState,
   count: number,
-  able: (site: NodeCapacity) => boolean,
+  isEligible: (node: NodeCapacity) => boolean,
   now: Now,
 ): number {
-  const victims = victimsFor(state, job, now);
-  if (victims.size === 0) return 0;
-  const machines = new Set(victims.keys());
-  // Room on its way to being free is made already.
+  const preemptible = preemptibleClaims(state, job, now);
+  if (preemptible.size === 0) return 0;
+  const machines = new Set(preemptible.keys());
+  // What is being freed already comes without a loss.
   for (const claim of state.preemptedClaims) {
     const machine = state.machines.get(claim.machine);
     if (machine !== undefined) machines.add(machine);
   }
-  const ways: Way[] = [];
+  const options: PreemptionOption[] = [];
   for (const machine of machines) {
-    const site = state.capacityIndex.of(machine);
-    if (site === undefined || !able(site) || !fits(job.spec, site.type)) continue;
-    ways.push(...waysOn(site, victims.get(machine) ?? [], job.spec, count, now));
-  }
-  ways.sort((a, b) => a.loss - b.loss || lastOf(b) - lastOf(a));
-  let stopped = 0;
-  for (const way of ways.slice(0, count)) {
-    for (const claim of way.victims) {
-      claim.stopRequested = true;
-      needAttention(state, claim.machine);
-      claim.job.lastPreemptedAt = now.monotonicMs;
-      state.preemptedClaims.add(claim);
-      stopped += 1;
-    }
+    const node = state.capacityIndex.of(machine);
+    if (node === undefined || !isEligible(node) || !fits(job.spec, node.type)) continue;
+    options.push(...preemptionOptions(node, preemptible.get(machine) ?? [], job.spec, count, now));
   }
-  return stopped;
+  options.sort((a, b) => a.loss - b.loss || latestArrival(b) - latestArrival(a));
+  const victims = options.slice(0, count).flatMap((option) => option.victims);
+  for (const claim of victims) requestStop(state, claim, now);
+  return victims.length;
 }
--- a/src/core/placement/resources.ts
+++ b/src/core/placement/resources.ts
@@ -1,4 +1,4 @@
-/** Room on machines, counted per resource, and which machines a job allows. */
+/** Arithmetic on resources, and which machines a job may use. */
 import type { JobState, Machine, Now } from '../model.js';
 import type { JobSpec, MachineType, ResourceRequest, Resources } from '../types.js';
 
@@ -6,76 +6,82 @@
 
 const EPSILON = 1e-6;
 
-export function fits(need: ResourceRequest, room: ResourceRequest): boolean {
+/** Whether a request fits into free resources, but for rounding errors. */
+export function fits(request: ResourceRequest, free: ResourceRequest): boolean {
   return (
-    need.cpus <= room.cpus + EPSILON &&
-    need.gpus <= room.gpus + EPSILON &&
-    need.memoryGb <= room.memoryGb + EPSILON
+    request.cpus <= free.cpus + EPSILON &&
+    request.gpus <= free.gpus + EPSILON &&
+    request.memoryGb <= free.memoryGb + EPSILON
   );
 }
 
-export function allocate(room: Resources, need: ResourceRequest): void {
-  room.cpus -= need.cpus;
-  room.gpus -= need.gpus;
-  room.memoryGb -= need.memoryGb;
+/** Subtracts a request from free resources, in place. */
+export function allocate(free: Resources, request: ResourceRequest): void {
+  free.cpus -= request.cpus;
+  free.gpus -= request.gpus;
+  free.memoryGb -= request.memoryGb;
 }
 
-export function release(room: Resources, need: ResourceRequest): void {
-  room.cpus += need.cpus;
-  room.gpus += need.gpus;
-  room.memoryGb += need.memoryGb;
+/** Adds a request to free resources, in place. */
+export function release(free: Resources, request: ResourceRequest): void {
+  free.cpus += request.cpus;
+  free.gpus += request.gpus;
+  free.memoryGb += request.memoryGb;
 }
 
+/** The sum of two amounts of resources. */
 export const addResources = (a: ResourceRequest, b: ResourceRequest): Resources => ({
   cpus: a.cpus + b.cpus,
   gpus: a.gpus + b.gpus,
   memoryGb: a.memoryGb + b.memoryGb,
 });
 
-/** A copy of just the amounts, whatever else the object holds. */
+/** A copy of the resources alone, whatever else the object holds. */
 export const resourcesOf = ({ cpus, gpus, memoryGb }: ResourceRequest): Resources => ({
   cpus,
   gpus,
   memoryGb,
 });
 
+/** Zero of each resource. */
 export const noResources = (): Resources => ({ cpus: 0, gpus: 0, memoryGb: 0 });
 
+/** What a machine's claims leave free of it. */
 export function freeResources(machine: Machine, type: MachineType): Resources {
   const free = resourcesOf(type);
   allocate(free, machine.allocated);
   return free;
 }
 
-/** How long a task put on a machine now waits for its image, in milliseconds. */
+/** Milliseconds that a task placed on a machine now waits for its image. */
 export function imageFetchMs(machine: Machine, type: MachineType, spec: JobSpec, now: Now): number {
   if (machine.cachedImages.has(spec.image) || type.fetchGbPerS <= 0) return 0;
-  const whole = (spec.imageGb / type.fetchGbPerS) * 1000;
-  let left = whole;
+  const fetchMs = (spec.imageGb / type.fetchGbPerS) * 1000;
+  let remainingMs = fetchMs;
   for (const claim of machine.claims.values()) {
     if (claim.job.spec.image !== spec.image) continue;
     if (claim.runningSince !== null) return 0;
-    // On its way for another task: the rest of it.
-    left = Math.min(left, Math.max(0, whole - (now.epochMs - claim.createdAt)));
+    // Being fetched for another task already.
+    remainingMs = Math.min(remainingMs, Math.max(0, fetchMs - (now.epochMs - claim.createdAt)));
   }
-  return left;
+  return remainingMs;
 }
 
-/** A job that fails on so many machines, and completes nowhere, is at fault itself. */
-const FAULTY_ANYWHERE = 3;
+/** Number of machines with failures, and no completed task, from which on a job itself is at fault. */
+const MIN_FAILED_MACHINES_OF_FAULTY_JOB = 3;
 
-/** Whether a job was submitted with a mistake, as far as is known; it may be tried anywhere. */
+/** Whether a job was submitted with a mistake, as far as is known; it may be tried on any machine. */
 export const isFaultyJob = (job: JobState): boolean =>
-  job.doneCount === 0 && job.failedMachines.size >= FAULTY_ANYWHERE;
+  job.doneCount === 0 && job.failedMachines.size >= MIN_FAILED_MACHINES_OF_FAULTY_JOB;
 
 /**
- * Whether a job has failed on a machine that may be to blame for it. Placing and planning must agree on
- * this: a machine that the plan counts on and the placing avoids would keep the job waiting for ever.
+ * Whether a job has failed on a machine that may be to blame for it. Placement and autoscaling must
+ * agree on this: a machine that the plan counts on and placement avoids keeps the job waiting for ever.
  */
 export const isExcluded = (job: JobState, machine: string): boolean =>
   job.failedMachines.has(machine) && !isFaultyJob(job);
 
-/** Whether a job's own wishes allow a kind of machine, apart from what its other tasks take. */
+/** Whether a job's own constraints allow a kind of machine, whatever its zone constraints say of its other tasks. */
 export function satisfiesConstraints(spec: JobSpec, type: string, zone: string, spot: boolean): boolean {
   return (
     (spec.types === null || spec.types.includes(type)) &&
--- /dev/null
+++ b/src/core/placement/shadow-time.ts
@@ -0,0 +1,175 @@
+/**
+ * Shadow time and extra nodes of EASY backfilling (Mu'alem & Feitelson). The shadow time is the
+ * earliest time at which a blocked job fits, as running tasks end; the extra nodes are what is
+ * left beside the job then. Both are counted per machine and resource.
+ */
+import { expectedEnd } from '../fleet/machines.js';
+import type { NodeCapacity } from './capacity-index.js';
+import { allocate, fits, release, resourcesOf } from './resources.js';
+import type { NodeShadow } from './shadow-time-cache.js';
+import type { LiveClaim, Now } from '../model.js';
+import type { CoreState } from '../state.js';
+import type { ResourceRequest, Resources } from '../types.js';
+
+/** Capacity of one node that is reserved for a blocked job. */
+export interface ReservedCapacity {
+  /** Monotonic time in milliseconds; until then the node may be used as a whole. */
+  readonly shadowTime: number;
+  /** The paper's extra nodes: what may be used beyond the shadow time as well. */
+  readonly extra: Resources;
+}
+
+/** What is reserved for a blocked job. */
+export interface Reservation {
+  /** Monotonic time in milliseconds at which the job is expected to start. */
+  readonly shadowTime: number;
+  /** The nodes that its tasks are expected to start on. */
+  readonly capacity: ReadonlyMap<NodeCapacity, ReservedCapacity>;
+}
+
+/** What of a node's resources is left when a task has started there at its shadow time. */
+export function reservedCapacity({ at, free }: NodeShadow, request: ResourceRequest): ReservedCapacity {
+  const extra = { ...free };
+  allocate(extra, request);
+  return { shadowTime: at, extra };
+}
+
+/**
+ * The paper's two tests, on a node with reserved capacity: a task may be backfilled if it ends
+ * before the shadow time, or if it fits the extra nodes.
+ */
+export function mayBackfill(reserved: ReservedCapacity, request: ResourceRequest, end: number): boolean {
+  return end <= reserved.shadowTime || fits(request, reserved.extra);
+}
+
+/** When one task with this request would fit a node, and what is free there then. */
+export function shadowOn(
+  state: CoreState,
+  node: NodeCapacity,
+  request: ResourceRequest,
+  now: Now,
+): NodeShadow {
+  const free = resourcesOf(node.unreserved);
+  if (fits(request, free)) return { at: now.monotonicMs, free };
+  if (!fits(request, node.type)) return { at: Infinity, free };
+  const ends: { at: number; claim: LiveClaim }[] = [];
+  for (const claim of node.machine.claims.values()) {
+    const end = expectedEnd(state, claim, now);
+    if (end < Infinity) ends.push({ at: end, claim });
+  }
+  ends.sort((x, y) => x.at - y.at);
+  for (const { at, claim } of ends) {
+    release(free, claim.job.spec);
+    if (fits(request, free)) return { at, free };
+  }
+  return { at: Infinity, free };
+}
+
+/**
+ * Reserves for a single task, on the eligible node where it can start first; null when it fits
+ * none, ever. The index keeps shadow times in order, so that only nodes that have changed are
+ * computed again.
+ */
+export function earliestShadow(
+  state: CoreState,
+  request: ResourceRequest,
+  now: Now,
+  isEligible: (node: NodeCapacity) => boolean,
+): Reservation | null {
+  const shadowTimes = state.capacityIndex.shadowTimes(request, (node) => shadowOn(state, node, request, now));
+  const found = shadowTimes.earliest(isEligible);
+  if (found === null) return null;
+  const { node, shadow } = found;
+  return { shadowTime: shadow.at, capacity: new Map([[node, reservedCapacity(shadow, request)]]) };
+}
+
+/** How many tasks with one request fit each of several nodes, as running tasks end. */
+class FittingTasks {
+  /** What is free on each node, with the ended tasks gone. */
+  readonly #free: Map<NodeCapacity, Resources>;
+  readonly #counts: Map<NodeCapacity, number>;
+  /** Tasks that fit all nodes together. */
+  total = 0;
+
+  /** On one node no more than `limit` tasks are counted. */
+  constructor(
+    nodes: readonly NodeCapacity[],
+    private readonly request: ResourceRequest,
+    private readonly limit: number,
+  ) {
+    this.#free = new Map(nodes.map((node) => [node, { ...node.unreserved }]));
+    this.#counts = new Map(nodes.map((node) => [node, this.#countOn(node)]));
+    for (const count of this.#counts.values()) this.total += count;
+  }
+
+  #countOn(node: NodeCapacity): number {
+    const free = this.freeOn(node);
+    let count = 0;
+    for (; count < this.limit && fits(this.request, free); count += 1) allocate(free, this.request);
+    return count;
+  }
+
+  countOn(node: NodeCapacity): number {
+    return this.#counts.get(node) ?? 0;
+  }
+
+  /** A copy of what is free on a node. */
+  freeOn(node: NodeCapacity): Resources {
+    return { ...(this.#free.get(node) ?? node.unreserved) };
+  }
+
+  /** A running task has ended. */
+  release(node: NodeCapacity, ended: ResourceRequest): void {
+    const free = this.#free.get(node);
+    if (free !== undefined) release(free, ended);
+    const count = this.#countOn(node);
+    this.total += count - this.countOn(node);
+    this.#counts.set(node, count);
+  }
+}
+
+/** Expected ends of all tasks on some nodes, earliest first. */
+function expectedEnds(
+  state: CoreState,
+  nodes: readonly NodeCapacity[],
+  now: Now,
+): { node: NodeCapacity; claim: LiveClaim; at: number }[] {
+  return nodes
+    .flatMap((node) =>
+      [...node.machine.claims.values()].map((claim) => ({ node, claim, at: expectedEnd(state, claim, now) })),
+    )
+    .sort((a, b) => a.at - b.at);
+}
+
+/**
+ * Reserves for tasks that start together: running tasks are gone through in the order of their
+ * expected ends, collecting the resources they free, until enough tasks fit. Null when that
+ * never happens.
+ */
+export function reserveAcrossMachines(
+  state: CoreState,
+  nodes: readonly NodeCapacity[],
+  request: ResourceRequest,
+  count: number,
+  now: Now,
+): Reservation | null {
+  const fitting = new FittingTasks(nodes, request, count);
+  let shadowTime = now.monotonicMs;
+  for (const { node, claim, at } of expectedEnds(state, nodes, now)) {
+    if (fitting.total >= count || at === Infinity) break;
+    shadowTime = at;
+    fitting.release(node, claim.job.spec);
+  }
+  if (fitting.total < count) return null;
+  const capacity = new Map<NodeCapacity, ReservedCapacity>();
+  let remaining = count;
+  for (const node of [...nodes].sort((a, b) => fitting.countOn(b) - fitting.countOn(a))) {
+    const taken = Math.min(remaining, fitting.countOn(node));
+    if (taken === 0) break;
+    const extra = fitting.freeOn(node);
+    for (let i = 0; i < taken; i += 1) allocate(extra, request);
+    capacity.set(node, { shadowTime, extra });
+    remaining -= taken;
+  }
+  return { shadowTime, capacity };
+}
--- /dev/null
+++ b/src/core/placement/starvation.ts
@@ -0,0 +1,51 @@
+/**
+ * Starvation reservations. EASY backfilling reserves for the head job alone, and proves that the
+ * second may be passed without bound; where priorities order the queue, so may every job of low
+ * priority, and a large one by small ones. So a job that has not been served for a share of its
+ * longest wait gets a reservation of its own, whatever its priority or size, and all others must
+ * pass the two backfilling tests against it too.
+ */
+import { isFaultyJob } from './resources.js';
+import type { JobState, Now } from '../model.js';
+import type { CoreState } from '../state.js';
+
+/** Starvation reservations of one class at a time; more would leave little of the queue's order. */
+const MAX_RESERVED_JOBS_PER_CLASS = 2;
+/** Share of its longest wait after which a job gets a reservation. */
+const RESERVATION_WAIT_SHARE = 0.5;
+
+/** Milliseconds since a job was ready, or since a task of it was last placed. */
+export const waitedMs = (job: JobState, now: Now): number =>
+  Math.min(now.epochMs - job.readyAt, now.monotonicMs - job.lastPlacedAt);
+
+const hasBegun = (job: JobState): boolean => job.lastPlacedAt > -Infinity;
+
+/**
+ * Chooses the jobs that get a starvation reservation, those that have waited longest first. The
+ * number is limited by class, so that the backlog of one keeps no other from beginning. Of the
+ * jobs of a class that have begun only the first one counts: served by turns, all of them would
+ * end late.
+ */
+export function chooseReserved(state: CoreState, now: Now): void {
+  const starving: { readonly job: JobState; readonly waited: number }[] = [];
+  const firstBegunByClass = new Map<string, JobState>();
+  for (const job of state.waitingJobs) {
+    if (isFaultyJob(job)) continue;
+    const { jobClass } = job.spec;
+    const waited = waitedMs(job, now);
+    const firstBegun = firstBegunByClass.get(jobClass)?.modRevision ?? Infinity;
+    if (hasBegun(job) && job.modRevision < firstBegun) firstBegunByClass.set(jobClass, job);
+    if (waited > RESERVATION_WAIT_SHARE * state.config.policy.maxWaitMs(job.spec))
+      starving.push({ job, waited });
+  }
+  starving.sort((a, b) => b.waited - a.waited);
+  const countByClass = new Map<string, number>();
+  state.reservedJobs = starving.flatMap(({ job }) => {
+    const { jobClass } = job.spec;
+    const count = countByClass.get(jobClass) ?? 0;
+    const isCandidate = !hasBegun(job) || firstBegunByClass.get(jobClass) === job;
+    if (!isCandidate || count >= MAX_RESERVED_JOBS_PER_CLASS) return [];
+    countByClass.set(jobClass, count + 1);
+    return [job];
+  });
+}
--- /dev/null
+++ b/src/core/placement/team-quota.ts
@@ -0,0 +1,45 @@
+/** Team quotas: the resources that a team is guaranteed, and the limit on what it may use. */
+import { isReady } from '../jobs/jobs.js';
+import { isFaultyJob } from './resources.js';
+import type { JobState, TeamUsage } from '../model.js';
+import type { CoreState } from '../state.js';
+
+const EPSILON = 1e-6;
+
+/** Whether a job's team stays within its limit with `count` more tasks of the job; a limit of 0 is none. */
+export function isWithinTeamQuota(state: CoreState, job: JobState, count: number): boolean {
+  const quota = state.config.teams.get(job.spec.team);
+  if (quota === undefined) return true;
+  const { cpus, gpus } = job.spec;
+  const usage: Pick<TeamUsage, 'cpus' | 'gpus'> = state.usageByTeam.get(job.spec.team) ?? {
+    cpus: 0,
+    gpus: 0,
+  };
+  return (
+    (quota.maxCpus <= 0 || usage.cpus + count * cpus <= quota.maxCpus + EPSILON) &&
+    (quota.maxGpus <= 0 || usage.gpus + count * gpus <= quota.maxGpus + EPSILON)
+  );
+}
+
+/**
+ * Chooses the jobs within their team's guarantee: those that fit into it together with the team's
+ * earlier unfinished ones. They wait for no other team. No job is walked if no team has a guarantee.
+ */
+export function chooseGuaranteed(state: CoreState): void {
+  const remainingByTeam = new Map<string, { cpus: number; gpus: number }>();
+  for (const [team, { guaranteedCpus, guaranteedGpus }] of state.config.teams)
+    if (guaranteedCpus > 0 || guaranteedGpus > 0)
+      remainingByTeam.set(team, { cpus: guaranteedCpus, gpus: guaranteedGpus });
+  state.guaranteedJobs.clear();
+  if (remainingByTeam.size === 0) return;
+  for (const job of state.jobs.values()) {
+    const { spec, finalStage, doneCount } = job;
+    const remaining = remainingByTeam.get(spec.team);
+    if (remaining === undefined || finalStage !== null || !isReady(job)) continue;
+    const tasks = spec.tasks - doneCount;
+    remaining.cpus -= tasks * spec.cpus;
+    remaining.gpus -= tasks * spec.gpus;
+    const fitsGuarantee = remaining.cpus > -EPSILON && remaining.gpus > -EPSILON;
+    if (fitsGuarantee && !isFaultyJob(job)) state.guaranteedJobs.add(job);
+  }
+}
--- /dev/null
+++ b/src/core/placement/wait-reason.ts
@@ -0,0 +1,26 @@
+/** Why a job's tasks wait, in the words shown to users. */
+import { isFaultyJob } from './resources.js';
+import type { JobState } from '../model.js';
+import type { CoreState } from '../state.js';
+
+/** All reasons; their order is fixed, for peers exchange positions in it. */
+export const WAIT_REASONS = [
+  'fails wherever it is tried',
+  'stopped for more urgent work',
+  'its room is reserved',
+  'first in the queue',
+  'waits for room',
+] as const;
+
+/** One of the reasons. */
+export type WaitReason = (typeof WAIT_REASONS)[number];
+
+/** Why tasks of a job wait; null: none does. */
+export function waitReason(state: CoreState, job: JobState): WaitReason | null {
+  if (job.finalStage !== null) return null;
+  if (isFaultyJob(job)) return 'fails wherever it is tried';
+  if (job.waitingCount === 0) return null;
+  if (state.reservedJobs.includes(job)) return 'its room is reserved';
+  if (state.head?.job === job.spec.id) return 'first in the queue';
+  return job.lastPreemptedAt > job.lastPlacedAt ? 'stopped for more urgent work' : 'waits for room';
+}
--- a/test/capacity.test.ts
+++ b/test/capacity.test.ts
@@ -62,7 +62,7 @@
       const bench = new CoreBench();
       const { state } = bench;
       const now = bench.time();
-      const capacityIndex = all.map((tasks, i) => {
+      const nodes = all.map((tasks, i) => {
         const machine = getOrCreateMachine(state, `m${i}`, now);
         tasks.forEach(({ need: taken, at: end }, k) => {
           if (!fits(taken, freeResources(machine, EIGHT))) return;
@@ -72,9 +72,9 @@
         return state.capacityIndex.update(machine, EIGHT, (claim) => claim.expectedEnd);
       });
       const found = earliestShadow(state, of, now, () => true);
-      const plain = reserveAcrossMachines(state, capacityIndex, of, 1, now);
-      expect(found?.at).toBe(plain?.at);
-      expect([...(found?.holds ?? [])]).toEqual([...(plain?.holds ?? [])]);
+      const plain = reserveAcrossMachines(state, nodes, of, 1, now);
+      expect(found?.shadowTime).toBe(plain?.shadowTime);
+      expect([...(found?.capacity ?? [])]).toEqual([...(plain?.capacity ?? [])]);
     }),
     { seed: 4, numRuns: 300 },
   );
--- a/test/easy.test.ts
+++ b/test/easy.test.ts
@@ -14,12 +14,12 @@
 const room = (cpus: number) => ({ cpus, gpus: 0, memoryGb: cpus });
 
 test('a task that ends by the shadow time may pass the head whatever it takes', () => {
-  expect(mayBackfill({ shadow: 100, extra: room(0) }, room(8), 100)).toBe(true);
+  expect(mayBackfill({ shadowTime: 100, extra: room(0) }, room(8), 100)).toBe(true);
 });
 
 test('a task that runs past the shadow time may pass only within the extra room', () => {
-  expect(mayBackfill({ shadow: 100, extra: room(4) }, room(4), 500)).toBe(true);
-  expect(mayBackfill({ shadow: 100, extra: room(4) }, room(5), 101)).toBe(false);
+  expect(mayBackfill({ shadowTime: 100, extra: room(4) }, room(4), 500)).toBe(true);
+  expect(mayBackfill({ shadowTime: 100, extra: room(4) }, room(5), 101)).toBe(false);
 });
 
 /** One machine of 8 cpus, 4 of them taken for 100 s; the head wants 6 and is blocked until then. */
--- a/test/promises.test.ts
+++ b/test/promises.test.ts
@@ -1,7 +1,7 @@
 /** Promises beyond the head's reservation: bounded waiting, guarantees, and the preemption that keeps them. */
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
-import { waitingJobs, whyWaits } from '../src/core/placement/index.js';
+import { waitingJobs, waitReason } from '../src/core/placement/index.js';
 import type { JobState } from '../src/core/model.js';
 import type { JobSpec, ReportedTask } from '../src/core/types.js';
 import { CoreBench, job, report, task } from './standins/core.js';
@@ -59,7 +59,7 @@
     'req-2/0#1',
   ]);
   shift.hear([left, task('req-2/0', 1, 'running')], 1000);
-  const why = (id: string) => whyWaits(shift.bench.state, shift.bench.state.jobs.get(id) as JobState);
+  const why = (id: string) => waitReason(shift.bench.state, shift.bench.state.jobs.get(id) as JobState);
   expect(['req-1', 'req-2', 'req-3'].map(why)).toEqual(['first in the queue', null, 'waits for room']);
   // What was stopped goes on before what came after it.
   const after = shift.hear([left, task('req-2/0', 1, 'exited', 'done')]);
--- a/test/standins/golden-messages.ts
+++ b/test/standins/golden-messages.ts
@@ -12,7 +12,7 @@
 import { createPublicServer } from '../../src/adapters/server.js';
 import { Users, type UserAnswer } from '../../src/adapters/users.js';
 import { systemClock } from '../../src/clock.js';
-import { REASONS } from '../../src/core/placement/index.js';
+import { WAIT_REASONS } from '../../src/core/placement/index.js';
 import * as records from '../../src/core/persistence/index.js';
 import { readPolicy, tellFault } from '../../src/policy.js';
 import { settingsFaults } from '../../src/settings.js';
@@ -256,7 +256,7 @@
   const awaits = Array.from({ length: 22 }, (_, i) => `req-${String(i + 2).padStart(6, '0')}`);
   return [
     encodeJobView({ id, stage: 'pending' }),
-    ...REASONS.map((why) => encodeJobView({ id, stage: 'pending', done: 0, running: 0, why })),
+    ...WAIT_REASONS.map((why) => encodeJobView({ id, stage: 'pending', done: 0, running: 0, why })),
     encodeJobView({ id, stage: 'pending', done: 0, running: 0, awaits: awaits.slice(0, 2) }),
     encodeJobView({ id, stage: 'pending', done: 0, running: 0, awaits }),
     encodeJobView({ id, stage: 'running', done: 3, running: 2, awaits: [] }),
