--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,6 +1,7 @@
 /** Renting and giving back: how much, of what kind, and when. */
 import TinyQueue from 'tinyqueue';
-import { allowedWait, isBestEffort, isCostSensitive, latestStart } from '../jobs/objectives.js';
+import { isBestEffort, isCostSensitive } from '../jobs/best-effort.js';
+import { allowedWait, latestStart } from '../jobs/objectives.js';
 import type { Effect } from '../effects.js';
 import { expectedEnd } from '../fleet/machines.js';
 import { expectedRun, isReady, waitingTasks } from '../jobs/jobs.js';
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,143 +1,159 @@
 /**
- * Jobs that wait for others. A job is ready once every job it awaits is known, from the
- * committed record, to be done; it is withdrawn once one of them is known, from there, to
- * be withdrawn. Both are final, so what was once learned stays true. Jobs that need others
- * are indexed by those, so that an end costs no more than what it sets free.
+ * DAG dependencies between jobs. A job is ready once every job it depends on is known, from the
+ * committed record, to be done; it is cancelled once one of them is known, from there, to have been
+ * cancelled. Both outcomes are final, so what has been learned stays true. Jobs are indexed by
+ * those they depend on, so that an outcome costs no more than the jobs that it makes ready.
  */
-import { expectedRun, isReady, updateTaskCounts, startLatency } from './jobs.js';
+import { expectedRun, isReady, startLatency, updateTaskCounts } from './jobs.js';
+import { markDirty } from '../persistence/dirty-jobs.js';
 import type { FinalOutcome, JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
-import { markDirty } from '../persistence/dirty-jobs.js';
 import type { EndedRecord, FinalStage } from '../types.js';
 
-/** Ends of jobs that are remembered at least; with more live jobs, twice their number is. */
+/** Outcomes that are remembered at least; with more live jobs, twice their number is. */
 const MIN_REMEMBERED_OUTCOMES = 4000;
+/** Records of jobs that are read with one query. */
 const MAX_QUERIED_OUTCOMES = 16;
-/** A pipeline longer than this passes its wishes back no further. */
+/** Length of a dependency chain beyond which priority and deadline are propagated no further. */
 const MAX_PROPAGATION_DEPTH = 200;
-/** The last task of an array ends later than the usual one. */
+/** Expected run time of the last task of an array, as a multiple of the usual one. */
 const LAST_TASK_RUN_FACTOR = 1.3;
 
-/** What the view held at its latest proof had been settled: what is learned now came after. */
+/** Monotonic time of the latest proof of the leader's view; what is learned now happened after it. */
 const viewConfirmedAt = (state: CoreState): number => state.leadership?.viewConfirmedAt ?? 0;
 
+/** Has the record of a job read, for its outcome; `since` is when that became necessary. */
 function requestOutcome(state: CoreState, id: string, since = viewConfirmedAt(state)): void {
   if (!state.unresolvedDependencies.has(id)) state.unresolvedDependencies.set(id, { since, notBefore: 0 });
 }
 
-/** To be withdrawn: one that it needs is. It cannot have a task out, for that one was never done. */
+/** Has a job cancelled because one that it depends on was. It has no task out, for it never was ready. */
 function scheduleCancellation(state: CoreState, job: JobState, since: number): void {
   if (job.finalStage !== null || state.cancelPending.has(job)) return;
   state.cancelPending.set(job, since);
   markDirty(state, job);
 }
 
+/** Applies the outcome of the job `id` to one of its dependents. */
 function resolveDependency(
   state: CoreState,
-  job: JobState,
-  final: FinalOutcome,
+  dependent: JobState,
   id: string,
+  outcome: FinalOutcome,
   since: number,
 ): void {
-  if (final.stage === 'withdrawn') {
-    scheduleCancellation(state, job, since);
+  if (outcome.stage === 'withdrawn') {
+    scheduleCancellation(state, dependent, since);
     return;
   }
-  job.pendingDependencies.delete(id);
-  job.readyAt = Math.max(job.readyAt, final.at);
-  if (!isReady(job)) return;
-  updateTaskCounts(state, job);
+  dependent.pendingDependencies.delete(id);
+  dependent.readyAt = Math.max(dependent.readyAt, outcome.at);
+  if (!isReady(dependent)) return;
+  updateTaskCounts(state, dependent);
   state.isPlacementDue = true;
-  // At the next tick; 0 would say that there is no plan yet.
+  // The plan is due at the next tick; 0 would say that there has been none yet.
   if (state.nextPlanAt > 0) state.nextPlanAt = 1;
 }
 
-/** Enters a new job into the index, and asks for the ends of what it awaits. */
+/** Enters a new job into the index, and requests the outcomes of the jobs it depends on as far as unknown. */
 export function registerDependencies(state: CoreState, job: JobState): void {
   for (const id of job.spec.awaits ?? []) {
     job.pendingDependencies.add(id);
-    const final = state.finalOutcomes.get(id);
-    if (final !== undefined) {
-      resolveDependency(state, job, final, id, viewConfirmedAt(state));
+    const outcome = state.finalOutcomes.get(id);
+    if (outcome !== undefined) {
+      resolveDependency(state, job, id, outcome, viewConfirmedAt(state));
       continue;
     }
-    const others = state.dependents.get(id);
-    if (others === undefined) state.dependents.set(id, new Set([job]));
-    else others.add(job);
+    const dependents = state.dependents.get(id);
+    if (dependents === undefined) state.dependents.set(id, new Set([job]));
+    else dependents.add(job);
     if (state.jobs.get(id)?.finalStage !== null) requestOutcome(state, id);
   }
   propagateToDependencies(state, job, MAX_PROPAGATION_DEPTH);
 }
 
 /**
- * What a job needs has its priority, and has to be done early enough for what remains: the
- * users set both on the last job of a pipeline only.
+ * Gives a job's priority to the jobs it depends on, and a deadline that leaves time for the job
+ * itself: users set both on the last job of a DAG only.
  */
 function propagateToDependencies(state: CoreState, job: JobState, depth: number): void {
   if (depth === 0) return;
   const { spec } = job;
-  const own = spec.deadlineS === null ? Infinity : spec.submittedAt + spec.deadlineS * 1000;
-  const by = Math.min(own, job.inheritedDeadline) - expectedCompletionMs(state, job);
+  const ownDeadline = spec.deadlineS === null ? Infinity : spec.submittedAt + spec.deadlineS * 1000;
+  const deadline = Math.min(ownDeadline, job.inheritedDeadline) - expectedCompletionMs(state, job);
   for (const id of spec.awaits ?? []) {
-    const needed = state.jobs.get(id);
-    if (needed === undefined || needed.finalStage !== null) continue;
-    if (needed.priority <= job.priority && needed.inheritedDeadline <= by) continue;
-    needed.priority = job.priority < needed.priority ? job.priority : needed.priority;
-    needed.inheritedDeadline = Math.min(needed.inheritedDeadline, by);
-    propagateToDependencies(state, needed, depth - 1);
+    const dependency = state.jobs.get(id);
+    if (dependency === undefined || dependency.finalStage !== null) continue;
+    if (dependency.priority <= job.priority && dependency.inheritedDeadline <= deadline) continue;
+    dependency.priority = job.priority < dependency.priority ? job.priority : dependency.priority;
+    dependency.inheritedDeadline = Math.min(dependency.inheritedDeadline, deadline);
+    propagateToDependencies(state, dependency, depth - 1);
   }
 }
 
-/** How long a job is expected to take from being ready to being done. */
+/** Expected milliseconds from a job's being ready to its being done. */
 const expectedCompletionMs = (state: CoreState, { spec }: JobState): number =>
   startLatency(state) + LAST_TASK_RUN_FACTOR * expectedRun(state, spec);
 
-/** A job has left the queue. Without its committed record, what waits for it learns only from that. */
-export function unregisterDependencies(state: CoreState, job: JobState, final: FinalOutcome | null): void {
+/**
+ * Takes a job that has ended out of the index. `outcome` null: its committed record is not at hand,
+ * so it is requested if other jobs depend on this one.
+ */
+export function unregisterDependencies(state: CoreState, job: JobState, outcome: FinalOutcome | null): void {
   const { id, awaits } = job.spec;
   const since = state.cancelPending.get(job);
   state.cancelPending.delete(job);
-  for (const needed of awaits ?? []) {
-    const others = state.dependents.get(needed);
-    others?.delete(job);
-    if (others?.size !== 0) continue;
-    state.dependents.delete(needed);
-    state.unresolvedDependencies.delete(needed);
+  for (const dependency of awaits ?? []) {
+    const dependents = state.dependents.get(dependency);
+    dependents?.delete(job);
+    if (dependents?.size !== 0) continue;
+    state.dependents.delete(dependency);
+    state.unresolvedDependencies.delete(dependency);
   }
-  if (final !== null) recordFinalOutcome(state, id, final, since);
+  if (outcome !== null) recordFinalOutcome(state, id, outcome, since);
   else if (state.dependents.has(id)) requestOutcome(state, id, since);
 }
 
-/** What the committed record of a job says of its end. */
+/** Takes in a job's outcome from its committed record, and applies it to the jobs that depend on it. */
 function recordFinalOutcome(
   state: CoreState,
   id: string,
-  final: FinalOutcome,
+  outcome: FinalOutcome,
   since = viewConfirmedAt(state),
 ): void {
-  state.finalOutcomes.delete(id);
-  state.finalOutcomes.set(id, final);
-  const remembered = Math.max(MIN_REMEMBERED_OUTCOMES, 2 * state.jobs.size);
-  for (const oldest of state.finalOutcomes.keys()) {
-    if (state.finalOutcomes.size <= remembered) break;
-    state.finalOutcomes.delete(oldest);
-  }
-  const from = Math.min(since, state.unresolvedDependencies.get(id)?.since ?? Infinity);
+  rememberOutcome(state, id, outcome);
+  const requestedSince = state.unresolvedDependencies.get(id)?.since ?? Infinity;
   state.unresolvedDependencies.delete(id);
-  const waiting = state.dependents.get(id);
-  if (waiting === undefined) return;
+  const dependents = state.dependents.get(id);
+  if (dependents === undefined) return;
   state.dependents.delete(id);
-  for (const job of waiting) resolveDependency(state, job, final, id, from);
+  for (const job of dependents) resolveDependency(state, job, id, outcome, Math.min(since, requestedSince));
 }
 
+/** Keeps an outcome as the newest, and drops the oldest beyond the bound. */
+function rememberOutcome({ finalOutcomes, jobs }: CoreState, id: string, outcome: FinalOutcome): void {
+  finalOutcomes.delete(id);
+  finalOutcomes.set(id, outcome);
+  const maxOutcomes = Math.max(MIN_REMEMBERED_OUTCOMES, 2 * jobs.size);
+  for (const oldest of finalOutcomes.keys()) {
+    if (finalOutcomes.size <= maxOutcomes) break;
+    finalOutcomes.delete(oldest);
+  }
+}
+
+/** The outcome that a committed record tells; its time is never in the future. */
 export const finalOutcomeOf = (record: EndedRecord, now: Now): FinalOutcome => ({
   stage: record.stage,
   at: Math.min(record.at ?? now.epochMs, now.epochMs),
 });
 
+/** An outcome as of now. */
 export const finalOutcomeNow = (stage: FinalStage, now: Now): FinalOutcome => ({ stage, at: now.epochMs });
 
-/** Awaited jobs whose records are to be read now; some at a time. */
+/**
+ * Ids of the jobs whose records are to be read now, a limited number; null: none is, or a query is
+ * under way. The caller reports the result to `settleDependencyQuery`.
+ */
 export function nextDependencyQuery(state: CoreState, now: Now): readonly string[] | null {
   if (state.pendingDependencyQuery !== null || state.unresolvedDependencies.size === 0) return null;
   const ids: string[] = [];
@@ -151,27 +167,28 @@
   return ids;
 }
 
+/** Takes in the answers to a query; jobs without an outcome are asked for again later. */
 export function settleDependencyQuery(
   state: CoreState,
-  found: ReadonlyMap<string, EndedRecord | 'live' | 'none' | 'unknown'>,
+  answers: ReadonlyMap<string, EndedRecord | 'live' | 'none' | 'unknown'>,
   now: Now,
 ): void {
   state.pendingDependencyQuery = null;
   const { tickMs, workerLeaseMs } = state.config.timing;
-  for (const [id, answer] of found) {
+  for (const [id, answer] of answers) {
     if (typeof answer !== 'string') {
       recordFinalOutcome(state, id, finalOutcomeOf(answer, now));
       continue;
     }
-    const question = state.unresolvedDependencies.get(id);
-    if (question === undefined) continue;
-    // One that the view shows by now tells of its end by itself.
+    const query = state.unresolvedDependencies.get(id);
+    if (query === undefined) continue;
+    // The outcome of a job that the leader's view shows by now comes with that view.
     if (answer === 'live' && state.jobs.get(id)?.finalStage === null) state.unresolvedDependencies.delete(id);
-    else question.notBefore = now.monotonicMs + (answer === 'none' ? workerLeaseMs : tickMs);
+    else query.notBefore = now.monotonicMs + (answer === 'none' ? workerLeaseMs : tickMs);
   }
 }
 
-/** Steady time up to which every cancellation has gone through its pipeline, as this leader sees it. */
+/** Monotonic time in milliseconds up to which every cancellation has reached all dependents, as this leader sees it. */
 export function resolvedUntil(state: CoreState): number {
   let until = state.leadership?.viewConfirmedAt ?? 0;
   for (const { since } of state.unresolvedDependencies.values()) until = Math.min(until, since);
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -1,48 +1,53 @@
 /**
- * Who is where: the one owner of which tasks wait, which are out and what they take. The
- * counts that placing and planning go by are kept with each change, so that neither has to
- * walk over all jobs or all machines for them.
+ * Tasks of jobs: which of them wait, which are claimed for a machine, and what they take. The
+ * counts that placement and autoscaling go by are kept up with each change, so that neither has
+ * to walk over all jobs or all machines for them.
  */
 import { needAttention } from '../attention.js';
-import { release, isFaultyJob, noResources, allocate } from '../placement/resources.js';
+import { allocate, isFaultyJob, noResources, release } from '../placement/resources.js';
 import { isDone, taskKey, type JobState, type LiveClaim, type Machine } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
 
-/** Whether nothing that a job awaits is still to be done. */
+/** Longest heartbeat intervals from the placement of a task to its running. */
+const START_HEARTBEATS = 1.5;
+
+/** Whether all jobs that a job depends on are done. */
 export const isReady = (job: JobState): boolean => job.pendingDependencies.size === 0;
 
+/** Whether all tasks of a job are done and its final record is still to be written; a service never is. */
 export const isComplete = (job: JobState): boolean =>
   job.finalStage === null && job.spec.form !== 'service' && job.doneCount === job.spec.tasks;
 
+/** Number of a job's tasks that wait for a machine. */
 export function waitingTasks(job: JobState): number {
-  return job.finalStage === null && isReady(job) ? job.spec.tasks - job.doneCount - job.claims.size : 0;
+  if (job.finalStage !== null || !isReady(job)) return 0;
+  return job.spec.tasks - job.doneCount - job.claims.size;
 }
 
-/** Expected run time of a task: its owner's estimate, corrected by what its class has shown. */
+/** Expected run time of a task in milliseconds: its owner's estimate, corrected by what its class has shown. */
 export function expectedRun(state: CoreState, spec: JobSpec): number {
   return state.config.policy.expectedRunMs(spec) * (state.runTimeRatio.get(spec.jobClass) ?? 1);
 }
 
 /**
- * From being placed to running: the write, the wait for the machine's next report, the
- * start itself. What is left less than that is lost already; counting on all of it, a
- * queue under overload serves everyone just too late.
+ * Milliseconds from a task's placement to its running: the write, the wait for the machine's next
+ * heartbeat, and the start itself. An objective with less time left is lost already; were it
+ * counted on, a queue under overload would serve every job just too late.
  */
-export const startLatency = (state: CoreState): number => 1.5 * state.config.timing.maxHeartbeatIntervalMs;
+export const startLatency = (state: CoreState): number =>
+  START_HEARTBEATS * state.config.timing.maxHeartbeatIntervalMs;
 
-/** Brings the counts up to date with a job of which something has changed. */
+/** Brings the counts up to date after something of a job has changed. */
 export function updateTaskCounts(state: CoreState, job: JobState): void {
   const waiting = waitingTasks(job);
-  // Nobody keeps room, or counts on it, for one that was submitted with a mistake.
-  const present = job.claims.size + (isFaultyJob(job) ? 0 : waiting);
-  const { jobClass } = job.spec;
-  if (present !== job.outstanding) {
-    state.outstandingByClass.set(
-      jobClass,
-      (state.outstandingByClass.get(jobClass) ?? 0) + present - job.outstanding,
-    );
-    job.outstanding = present;
+  // No capacity is held or planned for the waiting tasks of a faulty job.
+  const outstanding = job.claims.size + (isFaultyJob(job) ? 0 : waiting);
+  if (outstanding !== job.outstanding) {
+    const { jobClass } = job.spec;
+    const ofClass = state.outstandingByClass.get(jobClass) ?? 0;
+    state.outstandingByClass.set(jobClass, ofClass + outstanding - job.outstanding);
+    job.outstanding = outstanding;
   }
   if (waiting > 0 && job.waitingCount === 0) {
     state.waitingJobs.add(job);
@@ -51,23 +56,23 @@
   job.waitingCount = waiting;
 }
 
-/** The next task of a job that waits for a machine, or null. */
+/** Whether a task is neither done nor claimed. */
+const isPlaceable = (job: JobState, task: number): boolean => !isDone(job, task) && !job.claims.has(task);
+
+/** The next task of a job that waits for a machine, those to be retried first; null: there is none. */
 export function nextTask(job: JobState): number | null {
   for (;;) {
-    const again = job.retryTasks[0];
-    if (again !== undefined) {
-      if (!isDone(job, again) && !job.claims.has(again)) return again;
-      job.retryTasks.shift();
-    } else if (job.nextNewTask < job.spec.tasks) {
-      if (!isDone(job, job.nextNewTask) && !job.claims.has(job.nextNewTask)) return job.nextNewTask;
-      job.nextNewTask += 1;
-    } else {
-      return null;
-    }
+    const retry = job.retryTasks[0];
+    if (retry === undefined) break;
+    if (isPlaceable(job, retry)) return retry;
+    job.retryTasks.shift();
   }
+  for (; job.nextNewTask < job.spec.tasks; job.nextNewTask += 1)
+    if (isPlaceable(job, job.nextNewTask)) return job.nextNewTask;
+  return null;
 }
 
-/** Enters a claim: with its job, on its machine, in its team's use. */
+/** Adds a claim to its job, its machine and its team's usage. */
 export function addClaim(state: CoreState, claim: LiveClaim, machine: Machine): void {
   const { job, task } = claim;
   const { spec } = job;
@@ -77,15 +82,11 @@
   state.claimsByPriority.get(spec.priority)?.add(claim);
   state.changedMachines.add(machine);
   needAttention(state, machine.name);
-  const use = state.usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0, tasks: 0 };
-  use.cpus += spec.cpus;
-  use.gpus += spec.gpus;
-  use.tasks += 1;
-  state.usageByTeam.set(spec.team, use);
+  addUsage(state, spec);
   updateTaskCounts(state, job);
 }
 
-/** Takes a claim off again. The caller holds the proof that the task is gone. */
+/** Removes a claim. The caller holds the proof that the task is gone from its machine. */
 export function removeClaim(state: CoreState, claim: LiveClaim): void {
   const { job, task } = claim;
   const { spec } = job;
@@ -101,23 +102,38 @@
     if (machine.claims.size === 0) Object.assign(machine.allocated, noResources());
     state.changedMachines.add(machine);
   }
-  const use = state.usageByTeam.get(spec.team);
-  if (use !== undefined) {
-    use.tasks -= 1;
-    if (use.tasks === 0) state.usageByTeam.delete(spec.team);
-    else {
-      use.cpus -= spec.cpus;
-      use.gpus -= spec.gpus;
-    }
-  }
+  removeUsage(state, spec);
   updateTaskCounts(state, job);
 }
 
+/** Counts one more task in its team's usage. */
+function addUsage({ usageByTeam }: CoreState, { team, cpus, gpus }: JobSpec): void {
+  const usage = usageByTeam.get(team) ?? { cpus: 0, gpus: 0, tasks: 0 };
+  usage.cpus += cpus;
+  usage.gpus += gpus;
+  usage.tasks += 1;
+  usageByTeam.set(team, usage);
+}
+
+/** Counts one task less in its team's usage. */
+function removeUsage({ usageByTeam }: CoreState, { team, cpus, gpus }: JobSpec): void {
+  const usage = usageByTeam.get(team);
+  if (usage === undefined) return;
+  usage.tasks -= 1;
+  // Sums of fractions drift here too: a team without tasks uses nothing.
+  if (usage.tasks === 0) usageByTeam.delete(team);
+  else {
+    usage.cpus -= cpus;
+    usage.gpus -= gpus;
+  }
+}
+
+/** Marks a task as done; no effect if it is already. */
 export function markDone(state: CoreState, job: JobState, task: number): void {
   if (isDone(job, task)) return;
   job.doneBits[task >> 3] = (job.doneBits[task >> 3] ?? 0) | (1 << (task & 7));
   job.doneCount += 1;
-  // Never started again: what is kept of a job follows what is out or was lost, not its size.
+  // Never started again, so its attempts need no memory: it follows what is out or was lost, not the job's size.
   job.attempts.delete(task);
   const claim = job.claims.get(task);
   if (claim !== undefined) needAttention(state, claim.machine);
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -6,7 +6,8 @@
  * before must have gained more than a checkpoint's progress first.
  */
 import { needAttention } from '../attention.js';
-import { hasDeadline, spotSlots } from '../jobs/objectives.js';
+import { spotSlots } from '../jobs/best-effort.js';
+import { hasDeadline } from '../jobs/objectives.js';
 import { expectedEnd } from '../fleet/machines.js';
 import type { NodeCapacity } from './capacity-index.js';
 import { addResources, allocate, fits, release, resourcesOf } from './resources.js';
--- a/src/core/placement/scoring.ts
+++ b/src/core/placement/scoring.ts
@@ -1,11 +1,6 @@
 /** Scores the placement of a job's task on a machine: the lower, the better. */
-import {
-  isBestEffort,
-  isCostSensitive,
-  isDeadlineAtRisk,
-  isStartSensitive,
-  startDeadline,
-} from '../jobs/objectives.js';
+import { isBestEffort, isCostSensitive } from '../jobs/best-effort.js';
+import { isDeadlineAtRisk, isStartSensitive, startDeadline } from '../jobs/objectives.js';
 import { expectedRun } from '../jobs/jobs.js';
 import { isSchedulable } from '../fleet/machines.js';
 import type { NodeCapacity } from './capacity-index.js';
