--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -17,13 +17,11 @@
   isFaultyJob,
   resourcesOf,
   allocate,
-  type Need,
-  type Room,
 } from '../placement/resources.js';
 import { soleType, constrainedTypesInDemand } from '../placement/constrained-types.js';
 import { isExitDurable, type Demand, type JobState, type Machine, type Now } from '../model.js';
 import type { CoreState } from '../state.js';
-import type { JobSpec, MachineType } from '../types.js';
+import type { JobSpec, MachineType, ResourceRequest, Resources } from '../types.js';
 import {
   DEMAND_KEY,
   demandKey,
@@ -51,8 +49,8 @@
   readonly zone: string;
   readonly spot: boolean;
   readonly readyAt: number;
-  readonly free: Room;
-  readonly ends: { at: number; room: Room }[];
+  readonly free: Resources;
+  readonly ends: { at: number; room: Resources }[];
   /** It runs something now. */
   readonly busy: boolean;
   /** The plan puts something on it. */
@@ -72,7 +70,7 @@
   `${type}/${zone}/${spot ? 'spot' : 'ordinary'}`;
 
 /** When a task that needs so much could start on a planned machine; Infinity: never. */
-export function earliest(planned: Planned, need: Need): number {
+export function earliest(planned: Planned, need: ResourceRequest): number {
   if (!fits(need, planned.type)) return Infinity;
   if (fits(need, planned.free)) return planned.readyAt;
   const free = { ...planned.free };
@@ -83,7 +81,7 @@
   return Infinity;
 }
 
-function occupy(planned: Planned, need: Need, from: number, until: number): void {
+function occupy(planned: Planned, need: ResourceRequest, from: number, until: number): void {
   while ((planned.ends[0]?.at ?? Infinity) <= from) {
     const first = planned.ends.shift();
     if (first !== undefined) release(planned.free, first.room);
@@ -314,7 +312,7 @@
 
   constructor(
     readonly machines: Planned[],
-    private readonly need: Need,
+    private readonly need: ResourceRequest,
   ) {
     for (let i = 0; i < machines.length; i += 1) this.#enter(i);
   }
@@ -432,7 +430,7 @@
 }
 
 /** How many tasks of a kind fit a room. */
-function slots(need: Need, room: Room): number {
+function slots(need: ResourceRequest, room: Resources): number {
   const left = { ...room };
   let count = 0;
   while (count < MAX_TASKS_IN_ROOM && fits(need, left)) {
--- a/src/core/jobs/best-effort.ts
+++ b/src/core/jobs/best-effort.ts
@@ -6,7 +6,7 @@
 import type { JobSpec } from '../types.js';
 
 /** The lowest priority of a submission. */
-const BEST_EFFORT_PRIORITY = 3;
+export const LOW_PRIORITY = 3;
 
 /**
  * Number of its longest waits that a best-effort class may take if it had all spot machines;
@@ -16,9 +16,7 @@
 
 /** Whether a job is best effort: of the lowest priority, with no objective but the longest wait. */
 export const isBestEffort = (state: CoreState, spec: JobSpec): boolean =>
-  spec.priority === BEST_EFFORT_PRIORITY &&
-  spec.deadlineS === null &&
-  !state.config.objectives.has(spec.jobClass);
+  spec.priority === LOW_PRIORITY && spec.deadlineS === null && !state.config.objectives.has(spec.jobClass);
 
 /** Number of a job's tasks that all spot machines in the index could hold at once, were they empty. */
 export function spotSlots(state: CoreState, spec: JobSpec): number {
--- a/src/core/placement/capacity-index.ts
+++ b/src/core/placement/capacity-index.ts
@@ -156,7 +156,7 @@
     this.recordChange(node);
   }
 
-  /** Notes that a node has changed, for the shadow times kept of it. */
+  /** Notes that a node has changed, for its cached shadow times. */
   recordChange(node: NodeCapacity): void {
     node.version += 1;
     this.changeLog.push(node);
--- a/src/core/placement/job-queue.ts
+++ b/src/core/placement/job-queue.ts
@@ -1,9 +1,13 @@
 /** The queue: jobs with waiting tasks, in the order in which they are served. */
+import { LOW_PRIORITY } from '../jobs/best-effort.js';
 import { countLostObjectives, timeToDeadlineMs } from '../jobs/objectives.js';
 import { expectedRun, waitingTasks } from '../jobs/jobs.js';
 import type { JobState, Now, QueuePosition } from '../model.js';
 import type { CoreState } from '../state.js';
 
+/** The priority next above that of best-effort work. */
+const NORMAL_PRIORITY = 2;
+
 /** Group of the jobs that must start soon to be in time; the others follow by lost objectives. */
 const URGENT_GROUP = 0;
 const FIRST_REGULAR_GROUP = 1;
@@ -19,9 +23,9 @@
     const waitingWork = waitingTasks(job) * runMs * job.spec.cpus;
     return { job, rank, priority, group: URGENT_GROUP, key: waitingWork };
   }
-  // What can no longer meet any objective is best-effort work itself, and stands among that by arrival.
-  if (priority === 2 && all > 0 && lost === all)
-    return { job, rank, priority: 3, group: FIRST_REGULAR_GROUP, key: modRevision };
+  // A normal job that can no longer meet any objective counts as low priority, and stands among that by arrival.
+  if (priority === NORMAL_PRIORITY && all > 0 && lost === all)
+    return { job, rank, priority: LOW_PRIORITY, group: FIRST_REGULAR_GROUP, key: modRevision };
   return { job, rank, priority, group: FIRST_REGULAR_GROUP + lost, key: modRevision };
 }
 
--- a/src/core/placement/node-capacity.ts
+++ b/src/core/placement/node-capacity.ts
@@ -2,12 +2,12 @@
  * Capacity of one worker node as placement sees it, and the groups of like nodes that the
  * capacity index sorts into buckets of free CPUs.
  */
+import { RESOURCE_EPSILON } from './resources.js';
 import type { Machine } from '../model.js';
 import type { MachineType, Resources } from '../types.js';
 
 /** Number of equal steps into which a machine type's CPUs are divided for the buckets. */
 const CPU_BUCKETS = 32;
-const EPSILON = 1e-6;
 
 /** A machine with the resources that placement may use on it. */
 export interface NodeCapacity {
@@ -54,9 +54,10 @@
 
 /** Bucket of a node of this type with so many CPUs. */
 export const bucketOf = (type: MachineType, cpus: number): number => {
-  const bucket = Math.floor((cpus / Math.max(EPSILON, type.cpus)) * CPU_BUCKETS + EPSILON);
+  const bucket = Math.floor((cpus / Math.max(RESOURCE_EPSILON, type.cpus)) * CPU_BUCKETS + RESOURCE_EPSILON);
   return Math.max(0, Math.min(CPU_BUCKETS, bucket));
 };
 
 /** First bucket whose nodes may have so many CPUs. */
-export const firstBucketFor = (type: MachineType, cpus: number): number => bucketOf(type, cpus - EPSILON);
+export const firstBucketFor = (type: MachineType, cpus: number): number =>
+  bucketOf(type, cpus - RESOURCE_EPSILON);
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -10,12 +10,11 @@
 import { hasDeadline } from '../jobs/objectives.js';
 import { expectedEnd } from '../fleet/machines.js';
 import type { NodeCapacity } from './capacity-index.js';
-import { addResources, allocate, fits, release, resourcesOf } from './resources.js';
+import { addResources, allocate, fits, release, RESOURCE_EPSILON, resourcesOf } from './resources.js';
 import type { JobState, LiveClaim, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { ResourceRequest, Resources } from '../types.js';
 
-const EPSILON = 1e-6;
 /** Share of a job's longest wait that a task of it runs at least before it may be preempted. */
 const MIN_RUN_SHARE = 0.125;
 /** Share of the spot machines' capacity that the first job of a class keeps while others' objectives are at risk. */
@@ -88,7 +87,7 @@
       excess = usedCpus - (state.config.teams.get(team)?.guaranteedCpus ?? 0);
       excessByTeam.set(team, excess);
     }
-    return excess > EPSILON;
+    return excess > RESOURCE_EPSILON;
   };
 }
 
--- a/src/core/placement/resources.ts
+++ b/src/core/placement/resources.ts
@@ -2,16 +2,15 @@
 import type { JobState, Machine, Now } from '../model.js';
 import type { JobSpec, MachineType, ResourceRequest, Resources } from '../types.js';
 
-export type { ResourceRequest as Need, Resources as Room };
-
-const EPSILON = 1e-6;
+/** Tolerance for rounding errors in sums of resources. */
+export const RESOURCE_EPSILON = 1e-6;
 
 /** Whether a request fits into free resources, but for rounding errors. */
 export function fits(request: ResourceRequest, free: ResourceRequest): boolean {
   return (
-    request.cpus <= free.cpus + EPSILON &&
-    request.gpus <= free.gpus + EPSILON &&
-    request.memoryGb <= free.memoryGb + EPSILON
+    request.cpus <= free.cpus + RESOURCE_EPSILON &&
+    request.gpus <= free.gpus + RESOURCE_EPSILON &&
+    request.memoryGb <= free.memoryGb + RESOURCE_EPSILON
   );
 }
 
--- a/src/core/placement/scoring.ts
+++ b/src/core/placement/scoring.ts
@@ -5,14 +5,19 @@
 import { isSchedulable } from '../fleet/machines.js';
 import type { NodeCapacity } from './capacity-index.js';
 import { avoidsConstrainedTypes, type PlacementPass } from './placement-pass.js';
-import { addResources, fits, imageFetchMs, isExcluded, satisfiesConstraints } from './resources.js';
+import {
+  addResources,
+  fits,
+  imageFetchMs,
+  isExcluded,
+  RESOURCE_EPSILON,
+  satisfiesConstraints,
+} from './resources.js';
 import { mayBackfill } from './shadow-time.js';
 import type { ZoneFilter } from './zone-constraints.js';
 import type { JobState, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
-const EPSILON = 1e-6;
-
 /** Penalty of an on-demand machine against a spot machine that fits as well. */
 const ON_DEMAND_PENALTY = 1;
 /** Penalty of a machine that would be kept busy for the whole of the run longer. */
@@ -82,7 +87,7 @@
   const start = now.monotonicMs + untilNextReport(state, machine, now) + fetchMs;
   const missesStart = preferences.startDeadline < Infinity && start > preferences.startDeadline;
   // Tight fits come first, so that large free rooms stay whole.
-  const cpusLeftShare = (node.unreserved.cpus - spec.cpus) / Math.max(EPSILON, pass.maxCpus);
+  const cpusLeftShare = (node.unreserved.cpus - spec.cpus) / Math.max(RESOURCE_EPSILON, pass.maxCpus);
   const durationMs = fetchMs + runMs + 1;
   const prolongedMs = Math.max(0, end - Math.max(now.monotonicMs, node.busyUntil));
   const score =
--- a/src/core/placement/shadow-time-cache.ts
+++ b/src/core/placement/shadow-time-cache.ts
@@ -1,6 +1,6 @@
 /**
- * Shadow times of one resource request on every node, kept between passes over the queue:
- * only nodes that have changed are computed again.
+ * Shadow times of one resource request on every node, cached between passes over the
+ * queue: only nodes that have changed are computed again.
  */
 import TinyQueue from 'tinyqueue';
 import type { NodeCapacity } from './node-capacity.js';
--- a/src/core/placement/team-quota.ts
+++ b/src/core/placement/team-quota.ts
@@ -1,11 +1,9 @@
 /** Team quotas: the resources that a team is guaranteed, and the limit on what it may use. */
 import { isReady } from '../jobs/jobs.js';
-import { isFaultyJob } from './resources.js';
+import { isFaultyJob, RESOURCE_EPSILON } from './resources.js';
 import type { JobState, TeamUsage } from '../model.js';
 import type { CoreState } from '../state.js';
 
-const EPSILON = 1e-6;
-
 /** Whether a job's team stays within its limit with `count` more tasks of the job; a limit of 0 is none. */
 export function isWithinTeamQuota(state: CoreState, job: JobState, count: number): boolean {
   const quota = state.config.teams.get(job.spec.team);
@@ -16,8 +14,8 @@
     gpus: 0,
   };
   return (
-    (quota.maxCpus <= 0 || usage.cpus + count * cpus <= quota.maxCpus + EPSILON) &&
-    (quota.maxGpus <= 0 || usage.gpus + count * gpus <= quota.maxGpus + EPSILON)
+    (quota.maxCpus <= 0 || usage.cpus + count * cpus <= quota.maxCpus + RESOURCE_EPSILON) &&
+    (quota.maxGpus <= 0 || usage.gpus + count * gpus <= quota.maxGpus + RESOURCE_EPSILON)
   );
 }
 
@@ -39,7 +37,7 @@
     const tasks = spec.tasks - doneCount;
     remaining.cpus -= tasks * spec.cpus;
     remaining.gpus -= tasks * spec.gpus;
-    const fitsGuarantee = remaining.cpus > -EPSILON && remaining.gpus > -EPSILON;
+    const fitsGuarantee = remaining.cpus > -RESOURCE_EPSILON && remaining.gpus > -RESOURCE_EPSILON;
     if (fitsGuarantee && !isFaultyJob(job)) state.guaranteedJobs.add(job);
   }
 }
