--- a/src/core/autoscaling/capacity-plan.ts
+++ b/src/core/autoscaling/capacity-plan.ts
@@ -3,7 +3,7 @@
  * instances to request. It is made anew for each scale-out decision.
  */
 import { expectedEnd } from '../fleet/expected-end.js';
-import { isBestEffort } from '../jobs/objectives.js';
+import { isBestEffort } from '../jobs/best-effort.js';
 import type { JobState, Machine, Now } from '../model.js';
 import { constrainedTypesInDemand } from '../placement/constrained-types.js';
 import { freeResources, isExcluded, resourcesOf, satisfiesConstraints } from '../placement/resources.js';
--- a/src/core/autoscaling/headroom-planning.ts
+++ b/src/core/autoscaling/headroom-planning.ts
@@ -6,7 +6,7 @@
 import { allowedWait } from '../jobs/objectives.js';
 import type { Demand, Now } from '../model.js';
 import { soleType } from '../placement/constrained-types.js';
-import { ARRIVALS_OVER } from '../placement/headroom.js';
+import { MAX_ARRIVAL_GAPS } from '../placement/headroom.js';
 import { allocate, fits, resourcesOf } from '../placement/resources.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec, ResourceRequest, Resources } from '../types.js';
@@ -53,7 +53,7 @@
 
 /** Whether no more arrivals of a class are expected, by its usual gap or by the length of a boot. */
 function hasEnded({ lastArrivalAt, meanArrivalGap }: Demand, bootS: number, now: Now): boolean {
-  const maxGapMs = Math.min(ARRIVALS_OVER * meanArrivalGap, MAX_ARRIVAL_GAP_BOOTS * 1000 * bootS);
+  const maxGapMs = Math.min(MAX_ARRIVAL_GAPS * meanArrivalGap, MAX_ARRIVAL_GAP_BOOTS * 1000 * bootS);
   return now.monotonicMs - lastArrivalAt > maxGapMs;
 }
 
--- a/src/core/autoscaling/scale-out.ts
+++ b/src/core/autoscaling/scale-out.ts
@@ -1,7 +1,8 @@
 /** Scaling out: how many instances are provisioned, and of what kind. */
 import type { Effect } from '../effects.js';
 import { waitingTasks } from '../jobs/jobs.js';
-import { isBestEffort, latestStart } from '../jobs/objectives.js';
+import { isBestEffort } from '../jobs/best-effort.js';
+import { latestStart } from '../jobs/objectives.js';
 import { log } from '../log.js';
 import type { JobState, Leadership, Now } from '../model.js';
 import { soleType } from '../placement/constrained-types.js';
--- a/src/core/autoscaling/task-planning.ts
+++ b/src/core/autoscaling/task-planning.ts
@@ -1,6 +1,6 @@
 /** Plans a job's waiting tasks onto the machines of a capacity plan, and requests what is missing. */
 import { expectedRun } from '../jobs/jobs.js';
-import { isBestEffort, isCostSensitive } from '../jobs/objectives.js';
+import { isBestEffort, isCostSensitive } from '../jobs/best-effort.js';
 import type { JobState } from '../model.js';
 import {
   addCandidate,
