--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -24,6 +24,8 @@
 import { scaleOut } from '../src/core/autoscaling/index.js';
 import type { Effect } from '../src/core/effects.js';
 import { removeTerminated, getOrCreateMachine } from '../src/core/fleet/index.js';
+import type { JobState, Machine } from '../src/core/model.js';
+import type { CoreState } from '../src/core/state.js';
 import { finalOutcomeNow, unregisterDependencies } from '../src/core/jobs/index.js';
 import { Routing, type Reach } from '../src/membership/routing.js';
 import { timing } from '../src/settings.js';
@@ -249,7 +251,7 @@
         doneCount: 1,
         runningCount: 0,
         waitingCount: 0,
-      } as never);
+      } satisfies Partial<JobState> as never);
     const peering = new Peering(
       leaderOf(bench),
       () => [],
@@ -283,8 +285,8 @@
     }
     const common = leaderOf(bench);
     const sent: AnswersMessage[] = [];
-    const rules = { ...bench.state.config, policy: { ...bench.state.config.policy, sharedReportsFrom: 1 } };
-    Object.assign(bench.state, { rules });
+    const policy = { ...bench.state.config.policy, sharedHeartbeatsMinMachines: 1 };
+    Object.assign(bench.state, { config: { ...bench.state.config, policy } } satisfies Partial<CoreState>);
     const shared = new SharedReports(common, {
       candidates: () => [{ node: 'n-1', zone: 'b' }],
       isTaking: () => true,
@@ -301,9 +303,8 @@
     for (const name of NAMES) getOrCreateMachine(bench.state, name, bench.time());
     const common = leaderOf(bench);
     const sent: AnswersMessage[] = [];
-    Object.assign(bench.state, {
-      rules: { ...bench.state.config, policy: { ...bench.state.config.policy, sharedReportsFrom: 1 } },
-    });
+    const policy = { ...bench.state.config.policy, sharedHeartbeatsMinMachines: 1 };
+    Object.assign(bench.state, { config: { ...bench.state.config, policy } } satisfies Partial<CoreState>);
     Object.assign(common.ports.clock, { soon: (run: () => void) => run() });
     const shared = new SharedReports(common, {
       candidates: () => [{ node: 'n-1', zone: 'b' }],
@@ -403,7 +404,8 @@
   test('the ends of as many jobs as are live are remembered', () => {
     const bench = new CoreBench();
     const asking = Array.from({ length: FLEET }, (_, i) => job(`req-${i}`, 1, 2, 50));
-    for (const { id } of asking) bench.state.jobs.set(id, { over: 'done' } as never);
+    for (const { id } of asking)
+      bench.state.jobs.set(id, { finalStage: 'done' } satisfies Partial<JobState> as never);
     for (const spec of asking)
       unregisterDependencies(bench.state, { spec } as never, finalOutcomeNow('done', bench.time()));
     expect(bench.state.finalOutcomes.size).toBe(FLEET);
@@ -413,7 +415,13 @@
     const bench = new CoreBench(0, [EIGHT]);
     for (const name of NAMES) {
       const machine = getOrCreateMachine(bench.state, name, bench.time());
-      Object.assign(machine, { type: 'eight', zone: 'a', spot: true, heardAt: bench.now, whole: true });
+      Object.assign(machine, {
+        type: 'eight',
+        zone: 'a',
+        spot: true,
+        lastHeartbeatAt: bench.now,
+        isReconciled: true,
+      } satisfies Partial<Machine>);
     }
     bench.add(job('req-1', FLEET, 8, 5000));
     scaleOut(bench.state, bench.time(), []);
--- a/test/promises.test.ts
+++ b/test/promises.test.ts
@@ -160,12 +160,14 @@
   const shift = new Shift();
   const { state } = shift.bench;
   for (const id of ['req-1', 'req-2', 'req-3']) shift.add(guest(id, 9, 4));
-  for (const id of ['req-2', 'req-3']) Object.assign(state.jobs.get(id) ?? {}, { lastPlacedAt: 0 });
+  for (const id of ['req-2', 'req-3'])
+    Object.assign(state.jobs.get(id) ?? {}, { lastPlacedAt: 0 } satisfies Partial<JobState>);
   shift.hear([], 1000);
   shift.bench.now += 200_000;
   shift.bench.do({ kind: 'tick' });
   expect(state.reservedJobs.map(({ spec }) => spec.id).sort()).toEqual(['req-1']);
-  for (const id of ['req-1']) Object.assign(state.jobs.get(id) ?? {}, { lastPlacedAt: shift.bench.now });
+  for (const id of ['req-1'])
+    Object.assign(state.jobs.get(id) ?? {}, { lastPlacedAt: shift.bench.now } satisfies Partial<JobState>);
   shift.bench.do({ kind: 'tick' });
   expect(state.reservedJobs).toEqual([]);
 });
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -7,6 +7,7 @@
 import { SharedReports } from '../src/controller/shared-reports.js';
 import { balance, chooseFollower, isSharedAt } from '../src/membership/sharing.js';
 import { toldEvery } from '../src/membership/table.js';
+import type { CoreState } from '../src/core/state.js';
 import { createPolicy } from '../src/policy.js';
 import { rulesFor } from '../src/rules.js';
 import { timing } from '../src/settings.js';
@@ -346,7 +347,7 @@
   constructor() {
     const settings = testSettings(0);
     const rules = rulesFor(settings, createPolicy(settings, 'shared_reports_from = 1.0'));
-    Object.assign(this.core.state, { config: rules });
+    Object.assign(this.core.state, { config: rules } satisfies Partial<CoreState>);
     const ports = { clock: this.clock, log: { info: () => undefined }, incarnation: 'x' };
     const owner = { state: this.core.state, push: () => undefined };
     const common = { settings, timing: TIMES, ports, owner, standing: {} } as unknown as Common;
