--- a/src/core/fleet/machines.ts
+++ b/src/core/fleet/machines.ts
@@ -11,7 +11,7 @@
   observeResponse,
 } from './response-tracking.js';
 import { expectedRun } from '../jobs/jobs.js';
-import { isDurable, recordUnclaimedCompletion, releaseClaim } from '../persistence/write-back.js';
+import { isDurable, recordUnclaimedCompletion, releaseClaim } from '../persistence/claims.js';
 import { MAX_TRACKED_MACHINES } from '../limits.js';
 import { log } from '../log.js';
 import { isHanging, isUnreachable, probeIfOverdue } from './probes.js';
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -320,7 +320,8 @@
     readonly job: JobState;
     readonly chunk: Chunk;
     readonly version: number;
-    readonly removed: boolean;
+    /** Its record is removed, not written. */
+    readonly isRemoved: boolean;
   }[];
   readonly completing: readonly JobState[];
   readonly cancelling: readonly JobState[];
@@ -338,6 +339,9 @@
   return ((job.doneBits[task >> 3] ?? 0) & (1 << (task & 7))) !== 0;
 }
 
+/** An exit of which nothing has to be written: the worker may forget it at once. */
+export const DURABLE_EXIT: RecordedExit = { job: null, chunk: null, version: 0 };
+
 /** Whether an exit has reached the state service, so that the worker may forget it. */
 export function isExitDurable(exit: RecordedExit): boolean {
   return (
--- a/src/core/placement/easy.ts
+++ b/src/core/placement/easy.ts
@@ -14,7 +14,7 @@
 import { expectedEnd, isSchedulable } from '../fleet/machines.js';
 import { expectedRun, nextTask, waitingTasks } from '../jobs/jobs.js';
 import { reserveHeadroom } from './headroom.js';
-import { claimTask } from '../persistence/write-back.js';
+import { claimTask } from '../persistence/claims.js';
 import { preemptFor } from './preemption.js';
 import { waitedMs } from './reservations.js';
 import { currentQueue } from './job-queue.js';
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -20,15 +20,11 @@
   applyListing,
   applyHeartbeat,
 } from './fleet/machines.js';
-import {
-  addJob,
-  chunkRange,
-  endJob,
-  loadChunks,
-  nextCommit,
-  settleCommit,
-  settleReconciliation,
-} from './persistence/write-back.js';
+import { chunkRange } from './persistence/chunks.js';
+import { nextCommit, settleCommit } from './persistence/commit.js';
+import { addJob, removeJob } from './persistence/job-lifecycle.js';
+import { loadChunks } from './persistence/load-chunks.js';
+import { settleReconciliation } from './persistence/reconciliation.js';
 import { applyKeepalive } from './fleet/keepalives.js';
 import { log } from './log.js';
 import { nextDependencyQuery, settleDependencyQuery } from './jobs/dependencies.js';
@@ -51,15 +47,6 @@
   if (held !== null) effects.push({ kind: 'reply', reply: held.reply, body: { kind: 'unable' } });
 }
 
-function removeJob(state: CoreState, id: string): void {
-  const job = state.jobs.get(id);
-  // One that is being ended by us is settled by the answer to that. One of which a write is looked up is
-  // not waited for: while the look-up went unanswered, each later proof kept its tasks alive.
-  const { completing = [], cancelling = [] } = state.commit ?? {};
-  const ours = [...completing, ...cancelling].some(({ spec }) => spec.id === id);
-  if (job !== undefined && job.finalStage === null && !ours) endJob(state, job, 'withdrawn', null);
-}
-
 function hasAuthority(state: CoreState, now: Now): boolean {
   return state.leadership !== null && now.monotonicMs < state.leadership.authorityUntil;
 }
