--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -95,6 +95,9 @@
     }
   | { readonly kind: 'terminated'; readonly machines: readonly string[]; readonly ok: boolean };
 
+/** The command of a kind. */
+export type CommandOf<Kind extends Command['kind']> = Extract<Command, { readonly kind: Kind }>;
+
 export type Reply =
   | { readonly kind: 'commands'; readonly token: number; readonly commands: readonly WorkerCommand[] }
   | { readonly kind: 'unable' };
--- /dev/null
+++ b/src/core/leadership.ts
@@ -0,0 +1,88 @@
+/** Begin, proof and end of this controller's leadership, as far as its scheduling state goes. */
+import { restoreDemandHistory } from './autoscaling/autoscaler.js';
+import { forgetLeadership } from './create-state.js';
+import type { CommandOf, Effect } from './effects.js';
+import { getOrCreateMachine } from './fleet/machines.js';
+import { refuseHeartbeat } from './heartbeat-answers.js';
+import { log } from './log.js';
+import type { Leadership, Now } from './model.js';
+import { addJob } from './persistence/job-lifecycle.js';
+import { loadChunks } from './persistence/load-chunks.js';
+import type { CoreState } from './state.js';
+
+function createLeadership(state: CoreState, command: CommandOf<'becomeLeader'>, now: Now): Leadership {
+  return {
+    term: command.term,
+    modRevision: command.modRevision,
+    since: now.monotonicMs,
+    authorityUntil: command.viewConfirmedAt + state.config.timing.authorityWindowMs,
+    viewConfirmedAt: command.viewConfirmedAt,
+    previousLeaderMayBeAlive: command.previousLeaderMayBeAlive ?? false,
+    directCallBudget: { left: 0, at: now.monotonicMs },
+  };
+}
+
+/**
+ * Steady milliseconds from which a new leader may provision: the cloud's list may not show yet what the leader
+ * before has provisioned. The very first leader has none before it.
+ */
+function firstProvisioningAt(state: CoreState, term: number, now: Now): number {
+  const waitMs = term === 1 ? 0 : 2 * state.config.timing.maxHeartbeatIntervalMs;
+  return now.monotonicMs + waitMs;
+}
+
+/** Begins to lead with what the key-value store holds; whatever was known before is dropped. */
+export function becomeLeader(
+  state: CoreState,
+  command: CommandOf<'becomeLeader'>,
+  now: Now,
+  effects: Effect[],
+): void {
+  forgetLeadership(state);
+  state.leadership = createLeadership(state, command, now);
+  state.layout = command.layout;
+  state.legacyChunkTasks = command.legacyChunkTasks;
+  for (const [zone, since] of command.silentZones ?? []) state.silentZones.set(zone, since);
+  state.writeBudget.at = now.monotonicMs;
+  state.nextRequest = 1;
+  state.provisionNotBefore = firstProvisioningAt(state, command.term, now);
+  // In the order of arrival, so that a job comes after those that it depends on.
+  const byArrival = [...command.jobs].sort((a, b) => a.modRevision - b.modRevision);
+  for (const job of byArrival) addJob(state, job);
+  loadChunks(state, command.chunks, now, (name) => getOrCreateMachine(state, name, now));
+  restoreDemandHistory(state, command.demandHistory, now);
+  state.isPlacementDue = true;
+  log(effects, 'leading', {
+    term: command.term,
+    jobs: command.jobs.length,
+    chunks: command.chunks.length,
+  });
+}
+
+/** Takes in a read, sent at `sentAt` (steady milliseconds), that proved the leader's view of the jobs. */
+export function confirmView(state: CoreState, sentAt: number): void {
+  const { leadership } = state;
+  if (leadership === null) return;
+  const authorityUntil = sentAt + state.config.timing.authorityWindowMs;
+  leadership.authorityUntil = Math.max(leadership.authorityUntil, authorityUntil);
+  leadership.viewConfirmedAt = Math.max(leadership.viewConfirmedAt, sentAt);
+}
+
+/** Ends the leadership, if there is one: pending heartbeats are refused, and what the leader knew is dropped. */
+export function resign(state: CoreState, reason: string, effects: Effect[]): void {
+  if (state.leadership === null) return;
+  for (const machine of [...state.pendingHeartbeats]) refuseHeartbeat(state, machine, effects);
+  forgetLeadership(state);
+  effects.push({ kind: 'steppedDown', reason });
+}
+
+/** Resigns if somebody (`witness`) has seen a higher fencing token than this leader's: there is a later one. */
+export function resignIfSuperseded(
+  state: CoreState,
+  witness: string,
+  token: number,
+  effects: Effect[],
+): void {
+  if (state.leadership !== null && token > state.leadership.term)
+    resign(state, `${witness} has seen token ${token}`, effects);
+}
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -12,6 +12,7 @@
   Leadership,
   LiveClaim,
   Machine,
+  Now,
   ProvisioningRequest,
   CoreConfig,
   QueuePosition,
@@ -20,13 +21,16 @@
 } from './model.js';
 
 /**
- * Whether a leader's view is fresh enough to act on. What one that is cut off asks for at the cloud may
- * be carried out much later, on machines that its successor uses: a fleet lost a third of its live
- * machines to the returns that a cut had held back. And what it would start may have been cancelled.
+ * Whether a leader's view is fresh enough to act on. What a leader that is cut off asks of the cloud may be carried
+ * out much later, on machines that its successor uses; and what it would start may have been cancelled.
  */
-export function hasFreshView(state: CoreState): boolean {
-  const lead = state.leadership;
-  return lead !== null && state.monotonicMs - lead.viewConfirmedAt < state.config.timing.leaderLeaseMs;
+export function hasFreshView({ leadership, monotonicMs, config }: CoreState): boolean {
+  return leadership !== null && monotonicMs - leadership.viewConfirmedAt < config.timing.leaderLeaseMs;
+}
+
+/** Whether a leader may answer workers: a recent read has proved its view, see `Timing.authorityWindowMs`. */
+export function hasAuthority({ leadership }: CoreState, now: Now): boolean {
+  return leadership !== null && now.monotonicMs < leadership.authorityUntil;
 }
 
 export interface CoreState {
