--- a/src/controller/deputy.ts
+++ b/src/controller/deputy.ts
@@ -16,13 +16,7 @@
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import type { Timing } from '../settings.js';
-import {
-  deputyKey,
-  JOB_PREFIX,
-  jobOfKey,
-  packMachines,
-  type DeputyRecord,
-} from '../core/persistence/index.js';
+import { relayKey, JOB_PREFIX, jobOfKey, packMachines, type RelayRecord } from '../core/persistence/index.js';
 
 /** The live jobs as a leader knew them, and the time of day of the read that proved it. */
 export interface LiveJobsSnapshot {
@@ -165,10 +159,10 @@
       if (machines.length > 0 && (due || machines.length > told)) {
         const at = this.clock.epochMs();
         for (const [part, some] of packMachines(machines, this.valueBytes).entries()) {
-          const value: DeputyRecord = { at, machines: some };
+          const value: RelayRecord = { at, machines: some };
           await this.state.commit({
             preconditions: [],
-            mutations: [{ put: deputyKey(this.node, part), value }],
+            mutations: [{ put: relayKey(this.node, part), value }],
           });
         }
         toldAt = this.clock.monotonicMs();
--- a/src/controller/leading.ts
+++ b/src/controller/leading.ts
@@ -4,11 +4,11 @@
 import type { LoadedChunk, ReconciledRecords } from '../core/effects.js';
 import {
   decodeChunk,
-  decodeDeputy,
+  decodeRelay,
   decodeFormat,
   decodeJob,
   decodeDemand,
-  DEPUTY_PREFIX,
+  RELAY_PREFIX,
   FORMAT_KEY,
   JOB_PREFIX,
   jobOfKey,
@@ -293,10 +293,10 @@
         )
           silent += 1;
       if (silent === 0) continue;
-      const found = await this.common.ports.state.list(DEPUTY_PREFIX);
+      const found = await this.common.ports.state.list(RELAY_PREFIX);
       if (found === 'unknown') continue;
       for (const { value } of found.entries) {
-        const record = decodeDeputy(value);
+        const record = decodeRelay(value);
         if (record === null) continue;
         const ageMs = Math.max(0, this.common.ports.clock.epochMs() - record.at);
         if (ageMs < young)
--- a/src/core/attention.ts
+++ b/src/core/attention.ts
@@ -1,18 +1,18 @@
 /**
- * Which machines have something to be told: a start, or a stop. Where followers answer reports in the leader's
- * place they may do so only for machines that are not among these, so every change that could make an answer
- * carry a command is noted here, when it happens. A machine leaves the set with the answer to its report.
+ * Machines that need the leader's attention: the answer to their next heartbeat has to carry a command. Followers
+ * may answer heartbeats in the leader's place only for other machines, so every change that could make an answer
+ * carry a command is noted here when it happens. A machine leaves the set with the answer to its heartbeat.
  */
 import { isDone, type LiveClaim, type Machine } from './model.js';
 import type { CoreState } from './state.js';
 
-/** Whether a claim makes the answer to its machine's report carry a command, now or once it is durable. */
+/** Whether a claim makes the answer to its machine's heartbeat carry a command, now or once it is durable. */
 function needsCommand(claim: LiveClaim): boolean {
   const { job, task, startSent, stopRequested } = claim;
   return !startSent || job.finalStage !== null || stopRequested || isDone(job, task);
 }
 
-/** The next report of this machine is to reach the leader. */
+/** Notes that the next heartbeat of this machine has to reach the leader; nothing if the machine is not known. */
 export function needAttention(state: CoreState, machineName: string): void {
   const machine = state.machines.get(machineName);
   if (machine === undefined || state.attention.has(machine)) return;
@@ -20,7 +20,7 @@
   state.newAttention.push(machine.name);
 }
 
-/** After an answer: whether the machine's next report is to reach the leader again. */
+/** Brings the set up to date after an answer. Returns whether the machine's next heartbeat has to reach the leader. */
 export function settleAttention(state: CoreState, machine: Machine): boolean {
   const needs = [...machine.claims.values()].some(needsCommand);
   if (needs) state.attention.add(machine);
--- a/src/core/create-state.ts
+++ b/src/core/create-state.ts
@@ -1,4 +1,4 @@
-/** A controller's knowledge as it begins, and as it is after leading. */
+/** The scheduling state of a controller as it begins, and as it is after leading. */
 import { CapacityIndex } from './placement/capacity-index.js';
 import type { CoreState } from './state.js';
 import type { Priority } from './types.js';
@@ -6,12 +6,13 @@
 
 const PRIORITIES: readonly Priority[] = [0, 1, 2, 3];
 
-export function createState(node: string, rules: CoreConfig): CoreState {
+/** The state of a controller that knows nothing yet. `node`: its name, which request ids carry. */
+export function createState(node: string, config: CoreConfig): CoreState {
   return {
     node,
-    config: rules,
-    layout: rules.initialLayout,
-    legacyChunkTasks: rules.initialLayout.tasksPerChunk,
+    config,
+    layout: config.initialLayout,
+    legacyChunkTasks: config.initialLayout.tasksPerChunk,
     pendingLayout: null,
     leadership: null,
     machineTypes: new Map(),
@@ -68,7 +69,10 @@
   };
 }
 
-/** Forgets everything a leader knew; machine types are nobody's secret. */
+/**
+ * Drops everything a leader knew. Kept is what does not depend on who leads: machine types, how jobs ended,
+ * run-time ratios, and counters that must not go back.
+ */
 export function forgetLeadership(state: CoreState): void {
   state.leadership = null;
   state.jobs.clear();
--- a/src/core/persistence/dirty-jobs.ts
+++ b/src/core/persistence/dirty-jobs.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs of which something may have to be written, by what their next write is for, so that
- * drafting a transaction looks at what is to go into it and not at all that will be some day.
+ * Dirty jobs, of which something may have to be written, by what their next write is for. Drafting a transaction
+ * so looks at what is to go into it, and not at all that will be some day.
  */
 import { isComplete } from '../jobs/jobs.js';
 import { WRITE_REASONS, type Chunk, type JobState, type WriteReason } from '../model.js';
@@ -13,33 +13,34 @@
   if (job.finalStage !== null) return 'clean';
   if (isComplete(job) || state.cancelPending.has(job)) return 'end';
   for (const chunk of job.chunks.values()) if (hasUncommittedStart(chunk)) return 'start';
-  // Records of another width go when what replaces them is there.
+  // Superseded records are removed once what replaces them is committed.
   return job.supersededChunks.size > 0 ? 'clean' : 'exit';
 }
 
-/** Something of a job has changed: puts it where its next write belongs. */
+/** Notes that something of a job has changed: it takes its place among the jobs of its write reason. */
 export function markDirty(state: CoreState, job: JobState): void {
-  const rank = writeReasonOf(state, job);
-  if (rank === job.writeReason) return;
+  const reason = writeReasonOf(state, job);
+  if (reason === job.writeReason) return;
   markClean(state, job);
-  job.writeReason = rank;
-  state.dirtyJobs[rank].add(job);
-  if (rank === 'exit') job.exitsSince = state.monotonicMs;
+  job.writeReason = reason;
+  state.dirtyJobs[reason].add(job);
+  if (reason === 'exit') job.exitsSince = state.monotonicMs;
 }
 
-/** Nothing of a job is left to be written. */
+/** Notes that nothing of a job is left to be written. */
 export function markClean(state: CoreState, job: JobState): void {
   if (job.writeReason === null) return;
   state.dirtyJobs[job.writeReason].delete(job);
   job.writeReason = null;
 }
 
+/** Whether something of some job may have to be written. */
 export const hasDirtyJobs = ({ dirtyJobs }: CoreState): boolean =>
-  WRITE_REASONS.some((rank) => dirtyJobs[rank].size > 0);
+  WRITE_REASONS.some((reason) => dirtyJobs[reason].size > 0);
 
 /**
- * Jobs that have something to write, in the order in which it is written. Exits wait a
- * little for others to share their write, those that have waited longest first.
+ * Jobs that have something to write, in the order in which it is written: starts by priority, then ends, exits and
+ * removals. Exits wait a little for others to share their write, those that have waited longest first.
  */
 export function* jobsToWrite(state: CoreState): Generator<JobState> {
   const { dirtyJobs, config } = state;
--- /dev/null
+++ b/src/core/persistence/records/chunks.ts
@@ -0,0 +1,94 @@
+/** Chunk records, in the form of the first versions and in a compact one. Both are read. */
+import type { ChunkRecord, Claim } from '../../types.js';
+import { asObject, isAmount, isCount, type Json } from '../../values.js';
+
+/** A claim in the form of the first versions; `createdAt` in epoch milliseconds. */
+type ClaimRow = readonly [attempt: number, machine: string, agentEpoch: number, createdAt: number];
+
+/** Unit in which the compact form tells ages. */
+const AGE_UNIT_MS = 100;
+
+/** The form of the first versions. */
+export function encodeChunk(record: ChunkRecord): unknown {
+  const claims: Record<string, ClaimRow> = {};
+  for (const [task, claim] of Object.entries(record.claims)) {
+    claims[task] = [claim.attempt, claim.machine, claim.agentEpoch, claim.createdAt];
+  }
+  return {
+    of: [record.team, record.cpus, record.gpus, record.memoryGb],
+    done: record.done,
+    attempts: record.attempts,
+    claims,
+  };
+}
+
+/**
+ * The compact form: claims grouped by machine and agent epoch, each as `task.attempt.age`, the age in tenths of
+ * seconds before `at`, when the latest was made.
+ */
+export function encodeCompactChunk(record: ChunkRecord): unknown {
+  let latest = 0;
+  for (const claim of Object.values(record.claims)) latest = Math.max(latest, claim.createdAt);
+  const claimsByAgent: Record<string, string> = {};
+  for (const [task, { attempt, machine, agentEpoch, createdAt }] of Object.entries(record.claims)) {
+    const agent = `${machine}:${agentEpoch}`;
+    const claim = `${task}.${attempt}.${Math.round((latest - createdAt) / AGE_UNIT_MS)}`;
+    const before = claimsByAgent[agent];
+    claimsByAgent[agent] = before === undefined ? claim : `${before} ${claim}`;
+  }
+  return {
+    of: [record.team, record.cpus, record.gpus, record.memoryGb],
+    done: record.done,
+    ...(Object.keys(record.attempts).length === 0 ? {} : { attempts: record.attempts }),
+    ...(latest === 0 ? {} : { at: latest, on: claimsByAgent }),
+  };
+}
+
+function decodeClaims(rows: Json): Record<string, Claim> {
+  const claims: Record<string, Claim> = {};
+  for (const [task, row] of Object.entries(rows)) {
+    const [attempt, machine, agentEpoch, createdAt] = row as ClaimRow;
+    claims[task] = { attempt, machine, agentEpoch, createdAt };
+  }
+  return claims;
+}
+
+/** Null: some part is malformed. */
+function decodeCompactClaims(latest: unknown, claimsByAgent: Json): Record<string, Claim> | null {
+  const claims: Record<string, Claim> = {};
+  if (!isAmount(latest)) return null;
+  for (const [agent, list] of Object.entries(claimsByAgent)) {
+    const [, machine, agentEpoch] = /^(.+):(\d+)$/.exec(agent) ?? [];
+    if (machine === undefined || typeof list !== 'string') return null;
+    for (const claim of list.split(' ')) {
+      const [task, attempt, age] = claim.split('.').map(Number);
+      if (!isCount(task) || !isCount(attempt) || !isCount(age)) return null;
+      const createdAt = latest - AGE_UNIT_MS * age;
+      claims[task] = { attempt, machine, agentEpoch: Number(agentEpoch), createdAt };
+    }
+  }
+  return claims;
+}
+
+/** A chunk record in either form; null if it is not one. */
+export function decodeChunk(value: unknown): ChunkRecord | null {
+  const raw = asObject(value);
+  if (raw === null || !Array.isArray(raw['of'])) return null;
+  const [team, cpus, gpus, memoryGb] = raw['of'] as [string, number, number, number];
+  const attempts = asObject(raw['attempts'] ?? {});
+  const claimsByAgent = asObject(raw['on']);
+  const claims =
+    claimsByAgent === null
+      ? decodeClaims(asObject(raw['claims']) ?? {})
+      : decodeCompactClaims(raw['at'], claimsByAgent);
+  if (attempts === null || claims === null) return null;
+  return {
+    team,
+    cpus,
+    gpus,
+    memoryGb,
+    done: String(raw['done']),
+    attempts: attempts as Record<string, number>,
+    claims,
+  };
+}
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -1,32 +1,34 @@
-/**
- * The service's own time constants, in milliseconds, each a ratio to a figure of
- * the settings.
- */
+/** The service's time constants. */
+
+/** All in milliseconds, each a ratio to a figure of the settings. */
 export interface Timing {
-  /** Life of the leader's lease in the state service. */
+  /** Time to live of the leader's lease in the key-value store. */
   readonly leaderLeaseMs: number;
+  /** Time between two renewals of that lease. */
   readonly renewIntervalMs: number;
-  /** How long one read proving freshness lets a leader answer workers. */
+  /** How long a read that proves the leader's view lets it answer workers. */
   readonly authorityWindowMs: number;
+  /** How long a worker runs on without an answer to its heartbeats. */
   readonly workerLeaseMs: number;
-  /** Longest time between two reports of a worker. */
+  /** Longest time between two heartbeats of a worker. */
   readonly maxHeartbeatIntervalMs: number;
-  /** A machine silent for longer is given back, whatever else may be the matter. */
+  /** A machine silent for longer is terminated in any case. */
   readonly silenceTimeoutMs: number;
-  /** One silent for longer is given back while most others are heard. */
+  /** One silent for longer is terminated while most others report. */
   readonly shortSilenceTimeoutMs: number;
   readonly cancelTimeoutMs: number;
-  /** Wait of one state watch. */
+  /** Longest wait of one request that watches the key-value store. */
   readonly watchTimeoutMs: number;
-  /** Bound on one request to the state service. */
+  /** Timeout of any other request to the key-value store. */
   readonly storeTimeoutMs: number;
+  /** Time between two ticks, at which due work is done. */
   readonly tickMs: number;
-  /** How long a machine has to take a connection. */
+  /** How long a machine has to accept a probe's connection. */
   readonly probeTimeoutMs: number;
   /** How long an exit may wait to be written together with others of its job. */
   readonly exitBatchDelayMs: number;
-  /** How long a follower gathers reports before it forwards them. */
+  /** How long a follower collects heartbeats before it forwards them. */
   readonly forwardBatchDelayMs: number;
-  /** How long a report may wait for the commit that its starts need. */
+  /** How long a heartbeat may wait for the commit that its starts need. */
   readonly maxReplyDelayMs: number;
 }
--- a/test/standins/golden-messages.ts
+++ b/test/standins/golden-messages.ts
@@ -326,11 +326,11 @@
       records.demandKey(3),
       records.packDemand(records.decodeDemand({ classes: [classMemory, classMemory] }), 600),
     ],
-    [records.deputyKey('n-1', 2), records.decodeDeputy({ at: 5.5, machines: ['vm-000001', 7] })],
+    [records.relayKey('n-1', 2), records.decodeRelay({ at: 5.5, machines: ['vm-000001', 7] })],
     ['parts', records.packMachines(['vm-000001', 'vm-000002', 'vm-000003'], 90)],
     [records.versionKey('n-1'), records.decodeFormat({ format: 2 })],
     [records.FORMAT_KEY, records.decodeFormat({ format: 2, wide: 128, tasks: 24 })],
-    ['prefixes', [records.JOB_PREFIX, records.RUN_PREFIX, records.DEPUTY_PREFIX, records.VERSION_PREFIX]],
+    ['prefixes', [records.JOB_PREFIX, records.RUN_PREFIX, records.RELAY_PREFIX, records.VERSION_PREFIX]],
     ['more prefixes', [records.DEMAND_PREFIX, records.FORMAT]],
   ];
   return lines.map(([key, value]) => `${key} ${json(value)}`);
