--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -1,4 +1,4 @@
-/** The leader's whole knowledge, owned by one owner and changed only by `step`. */
+/** The scheduling state of a controller. It has one owner, and only `step` changes it. */
 import type { CapacityIndex } from './placement/capacity-index.js';
 import type { MachineType, Priority } from './types.js';
 import type {
@@ -33,94 +33,134 @@
   return leadership !== null && now.monotonicMs < leadership.authorityUntil;
 }
 
+/** All that a controller knows as leader. Times named `…At`, `…Until` and `…NotBefore` are in steady milliseconds. */
 export interface CoreState {
+  /** Name of this controller's node. */
   readonly node: string;
   readonly config: CoreConfig;
-  /** Follows what every controller can read. */
-  layout: RecordLayout;
-  /** Tasks of a chunk whose key tells no width. */
-  legacyChunkTasks: number;
-  /** The layout to change to, once no write is under way. */
-  pendingLayout: RecordLayout | null;
+  /** Steady milliseconds of this step. */
+  monotonicMs: number;
+  /** Null: this controller does not lead. */
   leadership: Leadership | null;
+
+  // What there is.
+  /** By name, as of the latest catalog. */
   machineTypes: ReadonlyMap<string, MachineType>;
+  /** Live jobs, and ended ones of which records are left; by id. */
   readonly jobs: Map<string, JobState>;
+  /** By name. */
   readonly machines: Map<string, Machine>;
-  /** Machines whose report waits for an answer. */
+  /** The discovery order of the next machine. */
+  nextMachine: number;
+  /** Names of terminated machines, oldest first; bounded. */
+  readonly terminatedMachines: Set<string>;
+  /** How jobs ended, as read from or written to the key-value store; bounded. */
+  readonly finalOutcomes: Map<string, FinalOutcome>;
+
+  // Heartbeats.
+  /** Machines whose heartbeat waits for an answer, in the order of arrival. */
   readonly pendingHeartbeats: Set<Machine>;
-  /** Machines to which there may be something to say, and those that came to be so in this step. */
+  /** Of these, those to be considered in this step: the heartbeat is new, or what it waits for may be settled. */
+  readonly answerable: Machine[];
+  /** Machines whose next answer may have to carry a command. */
   readonly attention: Set<Machine>;
+  /** Names of those that came to be so in this step. */
   readonly newAttention: string[];
-  /** Of these, those whose report came in with this step. */
-  readonly answerable: Machine[];
+  /** Machines that have reported since the latest tick without being known. */
+  readonly unexpected: string[];
+
+  // Health.
+  /** Zones of which no machine reports, and since when, as far as known. */
+  readonly silentZones: Map<string, number>;
+  /** This controller is behind its timers, as of the latest tick. */
+  isOverloaded: boolean;
+  /** How many machines report, as of the latest tick; null: not counted yet. */
+  health: HealthCounts | null;
+
+  // Writing back.
+  /** Follows what every controller can read. */
+  layout: RecordLayout;
+  /** Tasks of a chunk whose key tells no width. */
+  legacyChunkTasks: number;
+  /** The layout to change to, once no write is under way; null: none. */
+  pendingLayout: RecordLayout | null;
   /** Jobs of which something may have to be written, by what for; those waiting longest first. */
   readonly dirtyJobs: Readonly<Record<WriteReason, Set<JobState>>>;
-  /** Steady time of this step. */
-  monotonicMs: number;
-  /** Jobs with tasks that wait for a machine, and those that came to have some since the last look. */
+  /** The commit under way; null: none. */
+  commit: CommitInFlight | null;
+  /** Id of the next commit. */
+  nextCommit: number;
+  commitNotBefore: number;
+  /** Jobs that are being reconciled, by id; null: none, and commits may be made. */
+  pendingReconciliation: readonly string[] | null;
+  /** Each job's changes are written by themselves: some of them were rejected. */
+  writesJobsSingly: boolean;
+  /** Mutations that may be written now (`level`), as of `at`. */
+  readonly writeBudget: { level: number; at: number };
+
+  // Dependencies.
+  /** Jobs that wait, by the id of each job that they depend on. */
+  readonly dependents: Map<string, Set<JobState>>;
+  /** Dependencies whose end has to be read: since when that is so, and when to ask (again). */
+  readonly unresolvedDependencies: Map<string, { readonly since: number; notBefore: number }>;
+  /** Dependencies that are being looked up, by id; null: none. */
+  pendingDependencyQuery: readonly string[] | null;
+  /** Jobs to be withdrawn because a dependency was, and since when. */
+  readonly cancelPending: Map<JobState, number>;
+
+  // The queue.
+  /** Jobs with tasks that wait for a machine. */
   readonly waitingJobs: Set<JobState>;
+  /** Those that came to have some since the queue was last gone through. */
   readonly newlyWaitingJobs: JobState[];
   /** The order in which waiting jobs are served, as of the latest tick, with those that joined since. */
   queue: QueuePosition[];
-  /** Jobs whose wait nears the bound, and those within their team's guarantee, as of the latest tick. */
+  /** Jobs with a starvation reservation, as of the latest tick. */
   reservedJobs: readonly JobState[];
+  /** Jobs within their team's guarantee, as of the latest tick. */
   readonly guaranteedJobs: Set<JobState>;
-  /** Tasks out, by the priority that their jobs were submitted with; those being stopped to make room. */
+  /** The reservation of the head of the queue; null: nothing waits for one. */
+  head: HeadReservation | null;
+
+  // Placement.
+  /** Something has changed that a pass over the queue may go by. */
+  isPlacementDue: boolean;
+  /** When the queue was last gone through. */
+  lastPlacementAt: number;
+  /** Tasks that may be placed before the next tick though they could wait. */
+  deferrablePlacements: number;
+  /** Claims by the priority that their jobs were submitted with. */
   readonly claimsByPriority: ReadonlyMap<Priority, Set<LiveClaim>>;
+  /** Claims that are being preempted. */
   readonly preemptedClaims: Set<LiveClaim>;
-  /** Tasks out or waiting, by class. */
+  /** Tasks on machines or waiting, by class. */
   readonly outstandingByClass: Map<string, number>;
   /** What every team's tasks use that are not proven gone. */
   readonly usageByTeam: Map<string, TeamUsage>;
-  /** Machines that hold an image, by image. */
+  /** Machines that are believed to hold an image, by image. */
   readonly machinesByImage: Map<string, Set<Machine>>;
   /** Machines of which something has changed that placing goes by. */
   readonly changedMachines: Set<Machine>;
   readonly capacityIndex: CapacityIndex;
-  /** Machines that have reported since the latest tick without being known. */
-  readonly unexpected: string[];
-  nextMachine: number;
-  /** Machines given back, by name, oldest first; bounded. */
-  readonly terminatedMachines: Set<string>;
+
+  // Autoscaling.
+  /** Requests for machines under way, by request id. */
   readonly provisioningRequests: Map<string, ProvisioningRequest>;
-  /** Until when a kind of machine is not asked for again, by `type/zone/spot`. */
-  readonly provisioningBlockedUntil: Map<string, number>;
-  /** Jobs that wait, by each job that they wait for. */
-  readonly dependents: Map<string, Set<JobState>>;
-  /** How jobs ended, as read from or written to the state service; bounded. */
-  readonly finalOutcomes: Map<string, FinalOutcome>;
-  /** Awaited jobs whose end has to be read: since when that is so, and when to ask (again). */
-  readonly unresolvedDependencies: Map<string, { readonly since: number; notBefore: number }>;
-  pendingDependencyQuery: readonly string[] | null;
-  /** Jobs to be withdrawn because one that they need was, and since when. */
-  readonly cancelPending: Map<JobState, number>;
-  /** Each job's changes are written by themselves: some of them were refused for good. */
-  writesJobsSingly: boolean;
-  /** Changes that may be written now, as of `at`. */
-  readonly writeBudget: { level: number; at: number };
+  /** Number of the next such request. */
   nextRequest: number;
   provisionNotBefore: number;
-  commit: CommitInFlight | null;
-  pendingReconciliation: readonly string[] | null;
-  commitNotBefore: number;
-  nextCommit: number;
-  /** Tasks that may be placed before the next tick though they could wait. */
-  deferrablePlacements: number;
-  isPlacementDue: boolean;
-  /** Steady time of the latest pass over the queue. */
-  lastPlacementAt: number;
+  /** Until when a kind of machine is not asked for again, by `type/zone/spot`. */
+  readonly provisioningBlockedUntil: Map<string, number>;
+  /** When the next plan is due. */
   nextPlanAt: number;
-  nextDemandSaveAt: number;
-  head: HeadReservation | null;
+  /** Names of machines that the latest plan puts waiting tasks, or headroom, on. */
+  readonly plannedMachines: Set<string>;
+
+  // Demand.
+  /** By class. */
+  readonly demand: Map<string, Demand>;
   /** Run time over estimate, by class, as completed tasks show it. */
   readonly runTimeRatio: Map<string, number>;
-  readonly demand: Map<string, Demand>;
-  /** Zones of which nobody is heard, and the steady time since which that is so, as far as known. */
-  readonly silentZones: Map<string, number>;
-  /** It is behind its timers, as of the latest tick. */
-  isOverloaded: boolean;
-  /** How the leader hears its machines, as of the latest tick. */
-  health: HealthCounts | null;
-  /** Machines that the latest plan puts waiting tasks, or room kept ready, on. */
-  readonly plannedMachines: Set<string>;
+  /** When the demand is to be saved next. */
+  nextDemandSaveAt: number;
 }
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -16,6 +16,7 @@
   readonly silenceTimeoutMs: number;
   /** One silent for longer is terminated while most others report. */
   readonly shortSilenceTimeoutMs: number;
+  /** How long tasks of a cancelled job may run on, by the settings. */
   readonly cancelTimeoutMs: number;
   /** Longest wait of one request that watches the key-value store. */
   readonly watchTimeoutMs: number;
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -1,10 +1,15 @@
 /** The terms the whole service speaks in. The wire's names stay in `wire/`. */
 
-export type Priority = 0 | 1 | 2 | 3; // production, high, normal, low
+/** Production, high, normal, low. */
+export type Priority = 0 | 1 | 2 | 3;
 
-/** Tasks one by one; all at once or none; replicas until the job is cancelled. */
+/** An array's tasks are placed one by one, a gang's all at once or none; a service's run until it is cancelled. */
 export type JobForm = 'array' | 'gang' | 'service';
 
+/**
+ * A job as its user submitted it. It is stored as it stands, so the names of its fields are stored names.
+ * `…S`: seconds, `…Gb`: gigabytes.
+ */
 export interface JobSpec {
   readonly id: string;
   readonly jobClass: string;
@@ -26,12 +31,13 @@
   readonly checkpointS: number;
   readonly saveS: number;
   readonly deadlineS: number | null;
-  /** Time of day of its submission, in milliseconds. */
+  /** Epoch milliseconds of its submission. */
   readonly submittedAt: number;
-  /** Jobs that have to be done before any of its tasks starts; absent: none. */
+  /** Ids of the jobs that it depends on: they have to be done before any of its tasks starts; absent: none. */
   readonly awaits?: readonly string[];
 }
 
+/** A type of machine that the cloud offers. `…S`: seconds, `…Gb`: gigabytes. */
 export interface MachineType {
   readonly name: string;
   readonly cpus: number;
@@ -52,32 +58,43 @@
   memoryGb: number;
 }
 
+/** Amounts that are not changed. */
 export type ResourceRequest = Readonly<Resources>;
 
+/** What a worker does with a task. */
 export type TaskStage = 'fetching' | 'running' | 'saving' | 'exited';
+/** Why a task has exited, as its worker tells. */
 export type ExitReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
+/** The status of a task in a heartbeat. */
 export interface ReportedTask {
   readonly job: string;
   readonly task: number;
   readonly attempt: number;
   readonly stage: TaskStage;
+  /** Null unless the stage is `exited`. */
   readonly exit: ExitReason | null;
 }
 
+/** A worker's heartbeat, with the status of its machine and tasks. */
 export interface Heartbeat {
   readonly machine: string;
   readonly address: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
+  /** Grows whenever the worker begins anew, with none of the tasks of the epoch before. */
   readonly agentEpoch: number;
+  /** Grows with each heartbeat of the epoch. */
   readonly sequence: number;
+  /** The highest fencing token that the worker has seen. */
   readonly token: number;
+  /** Seconds until the cloud reclaims the machine; null: no notice. */
   readonly terminationNoticeS: number | null;
   readonly tasks: readonly ReportedTask[];
 }
 
+/** What a worker is to do with a task. */
 export type WorkerCommand =
   | { readonly op: 'start'; readonly job: string; readonly task: number; readonly attempt: number }
   | {
@@ -89,6 +106,7 @@
     }
   | { readonly op: 'forget'; readonly job: string; readonly task: number; readonly attempt: number };
 
+/** A machine in the cloud's list. */
 export interface ListedMachine {
   readonly name: string;
   readonly address: string;
@@ -96,19 +114,20 @@
   readonly zone: string;
   readonly spot: boolean;
   readonly stage: 'booting' | 'running' | 'failed';
+  /** Seconds since it was provisioned. */
   readonly ageS: number;
 }
 
-/** Where a task has been put: one attempt, on one machine, in one of its sessions. */
+/** Where a task has been put: one attempt, on one machine, in one of its agent epochs. */
 export interface Claim {
   readonly attempt: number;
   readonly machine: string;
   readonly agentEpoch: number;
-  /** Time of day at which it was made, in milliseconds. */
+  /** Epoch milliseconds. */
   readonly createdAt: number;
 }
 
-/** What the state service keeps of a run of consecutive tasks of one job. */
+/** What the key-value store holds of a run of consecutive tasks of one job. */
 export interface ChunkRecord {
   readonly team: string;
   readonly cpus: number;
@@ -118,35 +137,40 @@
   readonly done: string;
   /** Highest attempt made, by task, for tasks without a claim. */
   readonly attempts: Readonly<Record<string, number>>;
+  /** By task. */
   readonly claims: Readonly<Record<string, Claim>>;
 }
 
+/** How a job ended; the names are those stored. */
 export type FinalStage = 'done' | 'withdrawn';
 
+/** The record of a job's end; the names are those stored. */
 export interface EndedRecord {
   readonly stage: FinalStage;
   readonly tasks: number;
   readonly done: number;
-  /** Time of day at which it ended, in milliseconds; absent in records of earlier versions. */
+  /** Epoch milliseconds at which it ended; absent in records of earlier versions. */
   readonly at?: number;
 }
 
-/** A value of the state service together with its revision. */
+/** A value of the key-value store together with the revision of its latest change. */
 export interface Versioned<T> {
   readonly value: T;
   readonly modRevision: number;
 }
 
-/** What a transaction asks of the state service: all of it, or nothing. */
+/** That a key has not changed since this revision. */
 export interface Precondition {
   readonly key: string;
   /** 0: the key must not exist. */
   readonly modRevision: number;
 }
 
+/** A change of a key; a key put with a `lease`, by its id, goes with that. */
 export type Mutation =
   { readonly put: string; readonly value: unknown; readonly lease?: number } | { readonly remove: string };
 
+/** A compare-and-swap: all mutations are applied if all preconditions hold, and none otherwise. */
 export interface Transaction {
   readonly preconditions: readonly Precondition[];
   readonly mutations: readonly Mutation[];
