--- a/src/core/create-state.ts
+++ b/src/core/create-state.ts
@@ -7,67 +7,65 @@
 const PRIORITIES: readonly Priority[] = [0, 1, 2, 3];
 
 /** The state of a controller that knows nothing yet. `node`: its name, which request ids carry. */
-export function createState(node: string, config: CoreConfig): CoreState {
-  return {
-    node,
-    config,
-    layout: config.initialLayout,
-    legacyChunkTasks: config.initialLayout.tasksPerChunk,
-    pendingLayout: null,
-    leadership: null,
-    machineTypes: new Map(),
-    jobs: new Map(),
-    machines: new Map(),
-    pendingHeartbeats: new Set(),
-    attention: new Set(),
-    newAttention: [],
-    dirtyJobs: { start: new Set(), end: new Set(), exit: new Set(), clean: new Set() },
-    monotonicMs: 0,
-    answerable: [],
-    waitingJobs: new Set(),
-    newlyWaitingJobs: [],
-    queue: [],
-    reservedJobs: [],
-    guaranteedJobs: new Set(),
-    claimsByPriority: new Map(PRIORITIES.map((priority) => [priority, new Set<LiveClaim>()])),
-    preemptedClaims: new Set(),
-    outstandingByClass: new Map(),
-    usageByTeam: new Map(),
-    machinesByImage: new Map(),
-    changedMachines: new Set(),
-    capacityIndex: new CapacityIndex(),
-    unexpected: [],
-    nextMachine: 0,
-    terminatedMachines: new Set(),
-    provisioningRequests: new Map(),
-    provisioningBlockedUntil: new Map(),
-    dependents: new Map(),
-    finalOutcomes: new Map(),
-    unresolvedDependencies: new Map(),
-    pendingDependencyQuery: null,
-    cancelPending: new Map(),
-    writesJobsSingly: false,
-    writeBudget: { level: 0, at: 0 },
-    nextRequest: 1,
-    provisionNotBefore: 0,
-    commit: null,
-    pendingReconciliation: null,
-    commitNotBefore: 0,
-    nextCommit: 1,
-    deferrablePlacements: Infinity,
-    isPlacementDue: false,
-    lastPlacementAt: 0,
-    nextPlanAt: 0,
-    nextDemandSaveAt: 0,
-    head: null,
-    runTimeRatio: new Map(),
-    demand: new Map(),
-    silentZones: new Map(),
-    isOverloaded: false,
-    health: null,
-    plannedMachines: new Set(),
-  };
-}
+export const createState = (node: string, config: CoreConfig): CoreState => ({
+  node,
+  config,
+  monotonicMs: 0,
+  leadership: null,
+  machineTypes: new Map(),
+  jobs: new Map(),
+  machines: new Map(),
+  nextMachine: 0,
+  terminatedMachines: new Set(),
+  finalOutcomes: new Map(),
+  pendingHeartbeats: new Set(),
+  answerable: [],
+  attention: new Set(),
+  newAttention: [],
+  unexpected: [],
+  silentZones: new Map(),
+  isOverloaded: false,
+  health: null,
+  layout: config.initialLayout,
+  legacyChunkTasks: config.initialLayout.tasksPerChunk,
+  pendingLayout: null,
+  dirtyJobs: { start: new Set(), end: new Set(), exit: new Set(), clean: new Set() },
+  commit: null,
+  nextCommit: 1,
+  commitNotBefore: 0,
+  pendingReconciliation: null,
+  writesJobsSingly: false,
+  writeBudget: { level: 0, at: 0 },
+  dependents: new Map(),
+  unresolvedDependencies: new Map(),
+  pendingDependencyQuery: null,
+  cancelPending: new Map(),
+  waitingJobs: new Set(),
+  newlyWaitingJobs: [],
+  queue: [],
+  reservedJobs: [],
+  guaranteedJobs: new Set(),
+  head: null,
+  isPlacementDue: false,
+  lastPlacementAt: 0,
+  deferrablePlacements: Infinity,
+  claimsByPriority: new Map(PRIORITIES.map((priority) => [priority, new Set<LiveClaim>()])),
+  preemptedClaims: new Set(),
+  outstandingByClass: new Map(),
+  usageByTeam: new Map(),
+  machinesByImage: new Map(),
+  changedMachines: new Set(),
+  capacityIndex: new CapacityIndex(),
+  provisioningRequests: new Map(),
+  nextRequest: 1,
+  provisionNotBefore: 0,
+  provisioningBlockedUntil: new Map(),
+  nextPlanAt: 0,
+  plannedMachines: new Set(),
+  demand: new Map(),
+  runTimeRatio: new Map(),
+  nextDemandSaveAt: 0,
+});
 
 /**
  * Drops everything a leader knew. Kept is what does not depend on who leads: machine types, how jobs ended,
@@ -77,16 +75,30 @@
   state.leadership = null;
   state.jobs.clear();
   state.machines.clear();
+  state.terminatedMachines.clear();
   state.pendingHeartbeats.clear();
+  state.answerable.length = 0;
   state.attention.clear();
   state.newAttention.length = 0;
+  state.unexpected.length = 0;
+  state.silentZones.clear();
+  state.health = null;
+  state.pendingLayout = null;
   for (const jobs of Object.values(state.dirtyJobs)) jobs.clear();
-  state.answerable.length = 0;
+  state.commit = null;
+  state.commitNotBefore = 0;
+  state.pendingReconciliation = null;
+  state.writesJobsSingly = false;
+  state.dependents.clear();
+  state.unresolvedDependencies.clear();
+  state.pendingDependencyQuery = null;
+  state.cancelPending.clear();
   state.waitingJobs.clear();
   state.newlyWaitingJobs.length = 0;
   state.queue = [];
   state.reservedJobs = [];
   state.guaranteedJobs.clear();
+  state.head = null;
   for (const claims of state.claimsByPriority.values()) claims.clear();
   state.preemptedClaims.clear();
   state.outstandingByClass.clear();
@@ -94,23 +106,9 @@
   state.machinesByImage.clear();
   state.changedMachines.clear();
   state.capacityIndex.clear();
-  state.unexpected.length = 0;
-  state.terminatedMachines.clear();
   state.provisioningRequests.clear();
   state.provisioningBlockedUntil.clear();
-  state.dependents.clear();
-  state.unresolvedDependencies.clear();
-  state.pendingDependencyQuery = null;
-  state.cancelPending.clear();
-  state.pendingLayout = null;
-  state.writesJobsSingly = false;
-  state.commit = null;
-  state.pendingReconciliation = null;
-  state.commitNotBefore = 0;
-  state.head = null;
-  state.demand.clear();
-  state.silentZones.clear();
-  state.health = null;
-  state.plannedMachines.clear();
   state.nextPlanAt = 0;
+  state.plannedMachines.clear();
+  state.demand.clear();
 }
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -20,11 +20,11 @@
 const MAX_LOGGED_MACHINES = 5;
 
 /**
- * Whether a new leader has heard enough of its machines to place on them. By the first few alone, what waits would
- * go where neither its image nor the resources for it are, and each placement holds up the heartbeats that are
- * still to come. It places in any case once `maxPlacementDelayMs` have passed.
+ * Whether enough machines have reported to a new leader for it to place on them. By the first few alone, what waits
+ * would go where neither its image nor the resources for it are, and each placement holds up the heartbeats that
+ * are still to come. It places in any case once `maxPlacementDelayMs` have passed.
  */
-function hasHeardEnough(state: CoreState, { since }: Leadership, now: Now): boolean {
+function hasEnoughReports(state: CoreState, { since }: Leadership, now: Now): boolean {
   if (now.monotonicMs >= since + state.config.policy.maxPlacementDelayMs) return true;
   const { health } = state;
   return (
@@ -102,7 +102,7 @@
   if (leadership === null) return effects;
   const isTick = commands.some(({ kind }) => kind === 'tick');
   const isReconciled = commands.some(({ kind }) => kind === 'reconciled');
-  const mayPlace = leadership.isTransferring !== true && hasHeardEnough(state, leadership, now);
+  const mayPlace = leadership.isTransferring !== true && hasEnoughReports(state, leadership, now);
   if (mayPlace && isPassDue(state, isTick, now)) placeWaitingJobs(state, isTick, now);
   requestStoreAccess(state, now, effects);
   answerHeartbeats(state, now, isTick || isReconciled, effects);
