--- a/src/core/create-state.ts
+++ b/src/core/create-state.ts
@@ -6,7 +6,7 @@
 
 const PRIORITIES: readonly Priority[] = [0, 1, 2, 3];
 
-/** The state of a controller that knows nothing yet. `node`: its name, which request ids carry. */
+/** The state of a controller that knows nothing yet. `node`: the name of its node. */
 export const createState = (node: string, config: CoreConfig): CoreState => ({
   node,
   config,
