--- a/src/core/fleet/cloud-listing.ts
+++ b/src/core/fleet/cloud-listing.ts
@@ -3,7 +3,7 @@
 import { MAX_TRACKED_MACHINES } from '../limits.js';
 import { log } from '../log.js';
 import type { Now } from '../model.js';
-import { releaseClaim } from '../persistence/write-back.js';
+import { releaseClaim } from '../persistence/claims.js';
 import type { CoreState } from '../state.js';
 import type { ListedMachine } from '../types.js';
 import { dropAllImages } from './image-cache.js';
--- a/src/core/fleet/heartbeats.ts
+++ b/src/core/fleet/heartbeats.ts
@@ -5,7 +5,7 @@
 import type { Effect } from '../effects.js';
 import { log } from '../log.js';
 import { isDone, taskKey, type LiveClaim, type Machine, type Now } from '../model.js';
-import { releaseClaim } from '../persistence/write-back.js';
+import { releaseClaim } from '../persistence/claims.js';
 import type { CoreState } from '../state.js';
 import type { Heartbeat } from '../types.js';
 import { dropAllImages } from './image-cache.js';
--- a/src/core/fleet/task-reports.ts
+++ b/src/core/fleet/task-reports.ts
@@ -1,7 +1,7 @@
 /** What a heartbeat says of single tasks: their stages, and how they exited. */
 import { expectedRun } from '../jobs/jobs.js';
 import { isDone, taskKey, type LiveClaim, type Machine, type Now } from '../model.js';
-import { recordUnclaimedCompletion, releaseClaim } from '../persistence/write-back.js';
+import { recordUnclaimedCompletion, releaseClaim } from '../persistence/claims.js';
 import type { CoreState } from '../state.js';
 import type { ReportedTask } from '../types.js';
 import { recordTaskFailure, recordTaskSuccess } from './fault-attribution.js';
--- a/src/core/fleet/worker-commands.ts
+++ b/src/core/fleet/worker-commands.ts
@@ -2,7 +2,7 @@
 import { settleAttention } from '../attention.js';
 import type { Effect } from '../effects.js';
 import { isDone, isExitDurable, taskKey, type Machine } from '../model.js';
-import { isDurable, releaseClaim } from '../persistence/write-back.js';
+import { isDurable, releaseClaim } from '../persistence/claims.js';
 import { hasFreshView, type CoreState } from '../state.js';
 import type { ReportedTask, WorkerCommand } from '../types.js';
 import { takePendingHeartbeat } from './pending-heartbeats.js';
--- a/src/core/placement/easy.ts
+++ b/src/core/placement/easy.ts
@@ -5,7 +5,7 @@
  */
 import { isDeadlineAtRisk, losesObjectiveWithin } from '../jobs/objectives.js';
 import { nextTask, waitingTasks } from '../jobs/jobs.js';
-import { claimTask } from '../persistence/write-back.js';
+import { claimTask } from '../persistence/claims.js';
 import { CandidateSet } from './candidates.js';
 import type { NodeCapacity } from './capacity-index.js';
 import { refreshCapacity } from './capacity-refresh.js';
