--- a/src/adapters/peers.ts
+++ b/src/adapters/peers.ts
@@ -1,8 +1,8 @@
 /** Links between controllers. Each node dials every other and tells it its status. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import type { Clock } from '../clock.js';
-import { toldEvery } from '../membership/table.js';
-import type { Link } from '../membership/views.js';
+import { snapshotIntervalMs } from '../membership/evidence-rules.js';
+import type { LinkState } from '../membership/status.js';
 import type { Log, Tally } from '../logging.js';
 import { parseAddress, type PlatformSettings, type Timing } from '../settings.js';
 import type { IntakeMessage } from '../wire/intake.js';
@@ -38,7 +38,7 @@
     private readonly status: () => PeerStatus,
     private readonly onStatus: (status: PeerStatus) => void,
     /** What became of the link to a peer, each time that changes or is tried. */
-    private readonly onLink: (node: string, link: Link) => void,
+    private readonly onLink: (node: string, link: LinkState) => void,
     private readonly malformed: Pick<Tally, 'note'>,
     private readonly onIntake: (message: IntakeMessage) => void,
   ) {
@@ -126,10 +126,10 @@
   }
 
   /** Tells the status at every second tick, until the link breaks or stops taking it; how it ended. */
-  async #link(node: string, socket: Socket): Promise<Link> {
+  async #link(node: string, socket: Socket): Promise<LinkState> {
     let open = true;
     let connected = false;
-    let ended: Link = 'silent';
+    let ended: LinkState = 'silent';
     socket.on('connect', () => {
       connected = true;
       ended = 'lost';
@@ -160,7 +160,7 @@
           }
         } else this.#write(socket, encodeStatus(this.status()));
       } else if (this.clock.monotonicMs() - started > 0.5 * this.timing.workerLeaseMs) socket.destroy();
-      await Promise.race([closed, this.clock.sleep(toldEvery(this.timing))]);
+      await Promise.race([closed, this.clock.sleep(snapshotIntervalMs(this.timing))]);
     }
     return ended;
   }
--- a/src/controller/following.ts
+++ b/src/controller/following.ts
@@ -1,6 +1,6 @@
 /** Following: workers are sent to the leader, or answered for one that they cannot reach. */
 import type { Heartbeat } from '../core/types.js';
-import { Routing, type Reach } from '../membership/routing.js';
+import { WorkerRouter, type LeaderReachability } from '../membership/worker-router.js';
 import { encodeRedirect, encodeReply } from '../wire/workers.js';
 import { stateAgeMs, type Common } from './common.js';
 import type { Deputy } from './deputy.js';
@@ -8,7 +8,7 @@
 import type { Peering } from './peering.js';
 
 export class Following {
-  readonly #routing: Routing;
+  readonly #routing: WorkerRouter;
 
   constructor(
     private readonly common: Common,
@@ -18,20 +18,20 @@
     /** Whether a worker has reported here for a leader that shares its reports; it does so no more. */
     private readonly leaveHome: (machine: string) => boolean,
   ) {
-    this.#routing = new Routing(common.timing);
+    this.#routing = new WorkerRouter(common.timing);
   }
 
-  #reach(zone: string): Reach {
+  #reach(zone: string): LeaderReachability {
     const { standing, settings, timing, ports } = this.common;
     const { membership } = this.observing;
     const leader = standing.leader === settings.host_name ? null : standing.leader;
     return {
       leader,
-      heard: leader !== null && membership.isHeard(leader, ports.clock.monotonicMs()),
-      lostAt: leader === null ? null : membership.lostAt(leader),
-      recorded: stateAgeMs(this.common) < timing.leaderLeaseMs,
-      quiet: this.peering.isQuiet(zone),
-      others: membership.hearsBeside(leader, ports.clock.monotonicMs()),
+      hasContact: leader !== null && membership.hasContact(leader, ports.clock.monotonicMs()),
+      linkLostAt: leader === null ? null : membership.linkLostAt(leader),
+      isRecordConfirmed: stateAgeMs(this.common) < timing.leaderLeaseMs,
+      isZoneSilent: this.peering.isQuiet(zone),
+      hasOtherContact: membership.hasOtherContact(leader, ports.clock.monotonicMs()),
       token: standing.highestTerm,
     };
   }
@@ -41,7 +41,10 @@
     const now = this.common.ports.clock.monotonicMs();
     const reach = this.#reach(report.zone);
     // One that reported here has left no leader by coming here again; it has if it comes back from there.
-    if (!this.leaveHome(report.machine) && this.#routing.isStray(report.machine, report.token, reach, now))
+    if (
+      !this.leaveHome(report.machine) &&
+      this.#routing.isUnexpected(report.machine, report.token, reach, now)
+    )
       this.observing.strayed(report.machine);
     const route = this.#routing.route(report.machine, report.token, reach, now);
     if (route !== 'here') {
--- a/src/controller/leading.ts
+++ b/src/controller/leading.ts
@@ -88,7 +88,7 @@
     const { membership } = this.observing;
     const young = now - this.#startedAt < this.common.timing.maxHeartbeatIntervalMs;
     const heard = (node: string): boolean =>
-      membership.lostAt(node) === null && (young || membership.isHeard(node, now));
+      membership.linkLostAt(node) === null && (young || membership.hasContact(node, now));
     return [...this.#wellPlaced].some(heard);
   }
 
@@ -110,7 +110,7 @@
     )
       return null;
     const { membership } = this.observing;
-    return [...this.#wellPlaced].find((node) => membership.isSettled(node, settled, now)) ?? null;
+    return [...this.#wellPlaced].find((node) => membership.isStable(node, settled, now)) ?? null;
   }
 
   /**
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -20,7 +20,7 @@
 import { SharedReports } from './shared-reports.js';
 import { createElection } from '../membership/election.js';
 import type { Resignation } from '../membership/membership.js';
-import type { Link } from '../membership/views.js';
+import type { LinkState } from '../membership/status.js';
 import { rulesFor } from '../rules.js';
 import { lastingLimits, timing, type PlatformSettings } from '../settings.js';
 import { lastingLayout, Upgrade } from '../upgrade.js';
@@ -72,7 +72,7 @@
       log,
       (effect) => this.#carryOut(effect),
       ({ steadyMs, processorMs }) =>
-        this.#observing.membership.pace.worked(steadyMs, processorMs, clock.monotonicMs()),
+        this.#observing.membership.processingRate.record(steadyMs, processorMs, clock.monotonicMs()),
     );
     const standing: LeadershipView = { leader: null, leaderRevision: 0, highestTerm: 0, leadingTerm: 0 };
     this.#common = { settings, timing: times, ports, owner, standing };
@@ -145,7 +145,7 @@
       clock,
       {
         elected: (won) => {
-          this.#observing.membership.forgetStrays();
+          this.#observing.membership.clearUnexpectedReports();
           void this.#leading.lead(won);
         },
         lost: () => {
@@ -154,7 +154,7 @@
         },
         leaderKnown: (leader, modRevision) => {
           if (leader !== null && leader.term > standing.highestTerm)
-            this.#observing.membership.forgetStrays();
+            this.#observing.membership.clearUnexpectedReports();
           standing.leader = leader?.node ?? null;
           standing.leaderRevision = modRevision;
           standing.highestTerm = Math.max(standing.highestTerm, leader?.term ?? 0);
@@ -212,21 +212,21 @@
     return this.#peering.status();
   }
 
-  onLink(node: string, link: Link): void {
+  onLink(node: string, link: LinkState): void {
     this.#observing.onLink(node, link);
     if (link !== 'up') this.#intake.linkLost(node);
   }
 
   onPeer(status: PeerStatus): void {
     // What a life that is over had to say, held back on the way, is no word of the present one.
-    if (!this.#observing.membership.isPresentLife(status)) return;
+    if (!this.#observing.membership.isCurrentIncarnation(status)) return;
     this.#peering.onPeer(status);
     this.#observing.onPeer(status);
   }
 
   /** A message about shared reports from another controller. */
   onIntake(message: IntakeMessage): void {
-    if (!this.#observing.membership.isPresentLife(message)) return;
+    if (!this.#observing.membership.isCurrentIncarnation(message)) return;
     const { standing, owner } = this.#common;
     if (message.kind === 'reports') this.#shared.receive(message);
     else if (owner.state.leadership === null && message.term >= standing.highestTerm) {
@@ -241,7 +241,7 @@
     const { clock } = this.#common.ports;
     const { membership } = this.#observing;
     return this.#common.settings.others
-      .filter(({ host_name }) => membership.keepsUp(host_name, clock.monotonicMs()))
+      .filter(({ host_name }) => membership.isKeepingUp(host_name, clock.monotonicMs()))
       .map(({ host_name, zone }) => ({ node: host_name, zone }));
   }
 
@@ -276,7 +276,7 @@
       if (stateAgeMs(this.#common) >= often) await this.#common.ports.state.read(LEADER_KEY);
       const to = this.#leading.betterPlaced();
       if (to !== null && this.#observing.isFit(to))
-        void this.#handOver({ to, why: 'a better placed node is back' });
+        void this.#handOver({ to, reason: 'a better placed node is back' });
     }
   }
 
@@ -326,12 +326,12 @@
   }
 
   /** Hands the leadership to another node: nothing is begun any more, all is written, the node named. */
-  async #handOver({ to, why }: Resignation): Promise<void> {
+  async #handOver({ to, reason }: Resignation): Promise<void> {
     const { owner, ports } = this.#common;
     const { leadership } = owner.state;
     if (leadership === null || this.#yielding === leadership.term) return;
     this.#yielding = leadership.term;
-    ports.log.info({ to, why }, 'hands over');
+    ports.log.info({ to, why: reason }, 'hands over');
     await this.#leading.close();
     if (owner.state.leadership?.term === leadership.term) this.#election.tell({ kind: 'handOver', to });
   }
--- a/src/controller/observing.ts
+++ b/src/controller/observing.ts
@@ -3,9 +3,9 @@
  * carried out: workers' machines are knocked at for a leader, a leader hands over, a crashed one is
  * succeeded.
  */
-import { Membership, type Standing, type Resignation } from '../membership/membership.js';
-import { CUT_OFF, STRAYS } from '../membership/table.js';
-import type { Link, View } from '../membership/views.js';
+import { Membership, type SuspicionState, type Resignation } from '../membership/membership.js';
+import { MACHINES_UNREACHABLE, MIN_UNEXPECTED_REPORTS } from '../membership/evidence-rules.js';
+import type { LinkState, MemberStatus } from '../membership/status.js';
 import { stateAgeMs, type Common } from './common.js';
 import type { Sights } from './peering.js';
 
@@ -45,19 +45,19 @@
     return this.common.ports.clock.monotonicMs();
   }
 
-  onPeer(view: View): void {
-    this.membership.heard(view, this.#now);
+  onPeer(view: MemberStatus): void {
+    this.membership.receiveStatus(view, this.#now);
     const { standing } = this.common;
-    const asked = view.leading && view.term >= standing.highestTerm && view.asks.length > 0;
-    if (asked && view.round !== this.#answered) void this.#knockFor(view);
+    const asked = view.isLeader && view.term >= standing.highestTerm && view.probeRequests.length > 0;
+    if (asked && view.probeRound !== this.#answered) void this.#knockFor(view);
     this.#conclude();
   }
 
-  onLink(node: string, link: Link): void {
-    this.membership.linked(node, link, this.#now);
+  onLink(node: string, link: LinkState): void {
+    this.membership.setLinkState(node, link, this.#now);
     this.#conclude();
     // Whoever waits for a second witness should not wait for the next word.
-    if (link === 'refused' && this.membership.refusals(node) === 2) this.conclude.tell();
+    if (link === 'refused' && this.membership.consecutiveRefusals(node) === 2) this.conclude.tell();
   }
 
   /** Whether it would be a leader that no worker reaches. */
@@ -72,10 +72,10 @@
 
   /** A worker of the present leader came by, sent by nobody. */
   strayed(machine: string): void {
-    this.membership.strayed(machine, this.#now);
-    const strays = this.membership.strays(this.#now);
-    if (strays < STRAYS) this.#told = 0;
-    if (strays < Math.max(STRAYS, 2 * this.#told)) return;
+    this.membership.recordUnexpectedReport(machine, this.#now);
+    const strays = this.membership.unexpectedReports(this.#now);
+    if (strays < MIN_UNEXPECTED_REPORTS) this.#told = 0;
+    if (strays < Math.max(MIN_UNEXPECTED_REPORTS, 2 * this.#told)) return;
     this.#told = strays;
     this.conclude.tell();
     this.#conclude();
@@ -84,11 +84,12 @@
   /** At every tick: how late it came. */
   tick(lateMs: number): void {
     const now = this.#now;
-    this.membership.ticked(lateMs, now);
+    this.membership.recordTimerLag(lateMs, now);
     const { leadership, health, machines } = this.common.owner.state;
-    this.membership.hears(leadership === null ? null : health, machines.size, leadership?.since);
-    if (leadership !== null && this.membership.isDeaf(now, stateAgeMs(this.common))) this.#ask(now, true);
-    else if (leadership !== null && this.membership.isBehind(now)) this.#ask(now, false);
+    this.membership.setWorkerHealth(leadership === null ? null : health, machines.size, leadership?.since);
+    if (leadership !== null && this.membership.isMissingHeartbeats(now, stateAgeMs(this.common)))
+      this.#ask(now, true);
+    else if (leadership !== null && this.membership.isLagging(now)) this.#ask(now, false);
     else if (this.#asks.length > 0 && now - this.#askedAt > this.common.timing.maxHeartbeatIntervalMs)
       this.#asks = [];
     this.#conclude();
@@ -96,11 +97,11 @@
 
   /** Whether it is behind its timers. */
   get isBusy(): boolean {
-    return this.membership.lateMs(this.#now) > this.common.timing.tickMs / 4;
+    return this.membership.timerLagMs(this.#now) > this.common.timing.tickMs / 4;
   }
 
   get doubtsItself(): boolean {
-    return this.membership.doubtsItself(this.#now);
+    return this.membership.isStalled(this.#now);
   }
 
   #conclude(): void {
@@ -114,28 +115,28 @@
     const { leadership } = owner.state;
     if (leadership !== null) {
       if (leadership.isTransferring === true) return;
-      const to = this.membership.yieldsTo(now, age, this.conclude.preferred());
+      const to = this.membership.chooseSuccessor(now, age, this.conclude.preferred());
       if (to === null) return;
-      this.#cutOff ||= to.why === CUT_OFF;
+      this.#cutOff ||= to.reason === MACHINES_UNREACHABLE;
       this.conclude.yieldTo(to);
     } else if (
       standing.leader !== null &&
       !this.#cutOff &&
-      this.membership.mayInherit(standing.leader, now, age)
+      this.membership.mayReplaceEarly(standing.leader, now, age)
     )
       this.conclude.inherit();
   }
 
-  #log({ node, level, evidence, since }: Standing, now: number): void {
-    const view = this.membership.viewOf(node);
-    const detail = { peer: node, evidence, forMs: Math.round(now - since), lateMs: view?.lateMs ?? 0 };
+  #log({ node, level, evidence, since }: SuspicionState, now: number): void {
+    const view = this.membership.statusOf(node);
+    const detail = { peer: node, evidence, forMs: Math.round(now - since), lateMs: view?.timerLagMs ?? 0 };
     this.common.ports.log.info(detail, level);
   }
 
   /** Whether this node, as a leader, may hand over to a peer; what that needs to be known is asked for. */
   isFit(node: string): boolean {
     const now = this.#now;
-    if (this.membership.isFit(node, now, stateAgeMs(this.common))) return true;
+    if (this.membership.isEligibleSuccessor(node, now, stateAgeMs(this.common))) return true;
     this.#ask(now, false);
     return false;
   }
@@ -164,19 +165,31 @@
     this.#askedAt = now;
     this.#asks = this.#sample(now, unheard);
     if (this.#asks.length === 0) return;
-    const round = this.membership.knocks.round + 1;
-    this.membership.knocked({ round, met: 0, unmet: 0, asked: this.#asks.length, at: now });
+    const round = this.membership.probeRound.round + 1;
+    this.membership.setProbeRound({
+      round,
+      reachable: 0,
+      unreachable: 0,
+      requested: this.#asks.length,
+      startedAt: now,
+    });
     const { health } = this.common.owner.state;
     if (unheard) this.common.ports.log.info({ asks: this.#asks.length, ...health }, 'hears few workers');
     this.conclude.tell();
     void this.#knock(this.#asks, round);
   }
 
-  async #knockFor({ asks, round }: View): Promise<void> {
-    this.#answered = round;
+  async #knockFor({ probeRequests, probeRound }: MemberStatus): Promise<void> {
+    this.#answered = probeRound;
     // A round of the leader's: this node has none of its own meanwhile.
-    this.membership.knocked({ round, met: 0, unmet: 0, asked: asks.length, at: this.#now });
-    await this.#knock(asks, round);
+    this.membership.setProbeRound({
+      round: probeRound,
+      reachable: 0,
+      unreachable: 0,
+      requested: probeRequests.length,
+      startedAt: this.#now,
+    });
+    await this.#knock(probeRequests, probeRound);
     this.conclude.tell();
   }
 
@@ -184,10 +197,10 @@
     const found = await Promise.all(
       addresses.slice(0, MOST_ASKED).map((address) => this.common.ports.workers.isThere(address)),
     );
-    if (this.membership.knocks.round !== round) return;
+    if (this.membership.probeRound.round !== round) return;
     const met = found.filter((one) => one === true).length;
     const unmet = found.filter((one) => one === false).length;
-    this.membership.knocked({ ...this.membership.knocks, met, unmet });
+    this.membership.setProbeRound({ ...this.membership.probeRound, reachable: met, unreachable: unmet });
     this.#conclude();
   }
 
@@ -195,24 +208,24 @@
   sights(): Sights {
     const now = this.#now;
     const { health, leadership } = this.common.owner.state;
-    const { round, met, unmet } = this.membership.knocks;
+    const { round, reachable, unreachable } = this.membership.probeRound;
     return {
-      lateMs: this.membership.lateMs(now),
-      sees: this.membership.sees(now),
-      strays: this.membership.strays(now),
-      heard: leadership === null ? 0 : (health?.reporting ?? 0),
+      timerLagMs: this.membership.timerLagMs(now),
+      observations: this.membership.observations(now),
+      unexpectedReports: this.membership.unexpectedReports(now),
+      reporting: leadership === null ? 0 : (health?.reporting ?? 0),
       expected: leadership === null ? 0 : (health?.expected ?? 0),
-      asks: leadership === null ? [] : this.#asks,
-      round,
-      met,
-      unmet,
+      probeRequests: leadership === null ? [] : this.#asks,
+      probeRound: round,
+      reachable,
+      unreachable,
     };
   }
 
   /** For the status page: who is suspected, since when, on what evidence. */
   describe(): object[] {
     const now = this.#now;
-    return this.membership.standings().map(({ node, level, since, evidence }) => ({
+    return this.membership.suspicionStates().map(({ node, level, since, evidence }) => ({
       node,
       level,
       ...(Number.isFinite(since) ? { forMs: Math.round(now - since) } : {}),
--- a/src/controller/peering.ts
+++ b/src/controller/peering.ts
@@ -4,13 +4,21 @@
 import { FORMAT } from '../core/persistence/index.js';
 import { resolvedUntil } from '../core/jobs/index.js';
 import { REASONS, whyWaits } from '../core/placement/index.js';
-import type { View } from '../membership/views.js';
+import type { MemberStatus } from '../membership/status.js';
 import type { JobCount, PeerStatus, QuietZone } from '../wire/peers.js';
 
 /** The part of a status that tells of suspicion. */
 export type Sights = Pick<
-  View,
-  'lateMs' | 'sees' | 'strays' | 'heard' | 'expected' | 'asks' | 'round' | 'met' | 'unmet'
+  MemberStatus,
+  | 'timerLagMs'
+  | 'observations'
+  | 'unexpectedReports'
+  | 'reporting'
+  | 'expected'
+  | 'probeRequests'
+  | 'probeRound'
+  | 'reachable'
+  | 'unreachable'
 >;
 
 interface HeardStatus {
@@ -94,8 +102,8 @@
       node: this.common.settings.host_name,
       incarnation: this.common.ports.incarnation,
       term: this.term(),
-      leading: state.leadership !== null,
-      stateAgeMs: stateAgeMs(this.common),
+      isLeader: state.leadership !== null,
+      storeContactAgeMs: stateAgeMs(this.common),
       counts,
       format: FORMAT,
       settledAt: this.#settledAt(),
@@ -117,10 +125,10 @@
 
   /** Takes over what a peer knows of quiet zones; it grows old by itself once nobody tells of it. */
   #learnQuiet(status: PeerStatus, now: number): void {
-    if (status.leading) this.#quiet.clear();
+    if (status.isLeader) this.#quiet.clear();
     for (const { zone, ageMs } of status.quiet) {
       const since = now - ageMs;
-      if (status.leading || (this.#quiet.get(zone) ?? -Infinity) < since) this.#quiet.set(zone, since);
+      if (status.isLeader || (this.#quiet.get(zone) ?? -Infinity) < since) this.#quiet.set(zone, since);
     }
   }
 
@@ -146,7 +154,7 @@
     const fresh = this.common.timing.cancelTimeoutMs / 2 - 2 * this.common.settings.cluster.clock_error_ms;
     const now = this.common.ports.clock.epochMs();
     if (now - this.#settledAt() < fresh) return true;
-    return [...this.#heard.values()].some(({ status }) => status.leading && now - status.settledAt < fresh);
+    return [...this.#heard.values()].some(({ status }) => status.isLeader && now - status.settledAt < fresh);
   }
 
   onPeer(status: PeerStatus): void {
@@ -159,7 +167,7 @@
     if (status.hears.length > 0)
       this.common.owner.push({ kind: 'machinesRelayed', machines: status.hears, ageMs: 0 });
     if (status.term >= this.common.standing.highestTerm) this.#learnQuiet(status, now);
-    if (!status.leading || status.term < this.common.standing.highestTerm) return;
+    if (!status.isLeader || status.term < this.common.standing.highestTerm) return;
     if (this.common.owner.state.leadership === null) this.common.standing.leader = status.node;
     if (status.provenAt > 0)
       this.receiveSnapshot({ at: status.provenAt, live: new Set(status.counts.map(({ id }) => id)) });
@@ -179,7 +187,7 @@
     const now = this.common.ports.clock.monotonicMs();
     let heard = this.#heard.size === 0;
     for (const { status, at } of this.#heard.values()) {
-      if (now - at < stale / 2 && status.stateAgeMs < stale / 2) return false;
+      if (now - at < stale / 2 && status.storeContactAgeMs < stale / 2) return false;
       heard ||= now - at < stale;
     }
     // Alone without the state service and all peers, it is this node that is cut off.
--- a/src/controller/report-intake.ts
+++ b/src/controller/report-intake.ts
@@ -8,7 +8,7 @@
 import type { Keepalive } from '../core/fleet/index.js';
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Heartbeat, ReportedTask } from '../core/types.js';
-import { toldEvery } from '../membership/table.js';
+import { snapshotIntervalMs } from '../membership/evidence-rules.js';
 import type { Timing } from '../settings.js';
 import type { AnswersMessage, ForwardedReport, IntakeMessage, Shed } from '../wire/intake.js';
 
@@ -111,7 +111,9 @@
     if (view === null || following === null || !view.isSharing) return null;
     if (view.leader !== following.leader || view.term !== following.term) return null;
     const { clock, timing } = this.context;
-    return clock.monotonicMs() - view.receivedAt < SNAPSHOTS_MISSED * toldEvery(timing) ? view : null;
+    return clock.monotonicMs() - view.receivedAt < SNAPSHOTS_MISSED * snapshotIntervalMs(timing)
+      ? view
+      : null;
   }
 
   /** Whether a worker has reported here of late; from now on it is sent elsewhere. */
--- a/src/controller/shared-reports.ts
+++ b/src/controller/shared-reports.ts
@@ -4,13 +4,13 @@
  */
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import {
-  balance,
+  chooseRebalancing,
   chooseFollower,
-  isSharedAt,
-  movesAllowed,
-  type Balance,
+  shouldShare,
+  maxMoves,
+  type Rebalancing,
   type FollowerLoad,
-} from '../membership/sharing.js';
+} from '../membership/heartbeat-sharing.js';
 import type { ForwardedAnswer, IntakeMessage, ReportsMessage } from '../wire/intake.js';
 import { nameBytes, portionLength } from '../wire/portions.js';
 import type { Common } from './common.js';
@@ -53,7 +53,7 @@
 export class SharedReports {
   #isSharing = false;
   #movesLeft = 0;
-  #balance: Balance | null = null;
+  #balance: Rebalancing | null = null;
   /** Which follower a machine last reported to, and how many machines each follower has. */
   readonly #homes = new Map<string, string>();
   readonly #counts = new Map<string, number>();
@@ -205,7 +205,12 @@
   #send(
     node: string,
     outbox: Outbox,
-    content: { answers: ForwardedAnswer[]; attention: readonly string[]; snapshot?: number; shed?: Balance },
+    content: {
+      answers: ForwardedAnswer[];
+      attention: readonly string[];
+      snapshot?: number;
+      shed?: Rebalancing;
+    },
   ): void {
     const { leadership } = this.common.owner.state;
     if (leadership === null) return;
@@ -262,7 +267,7 @@
     const candidates = this.context.candidates();
     const from = config.policy.sharedHeartbeatsMinMachines;
     const before = this.#isSharing;
-    this.#isSharing = candidates.length > 0 && isSharedAt(machines.size, from, before);
+    this.#isSharing = candidates.length > 0 && shouldShare(machines.size, from, before);
     if (this.#isSharing !== before)
       this.common.ports.log.info(
         { machines: machines.size, from, with: candidates.length },
@@ -272,8 +277,8 @@
     // A follower that has not taken this leader's word would send every worker back.
     const taking = this.#isSharing ? candidates.filter(({ node }) => this.context.isTaking(node)) : [];
     this.#loads = taking.map(({ node, zone }) => ({ node, zone, workers: this.#counts.get(node) ?? 0 }));
-    this.#movesLeft = movesAllowed(machines.size);
-    this.#balance = this.#isSharing ? balance(this.#loads, this.#movesLeft) : null;
+    this.#movesLeft = maxMoves(machines.size);
+    this.#balance = this.#isSharing ? chooseRebalancing(this.#loads, this.#movesLeft) : null;
     // When it ends, those that were told of it are told so once.
     return new Set(this.#isSharing || before ? candidates.map(({ node }) => node) : []);
   }
--- a/src/membership/accrual.ts
+++ b/src/membership/inter-arrival-tracker.ts
@@ -5,24 +5,24 @@
  */
 import { errorFunction, mean, sampleStandardDeviation } from 'simple-statistics';
 
-const KEPT = 24;
+const MAX_SAMPLES = 24;
 /** Fewer gaps than this say little of their spread. */
-const FEW = 4;
+const MIN_SAMPLES = 4;
 /** The spread is taken for at least this part of the usual gap. */
-const LEAST_SPREAD = 0.25;
+const MIN_DEVIATION_SHARE = 0.25;
 /** What the approximation of the normal distribution's tail still tells apart. */
-const LEAST_CHANCE = 1e-6;
+const MIN_PROBABILITY = 1e-6;
 
-export class Gaps {
+export class InterArrivalTracker {
   readonly #gaps: number[] = [];
   #last: number | null = null;
 
   /** `usual`: the gap between two words that nothing has held up, in milliseconds. */
   constructor(private readonly usual: number) {}
 
-  note(at: number): void {
+  record(at: number): void {
     if (this.#last !== null) this.#gaps.push(Math.max(0, at - this.#last));
-    if (this.#gaps.length > KEPT) this.#gaps.shift();
+    if (this.#gaps.length > MAX_SAMPLES) this.#gaps.shift();
     this.#last = at;
   }
 
@@ -36,11 +36,11 @@
   phi(now: number): number {
     if (this.#last === null) return 0;
     // Words that are sent early, on a change, make no later one due sooner.
-    const centre = Math.max(this.usual, this.#gaps.length < FEW ? 0 : mean(this.#gaps));
-    const seen = this.#gaps.length < FEW ? 0 : sampleStandardDeviation(this.#gaps);
-    const spread = Math.max(LEAST_SPREAD * centre, seen);
+    const centre = Math.max(this.usual, this.#gaps.length < MIN_SAMPLES ? 0 : mean(this.#gaps));
+    const seen = this.#gaps.length < MIN_SAMPLES ? 0 : sampleStandardDeviation(this.#gaps);
+    const spread = Math.max(MIN_DEVIATION_SHARE * centre, seen);
     const z = (now - this.#last - centre) / spread;
     const chance = 0.5 * (1 - errorFunction(z / Math.SQRT2));
-    return -Math.log10(Math.max(LEAST_CHANCE, Math.min(1, chance)));
+    return -Math.log10(Math.max(MIN_PROBABILITY, Math.min(1, chance)));
   }
 }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -4,16 +4,25 @@
  * tells it what is seen, with the steady time.
  */
 import type { Timing } from '../core/timing.js';
-import { Gaps } from './accrual.js';
-import { Pace } from './pace.js';
-import { isDeaf, TABLE, toldEvery, type Own, type Peer, type Row, type Scene, type Table } from './table.js';
-import type { Hearing, Link, Round, Sight, View } from './views.js';
-
-export type Level = 'trusted' | 'suspected' | 'given up';
-
-export interface Standing {
+import { InterArrivalTracker } from './inter-arrival-tracker.js';
+import { ProcessingRateMonitor } from './processing-rate.js';
+import {
+  isMissingHeartbeats,
+  EVIDENCE_RULES,
+  snapshotIntervalMs,
+  type LocalState,
+  type Peer,
+  type EvidenceRule,
+  type EvidenceContext,
+  type EvidenceRules,
+} from './evidence-rules.js';
+import type { HealthCounts, LinkState, ProbeRound, Observation, MemberStatus } from './status.js';
+
+export type SuspicionLevel = 'trusted' | 'suspected' | 'given up';
+
+export interface SuspicionState {
   readonly node: string;
-  readonly level: Level;
+  readonly level: SuspicionLevel;
   /** Steady time. */
   readonly since: number;
   readonly evidence: string;
@@ -22,319 +31,318 @@
 /** A leader's hand-over: to whom, and why. */
 export interface Resignation {
   readonly to: string;
-  readonly why: string;
+  readonly reason: string;
 }
 
 /** A node that was doubted has to be heard well for longer before anybody hands over to it: at most so many times. */
-const MOST_SETTLING = 8;
+const MAX_SETTLING_FACTOR = 8;
 
 /** A process that fired so many timers in time has caught up. */
-const IN_TIME = 3;
+const MIN_PUNCTUAL_TIMERS = 3;
 
 /** Lives of a peer that are remembered as over. */
-const MOST_LIVES = 50;
+const MAX_PREVIOUS_INCARNATIONS = 50;
 
 export class Membership {
   readonly #peers = new Map<string, Peer>();
-  readonly #levels = new Map<string, Standing>();
+  readonly #suspicions = new Map<string, SuspicionState>();
   /** How often a peer was doubted of late, and when last. */
-  readonly #doubts = new Map<string, { times: number; at: number }>();
-  readonly #strays = new Map<string, number>();
-  readonly pace: Pace;
-  #lateMs = 0;
-  #lateAt = -Infinity;
-  #behindSince: number | null = null;
-  #doubtUntil = -Infinity;
-  #hearing: Hearing | null = null;
-  #knocks: Round = { round: 0, met: 0, unmet: 0, asked: 0, at: -Infinity };
-  #machines = 0;
-  #ledFrom = Infinity;
+  readonly #recentSuspicions = new Map<string, { times: number; at: number }>();
+  readonly #unexpectedReports = new Map<string, number>();
+  readonly processingRate: ProcessingRateMonitor;
+  #timerLagMs = 0;
+  #timerLagAt = -Infinity;
+  #laggingSince: number | null = null;
+  #stalledUntil = -Infinity;
+  #health: HealthCounts | null = null;
+  #probeRound: ProbeRound = { round: 0, reachable: 0, unreachable: 0, requested: 0, startedAt: -Infinity };
+  #machineCount = 0;
+  #leaderSince = Infinity;
   /** Timers in a row that fired in time. */
-  #inTime = 0;
+  #punctualTimers = 0;
 
   constructor(
     others: readonly string[],
     private readonly timing: Timing,
-    private readonly table: Table = TABLE,
+    private readonly table: EvidenceRules = EVIDENCE_RULES,
     /** This node's share of a processor. */
     share = 1,
   ) {
-    this.pace = new Pace(timing, share);
+    this.processingRate = new ProcessingRateMonitor(timing, share);
     for (const node of others) {
       this.#peers.set(node, {
         node,
-        view: null,
-        heardAt: null,
-        since: -Infinity,
-        gaps: new Gaps(toldEvery(timing)),
-        link: 'silent',
-        linkAt: -Infinity,
-        lostAt: null,
-        refusals: 0,
-        formerLives: [],
+        status: null,
+        lastStatusAt: null,
+        contactSince: -Infinity,
+        arrivals: new InterArrivalTracker(snapshotIntervalMs(timing)),
+        linkState: 'silent',
+        linkLostAt: null,
+        consecutiveRefusals: 0,
+        previousIncarnations: [],
       });
-      this.#levels.set(node, { node, level: 'trusted', since: -Infinity, evidence: 'not heard yet' });
+      this.#suspicions.set(node, { node, level: 'trusted', since: -Infinity, evidence: 'not heard yet' });
     }
   }
 
   /** Whether a word is not one of a life that another has followed: such may have been held back. */
-  isPresentLife({ node, incarnation }: Pick<View, 'node' | 'incarnation'>): boolean {
-    return this.#peers.get(node)?.formerLives.includes(incarnation) !== true;
+  isCurrentIncarnation({ node, incarnation }: Pick<MemberStatus, 'node' | 'incarnation'>): boolean {
+    return this.#peers.get(node)?.previousIncarnations.includes(incarnation) !== true;
   }
 
   /** Whether a peer is heard, its link is up, and it is not behind its timers. */
-  keepsUp(node: string, now: number): boolean {
+  isKeepingUp(node: string, now: number): boolean {
     const peer = this.#peers.get(node);
-    if (peer?.view == null || peer.link !== 'up') return false;
-    return this.isHeard(node, now) && peer.view.lateMs < 2 * this.timing.tickMs;
+    if (peer?.status == null || peer.linkState !== 'up') return false;
+    return this.hasContact(node, now) && peer.status.timerLagMs < 2 * this.timing.tickMs;
   }
 
   /** A peer's own word refutes at once what was suspected of it. */
-  heard(view: View, now: number): void {
+  receiveStatus(view: MemberStatus, now: number): void {
     const peer = this.#peers.get(view.node);
-    if (peer === undefined || !this.isPresentLife(view)) return;
-    const former = peer.view?.incarnation;
-    if (former !== undefined && former !== view.incarnation) peer.formerLives.push(former);
-    if (peer.formerLives.length > MOST_LIVES) peer.formerLives.shift();
-    const gap = peer.heardAt === null || now - peer.heardAt > 2 * this.timing.maxHeartbeatIntervalMs;
-    if (gap || peer.view?.incarnation !== view.incarnation) {
-      peer.since = now;
-      peer.gaps.restart(now);
-    } else peer.gaps.note(now);
-    peer.view = view;
-    peer.heardAt = now;
+    if (peer === undefined || !this.isCurrentIncarnation(view)) return;
+    const former = peer.status?.incarnation;
+    if (former !== undefined && former !== view.incarnation) peer.previousIncarnations.push(former);
+    if (peer.previousIncarnations.length > MAX_PREVIOUS_INCARNATIONS) peer.previousIncarnations.shift();
+    const gap =
+      peer.lastStatusAt === null || now - peer.lastStatusAt > 2 * this.timing.maxHeartbeatIntervalMs;
+    if (gap || peer.status?.incarnation !== view.incarnation) {
+      peer.contactSince = now;
+      peer.arrivals.restart(now);
+    } else peer.arrivals.record(now);
+    peer.status = view;
+    peer.lastStatusAt = now;
     // A word may have been on its way when the link broke; the link itself has to come back.
-    if (peer.link !== 'refused' && peer.link !== 'lost') peer.lostAt = null;
+    if (peer.linkState !== 'refused' && peer.linkState !== 'lost') peer.linkLostAt = null;
   }
 
-  linked(node: string, link: Link, now: number): void {
+  setLinkState(node: string, link: LinkState, now: number): void {
     const peer = this.#peers.get(node);
     if (peer === undefined) return;
-    if (link === 'refused') peer.refusals += 1;
+    if (link === 'refused') peer.consecutiveRefusals += 1;
     if (link === 'up') {
-      peer.lostAt = null;
-      peer.refusals = 0;
-    } else if (link !== 'silent' && peer.lostAt === null && peer.heardAt !== null) {
+      peer.linkLostAt = null;
+      peer.consecutiveRefusals = 0;
+    } else if (link !== 'silent' && peer.linkLostAt === null && peer.lastStatusAt !== null) {
       // One that was never heard may only not have started yet.
-      peer.lostAt = now;
-      peer.refusals = link === 'refused' ? 1 : 0;
+      peer.linkLostAt = now;
+      peer.consecutiveRefusals = link === 'refused' ? 1 : 0;
     }
-    peer.link = link;
-    peer.linkAt = now;
+    peer.linkState = link;
   }
 
   /** How late this node's own timer fired. */
-  ticked(lateMs: number, now: number): void {
+  recordTimerLag(timerLagMs: number, now: number): void {
     const { tickMs, maxHeartbeatIntervalMs } = this.timing;
     // The worst of late, fading: one timer that fires in time does not make a slow process fast.
-    const faded = this.#lateMs * Math.exp(-(now - this.#lateAt) / maxHeartbeatIntervalMs);
-    this.#lateMs = Math.max(lateMs, Number.isFinite(faded) ? faded : 0);
-    this.#lateAt = now;
-    this.#inTime = lateMs > tickMs / 2 ? 0 : this.#inTime + 1;
+    const faded = this.#timerLagMs * Math.exp(-(now - this.#timerLagAt) / maxHeartbeatIntervalMs);
+    this.#timerLagMs = Math.max(timerLagMs, Number.isFinite(faded) ? faded : 0);
+    this.#timerLagAt = now;
+    this.#punctualTimers = timerLagMs > tickMs / 2 ? 0 : this.#punctualTimers + 1;
     // A single stall makes nobody slow.
-    if (this.#inTime >= IN_TIME) this.#behindSince = null;
-    else if (lateMs > tickMs / 2) this.#behindSince ??= now;
+    if (this.#punctualTimers >= MIN_PUNCTUAL_TIMERS) this.#laggingSince = null;
+    else if (timerLagMs > tickMs / 2) this.#laggingSince ??= now;
     // What came meanwhile lies in queues: nobody is judged before it is worked off.
-    if (lateMs > 2 * tickMs) this.#doubtUntil = now + maxHeartbeatIntervalMs;
-    else if (lateMs > tickMs) this.#doubtUntil = Math.max(this.#doubtUntil, now + 2 * tickMs);
+    if (timerLagMs > 2 * tickMs) this.#stalledUntil = now + maxHeartbeatIntervalMs;
+    else if (timerLagMs > tickMs) this.#stalledUntil = Math.max(this.#stalledUntil, now + 2 * tickMs);
   }
 
   /** A worker that has served the present leader came by, sent by nobody. */
-  strayed(machine: string, now: number): void {
+  recordUnexpectedReport(machine: string, now: number): void {
     // Latest last, so that what grows old is found at the front.
-    this.#strays.delete(machine);
-    this.#strays.set(machine, now);
+    this.#unexpectedReports.delete(machine);
+    this.#unexpectedReports.set(machine, now);
   }
 
   /** Workers that came by of late, sent by nobody. */
-  strays(now: number): number {
-    for (const [machine, at] of this.#strays) {
+  unexpectedReports(now: number): number {
+    for (const [machine, at] of this.#unexpectedReports) {
       if (now - at <= this.timing.maxHeartbeatIntervalMs) break;
-      this.#strays.delete(machine);
+      this.#unexpectedReports.delete(machine);
     }
-    return this.#strays.size;
+    return this.#unexpectedReports.size;
   }
 
   /** Another leads: who strayed from the one before says nothing of it. */
-  forgetStrays(): void {
-    this.#strays.clear();
+  clearUnexpectedReports(): void {
+    this.#unexpectedReports.clear();
   }
 
   /** How this node hears its workers as a leader; null: it does not lead. */
-  hears(hearing: Hearing | null, machines = 0, ledFrom = Infinity): void {
-    this.#hearing = hearing;
-    this.#ledFrom = ledFrom;
-    this.#machines = machines;
+  setWorkerHealth(hearing: HealthCounts | null, machines = 0, ledFrom = Infinity): void {
+    this.#health = hearing;
+    this.#leaderSince = ledFrom;
+    this.#machineCount = machines;
   }
 
-  knocked(knocks: Round): void {
-    this.#knocks = knocks;
+  setProbeRound(probeRound: ProbeRound): void {
+    this.#probeRound = probeRound;
   }
 
-  get knocks(): Round {
-    return this.#knocks;
+  get probeRound(): ProbeRound {
+    return this.#probeRound;
   }
 
-  lateMs(now: number): number {
+  timerLagMs(now: number): number {
     return Math.round(
-      this.#lateMs * Math.exp(-Math.max(0, now - this.#lateAt) / this.timing.maxHeartbeatIntervalMs),
+      this.#timerLagMs * Math.exp(-Math.max(0, now - this.#timerLagAt) / this.timing.maxHeartbeatIntervalMs),
     );
   }
 
   /** Whether this node has stood still and not caught up: it doubts itself before it doubts others. */
-  doubtsItself(now: number): boolean {
-    return now < this.#doubtUntil;
+  isStalled(now: number): boolean {
+    return now < this.#stalledUntil;
   }
 
-  sees(now: number): Sight[] {
-    return [...this.#peers.values()].map(({ node, heardAt, link }) => ({
+  observations(now: number): Observation[] {
+    return [...this.#peers.values()].map(({ node, lastStatusAt, linkState }) => ({
       node,
-      ageMs: heardAt === null ? 0xffffffff : Math.round(Math.max(0, now - heardAt)),
-      link,
+      ageMs: lastStatusAt === null ? 0xffffffff : Math.round(Math.max(0, now - lastStatusAt)),
+      linkState,
     }));
   }
 
-  viewOf(node: string): View | null {
-    return this.#peers.get(node)?.view ?? null;
+  statusOf(node: string): MemberStatus | null {
+    return this.#peers.get(node)?.status ?? null;
   }
 
   /** When the link to a node broke or was refused, with no word of it since; null: it is not so. */
-  lostAt(node: string): number | null {
-    return this.#peers.get(node)?.lostAt ?? null;
+  linkLostAt(node: string): number | null {
+    return this.#peers.get(node)?.linkLostAt ?? null;
   }
 
   /** How often in a row a node has refused the link. */
-  refusals(node: string): number {
-    return this.#peers.get(node)?.refusals ?? 0;
+  consecutiveRefusals(node: string): number {
+    return this.#peers.get(node)?.consecutiveRefusals ?? 0;
   }
 
   /** Whether a peer has been heard within the longest report. */
-  isHeard(node: string, now: number): boolean {
-    const heardAt = this.#peers.get(node)?.heardAt ?? null;
+  hasContact(node: string, now: number): boolean {
+    const heardAt = this.#peers.get(node)?.lastStatusAt ?? null;
     return heardAt !== null && now - heardAt < this.timing.maxHeartbeatIntervalMs;
   }
 
   /** Whether another controller than one is heard. */
-  hearsBeside(node: string | null, now: number): boolean {
+  hasOtherContact(node: string | null, now: number): boolean {
     return [...this.#peers.values()].some(
-      (peer) => peer.node !== node && peer.lostAt === null && this.isHeard(peer.node, now),
+      (peer) => peer.node !== node && peer.linkLostAt === null && this.hasContact(peer.node, now),
     );
   }
 
-  #own(now: number, stateAgeMs: number): Own {
+  #localState(now: number, storeContactAgeMs: number): LocalState {
     return {
-      stateAgeMs,
-      lateMs: this.lateMs(now),
-      behindSince: this.#behindSince,
-      ledFrom: this.#ledFrom,
-      isSlow: this.pace.isSlow,
-      doubtsItself: this.doubtsItself(now),
-      strays: this.strays(now),
-      hearing: this.#hearing,
-      knocks: this.#knocks,
-      machines: this.#machines,
+      storeContactAgeMs,
+      timerLagMs: this.timerLagMs(now),
+      laggingSince: this.#laggingSince,
+      leaderSince: this.#leaderSince,
+      isProcessorSlow: this.processingRate.isSlow,
+      isStalled: this.isStalled(now),
+      unexpectedReports: this.unexpectedReports(now),
+      health: this.#health,
+      probeRound: this.#probeRound,
+      machineCount: this.#machineCount,
     };
   }
 
-  #scene(peer: Peer, now: number, stateAgeMs: number): Scene {
+  #evidenceContext(peer: Peer, now: number, storeContactAgeMs: number): EvidenceContext {
     const witnesses = [...this.#peers.values()].filter(
-      (other) => other !== peer && other.lostAt === null && this.isHeard(other.node, now),
+      (other) => other !== peer && other.linkLostAt === null && this.hasContact(other.node, now),
     );
-    return { now, timing: this.timing, own: this.#own(now, stateAgeMs), witnesses };
+    return { now, timing: this.timing, local: this.#localState(now, storeContactAgeMs), witnesses };
   }
 
   /** Brings the levels up to date; those that changed. */
-  assess(now: number, stateAgeMs: number): Standing[] {
-    const changed: Standing[] = [];
+  assess(now: number, storeContactAgeMs: number): SuspicionState[] {
+    const changed: SuspicionState[] = [];
     for (const peer of this.#peers.values()) {
-      if (peer.heardAt === null) continue;
-      const scene = this.#scene(peer, now, stateAgeMs);
+      if (peer.lastStatusAt === null) continue;
+      const context = this.#evidenceContext(peer, now, storeContactAgeMs);
       // While this node itself was standing still, everybody seemed silent.
-      if (scene.own.doubtsItself) continue;
-      const suspicion = this.table.suspicions.find((row) => row.holds(peer, scene));
+      if (context.local.isStalled) continue;
+      const suspicion = this.table.suspected.find((row) => row.holds(peer, context));
       // Of others than a leader no verdict is needed: none would allow anything.
       const crashed =
         suspicion !== undefined &&
-        peer.view?.leading === true &&
-        this.table.crashed.every((row) => row.holds(peer, scene));
-      const level: Level = crashed ? 'given up' : suspicion === undefined ? 'trusted' : 'suspected';
-      const before = this.#levels.get(peer.node);
+        peer.status?.isLeader === true &&
+        this.table.crashed.every((row) => row.holds(peer, context));
+      const level: SuspicionLevel = crashed ? 'given up' : suspicion === undefined ? 'trusted' : 'suspected';
+      const before = this.#suspicions.get(peer.node);
       // What was given up is taken back by its own word only.
       if (before?.level === level || (before?.level === 'given up' && level === 'suspected')) continue;
       const evidence = crashed
         ? this.table.crashed.map(({ name }) => name).join(', ')
         : (suspicion?.name ?? 'it speaks');
-      const standing: Standing = { node: peer.node, level, since: now, evidence };
-      this.#levels.set(peer.node, standing);
+      const standing: SuspicionState = { node: peer.node, level, since: now, evidence };
+      this.#suspicions.set(peer.node, standing);
       changed.push(standing);
-      if (level === 'suspected' && before?.level === 'trusted') this.#doubt(peer.node, now);
+      if (level === 'suspected' && before?.level === 'trusted') this.#recordSuspicion(peer.node, now);
     }
     return changed;
   }
 
-  #doubt(node: string, now: number): void {
-    const times = this.#doubtsOf(node, now);
-    this.#doubts.set(node, { times: times + 1, at: now });
+  #recordSuspicion(node: string, now: number): void {
+    const times = this.#suspicionCount(node, now);
+    this.#recentSuspicions.set(node, { times: times + 1, at: now });
   }
 
   /** Doubts are forgotten one by one, each in eight leases of a worker. */
-  #doubtsOf(node: string, now: number): number {
-    const doubts = this.#doubts.get(node);
+  #suspicionCount(node: string, now: number): number {
+    const doubts = this.#recentSuspicions.get(node);
     if (doubts === undefined) return 0;
     return Math.max(0, doubts.times - Math.floor((now - doubts.at) / (8 * this.timing.workerLeaseMs)));
   }
 
-  standings(): Standing[] {
-    return [...this.#levels.values()];
+  suspicionStates(): SuspicionState[] {
+    return [...this.#suspicions.values()];
   }
 
-  levelOf(node: string): Level {
-    return this.#levels.get(node)?.level ?? 'trusted';
+  levelOf(node: string): SuspicionLevel {
+    return this.#suspicions.get(node)?.level ?? 'trusted';
   }
 
   /**
    * Whether a peer has been heard and trusted without a gap for so long, and longer the more often it
    * was doubted of late: leadership is not handed back to one that flaps.
    */
-  isSettled(node: string, settled: number, now: number): boolean {
+  isStable(node: string, settled: number, now: number): boolean {
     const peer = this.#peers.get(node);
-    const standing = this.#levels.get(node);
+    const standing = this.#suspicions.get(node);
     if (peer === undefined || standing === undefined || standing.level !== 'trusted') return false;
-    const wait = settled * Math.min(MOST_SETTLING, 2 ** this.#doubtsOf(node, now));
-    return now - Math.max(peer.since, standing.since) > wait;
+    const wait = settled * Math.min(MAX_SETTLING_FACTOR, 2 ** this.#suspicionCount(node, now));
+    return now - Math.max(peer.contactSince, standing.since) > wait;
   }
 
   /** Whether a leader may hand over to a peer as it is now. */
-  isFit(node: string, now: number, stateAgeMs: number): boolean {
+  isEligibleSuccessor(node: string, now: number, storeContactAgeMs: number): boolean {
     const peer = this.#peers.get(node);
-    return peer !== undefined && this.#isFit(peer, now, stateAgeMs);
+    return peer !== undefined && this.#isEligible(peer, now, storeContactAgeMs);
   }
 
-  #isFit(peer: Peer, now: number, stateAgeMs: number): boolean {
-    const scene = this.#scene(peer, now, stateAgeMs);
-    return this.table.fit.every((row) => row.holds(peer, scene));
+  #isEligible(peer: Peer, now: number, storeContactAgeMs: number): boolean {
+    const context = this.#evidenceContext(peer, now, storeContactAgeMs);
+    return this.table.eligibleSuccessor.every((row) => row.holds(peer, context));
   }
 
   /** Whether the leader that this node follows may be succeeded before its lease is over. */
-  mayInherit(leader: string, now: number, stateAgeMs: number): boolean {
+  mayReplaceEarly(leader: string, now: number, storeContactAgeMs: number): boolean {
     const peer = this.#peers.get(leader);
     if (peer === undefined) return false;
-    const scene = this.#scene(peer, now, stateAgeMs);
-    return this.table.crashed.every((row: Row) => row.holds(peer, scene));
+    const context = this.#evidenceContext(peer, now, storeContactAgeMs);
+    return this.table.crashed.every((row: EvidenceRule) => row.holds(peer, context));
   }
 
   /** Whether this node, as a leader, should ask what the others meet at machines that it does not hear. */
-  isDeaf(now: number, stateAgeMs: number): boolean {
-    const own = this.#own(now, stateAgeMs);
-    return !own.doubtsItself && isDeaf(own, this.timing);
+  isMissingHeartbeats(now: number, storeContactAgeMs: number): boolean {
+    const own = this.#localState(now, storeContactAgeMs);
+    return !own.isStalled && isMissingHeartbeats(own, this.timing);
   }
 
   /** Whether this node is slow, and behind its timers, and has been for a while. */
-  isBehind(now: number): boolean {
+  isLagging(now: number): boolean {
     return (
-      this.pace.isSlow &&
-      this.#behindSince !== null &&
-      now - this.#behindSince > this.timing.maxHeartbeatIntervalMs
+      this.processingRate.isSlow &&
+      this.#laggingSince !== null &&
+      now - this.#laggingSince > this.timing.maxHeartbeatIntervalMs
     );
   }
 
@@ -342,28 +350,33 @@
    * To whom this node, as a leader, should hand over, and why; null: it leads on. Of several the one that
    * hears most, then one that is to lead rather than others.
    */
-  yieldsTo(now: number, stateAgeMs: number, preferred: ReadonlySet<string> = new Set()): Resignation | null {
-    if (this.doubtsItself(now) && this.#behindSince === null) return null;
+  chooseSuccessor(
+    now: number,
+    storeContactAgeMs: number,
+    preferred: ReadonlySet<string> = new Set(),
+  ): Resignation | null {
+    if (this.isStalled(now) && this.#laggingSince === null) return null;
     const best: { peer: Peer; why: string }[] = [];
     for (const peer of this.#peers.values()) {
-      if (!this.#isFit(peer, now, stateAgeMs)) continue;
-      const scene = this.#scene(peer, now, stateAgeMs);
-      const row = this.table.yields.find(({ holds }) => holds(peer, scene));
+      if (!this.#isEligible(peer, now, storeContactAgeMs)) continue;
+      const context = this.#evidenceContext(peer, now, storeContactAgeMs);
+      const row = this.table.transfer.find(({ holds }) => holds(peer, context));
       if (row !== undefined) best.push({ peer, why: row.name });
     }
     // All of them are fit. One that is not to lead, though it met one machine more, would hand over again.
     const rank = ({ peer: { node } }: { peer: Peer }): number => (preferred.has(node) ? 1 : 0);
-    const reach = ({ peer: { view } }: { peer: Peer }): number => (view?.met ?? 0) + (view?.strays ?? 0);
+    const reach = ({ peer: { status } }: { peer: Peer }): number =>
+      (status?.reachable ?? 0) + (status?.unexpectedReports ?? 0);
     best.sort((a, b) => rank(b) - rank(a) || reach(b) - reach(a) || (a.peer.node < b.peer.node ? -1 : 1));
     const first = best[0];
     if (first === undefined) return null;
     // The first answer to a round of knocks came from one that would hand over again a moment later.
     const awaited = (node: string): boolean =>
       preferred.has(node) &&
-      this.isHeard(node, now) &&
-      this.#peers.get(node)?.view?.round !== this.knocks.round;
-    const early = now - this.knocks.at < this.timing.tickMs;
+      this.hasContact(node, now) &&
+      this.#peers.get(node)?.status?.probeRound !== this.probeRound.round;
+    const early = now - this.probeRound.startedAt < this.timing.tickMs;
     if (early && rank(first) === 0 && [...this.#peers.keys()].some(awaited)) return null;
-    return { to: first.peer.node, why: first.why };
+    return { to: first.peer.node, reason: first.why };
   }
 }
--- a/src/membership/pace.ts
+++ b/src/membership/processing-rate.ts
@@ -7,15 +7,15 @@
 import type { Timing } from '../core/timing.js';
 
 /** Windows that are remembered, and needed before anything is judged by them. */
-const KEPT = 64;
-const NEEDED = 8;
+const MAX_WINDOWS = 64;
+const MIN_WINDOWS = 8;
 /** A window holds at least this part of the longest report as processor time. */
-const LEAST_WORK = 0.002;
+const MIN_PROCESSOR_SHARE = 0.002;
 /** So many times the usual is slow, and so many windows in a row are no chance. */
-const SLOW = 1.5;
-const IN_A_ROW = 3;
+const SLOWDOWN_THRESHOLD = 1.5;
+const MIN_SLOW_WINDOWS = 3;
 
-export class Pace {
+export class ProcessingRateMonitor {
   readonly #windows: number[] = [];
   #steadyMs = 0;
   #processorMs = 0;
@@ -30,17 +30,20 @@
     private readonly share: number,
   ) {}
 
-  worked(steadyMs: number, processorMs: number, now: number): void {
+  record(steadyMs: number, processorMs: number, now: number): void {
     const { maxHeartbeatIntervalMs } = this.timing;
     if (this.#from === -Infinity) this.#from = now;
     this.#steadyMs += steadyMs;
     this.#processorMs += processorMs;
-    if (now - this.#from < maxHeartbeatIntervalMs || this.#processorMs < LEAST_WORK * maxHeartbeatIntervalMs)
+    if (
+      now - this.#from < maxHeartbeatIntervalMs ||
+      this.#processorMs < MIN_PROCESSOR_SHARE * maxHeartbeatIntervalMs
+    )
       return;
     if (this.#latest !== null) this.#windows.push(this.#latest);
-    if (this.#windows.length > KEPT) this.#windows.shift();
+    if (this.#windows.length > MAX_WINDOWS) this.#windows.shift();
     this.#latest = this.#steadyMs / this.#processorMs;
-    this.#slowFor = this.slowness >= SLOW ? this.#slowFor + 1 : 0;
+    this.#slowFor = this.slowness >= SLOWDOWN_THRESHOLD ? this.#slowFor + 1 : 0;
     this.#steadyMs = 0;
     this.#processorMs = 0;
     this.#from = now;
@@ -48,11 +51,11 @@
 
   /** How many times the usual a piece of work takes now; 1 while little is known. */
   get slowness(): number {
-    if (this.#latest === null || this.#windows.length < NEEDED) return 1;
+    if (this.#latest === null || this.#windows.length < MIN_WINDOWS) return 1;
     return this.#latest / Math.max(1 / this.share, median(this.#windows));
   }
 
   get isSlow(): boolean {
-    return this.#slowFor >= IN_A_ROW;
+    return this.#slowFor >= MIN_SLOW_WINDOWS;
   }
 }
--- a/src/membership/views.ts
+++ b/src/membership/status.ts
@@ -1,8 +1,8 @@
 /** What controllers see of one another, and tell. */
-export type { HealthCounts as Hearing } from '../core/model.js';
+export type { HealthCounts } from '../core/model.js';
 
 /** What became of the link that this node dials to another. */
-export type Link =
+export type LinkState =
   | 'up'
   /** It was up and broke. */
   | 'lost'
@@ -11,51 +11,51 @@
   /** Nobody answers at all: a cut, or a host without power. */
   | 'silent';
 
-export const LINKS: readonly Link[] = ['up', 'lost', 'refused', 'silent'];
+export const LINK_STATES: readonly LinkState[] = ['up', 'lost', 'refused', 'silent'];
 
 /** What one controller sees of another. */
-export interface Sight {
+export interface Observation {
   readonly node: string;
   /** Milliseconds since it was last heard. */
   readonly ageMs: number;
-  readonly link: Link;
+  readonly linkState: LinkState;
 }
 
 /** What knocks at the same few machines met, from one controller. */
-export interface Knocks {
+export interface ProbeCounts {
   /** Which few: the leader counts its questions. */
   readonly round: number;
-  readonly met: number;
-  readonly unmet: number;
+  readonly reachable: number;
+  readonly unreachable: number;
 }
 
 /** The round a leader has asked for: at how many machines, when, and what its own knocks met. */
-export interface Round extends Knocks {
-  readonly asked: number;
-  readonly at: number;
+export interface ProbeRound extends ProbeCounts {
+  readonly requested: number;
+  readonly startedAt: number;
 }
 
 /** What a controller tells the others of itself and of what it sees. */
-export interface View {
+export interface MemberStatus {
   readonly node: string;
   /** Names a life of it; what a life before said is no word of this one. */
   readonly incarnation: string;
   readonly term: number;
-  readonly leading: boolean;
+  readonly isLeader: boolean;
   /** Milliseconds since the state service last answered it. */
-  readonly stateAgeMs: number;
+  readonly storeContactAgeMs: number;
   /** How far behind its own timers are, in milliseconds. */
-  readonly lateMs: number;
-  readonly sees: readonly Sight[];
+  readonly timerLagMs: number;
+  readonly observations: readonly Observation[];
   /** Workers of the present leader that have come to it of late, sent by nobody. */
-  readonly strays: number;
+  readonly unexpectedReports: number;
   /** As a leader. */
-  readonly heard: number;
+  readonly reporting: number;
   readonly expected: number;
   /** As a leader: where the others are to knock, for this round. */
-  readonly asks: readonly string[];
-  readonly round: number;
+  readonly probeRequests: readonly string[];
+  readonly probeRound: number;
   /** What its own knocks met in that round. */
-  readonly met: number;
-  readonly unmet: number;
+  readonly reachable: number;
+  readonly unreachable: number;
 }
--- a/src/membership/routing.ts
+++ b/src/membership/worker-router.ts
@@ -5,7 +5,7 @@
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Timing } from '../core/timing.js';
 
-export type Route =
+export type WorkerRoute =
   /** To the leader. */
   | 'on'
   /** To the next controller: nobody here knows better. */
@@ -14,72 +14,72 @@
   | 'here';
 
 /** What is known of the leader's reach. */
-export interface Reach {
+export interface LeaderReachability {
   /** The leader, if it is known and another node. */
   readonly leader: string | null;
   /** It has been heard of late. */
-  readonly heard: boolean;
+  readonly hasContact: boolean;
   /** Since when its link is lost or refused with no word of it; null: it is not so. */
-  readonly lostAt: number | null;
+  readonly linkLostAt: number | null;
   /** The state service has told of late that its record stands. */
-  readonly recorded: boolean;
+  readonly isRecordConfirmed: boolean;
   /** The leader hears nobody of the worker's zone. */
-  readonly quiet: boolean;
+  readonly isZoneSilent: boolean;
   /** Another controller than the leader is heard. */
-  readonly others: boolean;
+  readonly hasOtherContact: boolean;
   /** Highest token known here. */
   readonly token: number;
 }
 
-export class Routing {
+export class WorkerRouter {
   /** When workers were sent on; the oldest are forgotten first. */
-  readonly #sent = new Map<string, number>();
+  readonly #redirectedAt = new Map<string, number>();
 
   constructor(private readonly timing: Timing) {}
 
-  #note(machine: string, now: number): void {
-    this.#sent.delete(machine);
-    this.#sent.set(machine, now);
-    for (const oldest of this.#sent.keys()) {
-      if (this.#sent.size <= MAX_TRACKED_MACHINES) break;
-      this.#sent.delete(oldest);
+  #recordRedirect(machine: string, now: number): void {
+    this.#redirectedAt.delete(machine);
+    this.#redirectedAt.set(machine, now);
+    for (const oldest of this.#redirectedAt.keys()) {
+      if (this.#redirectedAt.size <= MAX_TRACKED_MACHINES) break;
+      this.#redirectedAt.delete(oldest);
     }
   }
 
   /** Whether a worker with this token left its leader by itself, sent by nobody. */
-  isStray(machine: string, token: number, reach: Reach, now: number): boolean {
-    const sent = this.#sent.get(machine);
+  isUnexpected(machine: string, token: number, reach: LeaderReachability, now: number): boolean {
+    const sent = this.#redirectedAt.get(machine);
     const { maxHeartbeatIntervalMs, workerLeaseMs } = this.timing;
     if (token === 0 || token !== reach.token) return false;
     return sent === undefined || now - sent > workerLeaseMs || now - sent > 1.5 * maxHeartbeatIntervalMs;
   }
 
-  route(machine: string, token: number, reach: Reach, now: number): Route {
+  route(machine: string, token: number, reach: LeaderReachability, now: number): WorkerRoute {
     const { maxHeartbeatIntervalMs, workerLeaseMs, leaderLeaseMs } = this.timing;
-    const { leader, lostAt } = reach;
+    const { leader, linkLostAt } = reach;
     if (leader === null || reach.token === 0 || token > reach.token) return 'away';
-    const sent = this.#sent.get(machine);
+    const sent = this.#redirectedAt.get(machine);
     // It takes a worker some seconds to try a node that does not answer: back after so long, it
     // has tried the leader in vain, even if this node hears it; as have others of its zone if
     // the leader calls that quiet. It is answered once and then sent again: kept here until its
     // lease had passed by, it was silent to a leader that could hear it again, and given back alive.
     const inVain =
       sent === undefined
-        ? reach.quiet
+        ? reach.isZoneSilent
         : now - sent < workerLeaseMs && now - sent > 1.5 * maxHeartbeatIntervalMs;
     // Nobody listens there: it is followed within a moment, and the next controller may be its
     // successor already. Sent back to it, workers tried a dead leader by turns. Where nobody else is
     // left, this node will be: sent away they came back seconds later, some too late for their lease.
-    const falling = lostAt !== null && now - lostAt < leaderLeaseMs;
-    if (falling && reach.others) return 'away';
+    const falling = linkLostAt !== null && now - linkLostAt < leaderLeaseMs;
+    if (falling && reach.hasOtherContact) return 'away';
     // Links that are refused say nothing of workers: a healthy leader got none for a minute,
     // because its peers' links were refused and each follower kept those that came to it.
-    const reachable = reach.heard || (lostAt !== null && reach.recorded);
+    const reachable = reach.hasContact || (linkLostAt !== null && reach.isRecordConfirmed);
     if (reachable && !inVain && !falling) {
-      if (sent === undefined || now - sent > 1.5 * maxHeartbeatIntervalMs) this.#note(machine, now);
+      if (sent === undefined || now - sent > 1.5 * maxHeartbeatIntervalMs) this.#recordRedirect(machine, now);
       return 'on';
     }
-    this.#note(machine, now);
+    this.#recordRedirect(machine, now);
     return 'here';
   }
 }
--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -13,7 +13,7 @@
   type WireIntake,
 } from './intake.js';
 import { nameBytes, portionsOf } from './portions.js';
-import { LINKS, type Link, type Sight, type View } from '../membership/views.js';
+import { LINK_STATES, type LinkState, type Observation, type MemberStatus } from '../membership/status.js';
 
 export interface JobCount {
   readonly id: string;
@@ -24,7 +24,7 @@
 }
 
 /** What a controller sees of the others, beside all else that it tells them. */
-export interface PeerStatus extends View {
+export interface PeerStatus extends MemberStatus {
   readonly counts: readonly JobCount[];
   /** The format that it can read; 0: a version that does not say, which reads format 1. */
   readonly format: number;
@@ -68,11 +68,11 @@
         ageMs: { type: 'uint32', id: 2 },
       },
     },
-    Sight: {
+    Observation: {
       fields: {
         node: { type: 'string', id: 1 },
         ageMs: { type: 'uint32', id: 2 },
-        link: { type: 'uint32', id: 3 },
+        linkState: { type: 'uint32', id: 3 },
       },
     },
     Continuation: {
@@ -89,8 +89,8 @@
         node: { type: 'string', id: 1 },
         incarnation: { type: 'string', id: 2 },
         term: { type: 'double', id: 3 },
-        leading: { type: 'bool', id: 4 },
-        stateAgeMs: { type: 'uint32', id: 5 },
+        isLeader: { type: 'bool', id: 4 },
+        storeContactAgeMs: { type: 'uint32', id: 5 },
         counts: { rule: 'repeated', type: 'JobCount', id: 6 },
         // Versions before pipelines leave these out, and skip them.
         format: { type: 'uint32', id: 7 },
@@ -99,15 +99,15 @@
         hears: { rule: 'repeated', type: 'string', id: 10 },
         provenAt: { type: 'double', id: 11 },
         // Versions before suspicion leave these out: such a peer vouches for nobody's end.
-        lateMs: { type: 'uint32', id: 12 },
-        sees: { rule: 'repeated', type: 'Sight', id: 13 },
-        strays: { type: 'uint32', id: 14 },
-        heard: { type: 'uint32', id: 15 },
+        timerLagMs: { type: 'uint32', id: 12 },
+        observations: { rule: 'repeated', type: 'Observation', id: 13 },
+        unexpectedReports: { type: 'uint32', id: 14 },
+        reporting: { type: 'uint32', id: 15 },
         expected: { type: 'uint32', id: 16 },
-        asks: { rule: 'repeated', type: 'string', id: 17 },
-        round: { type: 'uint32', id: 18 },
-        met: { type: 'uint32', id: 19 },
-        unmet: { type: 'uint32', id: 20 },
+        probeRequests: { rule: 'repeated', type: 'string', id: 17 },
+        probeRound: { type: 'uint32', id: 18 },
+        reachable: { type: 'uint32', id: 19 },
+        unreachable: { type: 'uint32', id: 20 },
         // Versions before shared reports leave these out. A frame that carries an intake message names no
         // node, so that they pass it over.
         takesReports: { type: 'bool', id: 21 },
@@ -171,15 +171,18 @@
 
 /** The frames of a status: one, or of a large fleet several. */
 export function encodeStatus(status: PeerStatus): Uint8Array {
-  const sees = status.sees.map((sight) => ({ ...sight, link: LINKS.indexOf(sight.link) }));
+  const observations = status.observations.map((one) => ({
+    ...one,
+    linkState: LINK_STATES.indexOf(one.linkState),
+  }));
   const { counts, hears, provenAt } = status;
   if (counts.length <= MAX_COUNTS_IN_FRAME && hears.length <= MAX_HEARD_IN_FRAME) {
-    const frame = encodeFrame({ ...status, sees });
+    const frame = encodeFrame({ ...status, observations });
     if (frame.length <= MOST_FRAME) return frame;
   }
   return encodePortions({ counts, hears }, provenAt, (portion, proof, continuations) => ({
     ...status,
-    sees,
+    observations,
     counts: portion.counts,
     hears: portion.hears,
     provenAt: proof,
@@ -224,9 +227,9 @@
   ]);
 }
 
-type WireSight = Omit<Sight, 'link'> & { readonly link: number };
-type WireStatus = Omit<PeerStatus, 'sees'> & {
-  readonly sees: readonly WireSight[];
+type WireObservation = Omit<Observation, 'linkState'> & { readonly linkState: number };
+type WireStatus = Omit<PeerStatus, 'observations'> & {
+  readonly observations: readonly WireObservation[];
   readonly intake: WireIntake | null;
   readonly continuation: Continuation | null;
   readonly continuations: number;
@@ -248,10 +251,10 @@
   provenAt: received.at(-1)?.provenAt ?? 0,
 });
 
-const decodeSight = ({ node, ageMs, link }: WireSight): Sight => ({
+const decodeObservation = ({ node, ageMs, linkState }: WireObservation): Observation => ({
   node,
   ageMs,
-  link: LINKS[link] ?? ('silent' satisfies Link),
+  linkState: LINK_STATES[linkState] ?? ('silent' satisfies LinkState),
 });
 
 const joinStatus = (first: PeerStatus, { counts, hears, provenAt }: Continuation): PeerStatus => ({
@@ -293,7 +296,7 @@
         const first = intakeFromWire(intake);
         this.#begin(continuations, (rest) => this.onIntake(rest === null ? first : joinIntake(first, rest)));
       } else {
-        const first = { ...wire, sees: wire.sees.map(decodeSight) };
+        const first = { ...wire, observations: wire.observations.map(decodeObservation) };
         this.#begin(continuations, (rest) =>
           this.#found.push(rest === null ? first : joinStatus(first, rest)),
         );
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -24,7 +24,7 @@
 import type { Effect } from '../src/core/effects.js';
 import { removeTerminated, getOrCreateMachine } from '../src/core/fleet/index.js';
 import { finalOutcomeNow, unregisterDependencies } from '../src/core/jobs/index.js';
-import { Routing, type Reach } from '../src/membership/routing.js';
+import { WorkerRouter, type LeaderReachability } from '../src/membership/worker-router.js';
 import { timing } from '../src/settings.js';
 import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../src/wire/peers.js';
@@ -44,8 +44,8 @@
   node: 'n-0',
   incarnation: 'x',
   term: 7,
-  leading: false,
-  stateAgeMs: 12,
+  isLeader: false,
+  storeContactAgeMs: 12,
   counts: [],
   format: 2,
   settledAt: 12.5,
@@ -159,7 +159,7 @@
 
   test('the counts of 8,000 jobs, proven only as a whole', () => {
     const counts = NAMES.map((name) => ({ id: `req-${name}`, done: 90_000, running: 9000, why: 3 }));
-    const status = { ...STATUS, leading: true, counts, provenAt: 13.5 };
+    const status = { ...STATUS, isLeader: true, counts, provenAt: 13.5 };
     const bytes = encodeStatus(status);
     expect(readStatus(bytes)).toEqual([status]);
     const [first] = readAsEarlier(bytes);
@@ -333,18 +333,18 @@
 
 describe('8,000 machines are remembered', () => {
   test('a follower that sent a worker on knows it when it comes back', () => {
-    const routing = new Routing(TIMES);
-    const reach: Reach = {
+    const routing = new WorkerRouter(TIMES);
+    const reach: LeaderReachability = {
       leader: 'n-0',
-      heard: true,
-      lostAt: null,
-      recorded: true,
-      quiet: false,
-      others: true,
+      hasContact: true,
+      linkLostAt: null,
+      isRecordConfirmed: true,
+      isZoneSilent: false,
+      hasOtherContact: true,
       token: TERM,
     };
     for (const name of NAMES) expect(routing.route(name, TERM, reach, 1000)).toBe('on');
-    expect(NAMES.filter((name) => routing.isStray(name, TERM, reach, 1000))).toEqual([]);
+    expect(NAMES.filter((name) => routing.isUnexpected(name, TERM, reach, 1000))).toEqual([]);
   });
 
   test('a follower that answers workers in the leader’s place hears all of them', async () => {
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,22 +1,22 @@
 /** Suspicion before verdict: what each row of the evidence table guards against, and routing of workers. */
 import { expect, test } from 'vitest';
-import { Gaps } from '../src/membership/accrual.js';
+import { InterArrivalTracker } from '../src/membership/inter-arrival-tracker.js';
 import { Membership } from '../src/membership/membership.js';
-import { Routing, type Reach } from '../src/membership/routing.js';
-import { TABLE, toldEvery, type Table } from '../src/membership/table.js';
-import type { View } from '../src/membership/views.js';
+import { WorkerRouter, type LeaderReachability } from '../src/membership/worker-router.js';
+import { EVIDENCE_RULES, snapshotIntervalMs, type EvidenceRules } from '../src/membership/evidence-rules.js';
+import type { MemberStatus } from '../src/membership/status.js';
 import { timing } from '../src/settings.js';
 import { testSettings, UNSEEN } from './standins/world.js';
 
 const TIMES = timing(testSettings(0));
-const TOLD = toldEvery(TIMES);
+const TOLD = snapshotIntervalMs(TIMES);
 
-const view = (node: string, more: Partial<View> = {}): View => ({
+const view = (node: string, more: Partial<MemberStatus> = {}): MemberStatus => ({
   node,
   incarnation: `life-of-${node}`,
   term: 4,
-  leading: false,
-  stateAgeMs: 10,
+  isLeader: false,
+  storeContactAgeMs: 10,
   ...UNSEEN,
   ...more,
 });
@@ -27,34 +27,34 @@
   readonly a: Membership;
   stateAgeMs = 10;
 
-  constructor(table: Table) {
+  constructor(table: EvidenceRules) {
     this.a = new Membership(['b', 'c'], TIMES, table);
-    for (const node of ['b', 'c']) this.a.linked(node, 'up', 0);
+    for (const node of ['b', 'c']) this.a.setLinkState(node, 'up', 0);
     for (let i = 0; i < 12; i += 1) this.wait(TOLD, ['b', 'c']);
   }
 
-  hear(node: string, more: Partial<View> = {}): this {
-    const leads = node === 'b' ? { leading: true, expected: 40, heard: 40 } : {};
-    this.a.heard(view(node, { ...leads, ...more }), this.now);
+  hear(node: string, more: Partial<MemberStatus> = {}): this {
+    const leads = node === 'b' ? { isLeader: true, expected: 40, reporting: 40 } : {};
+    this.a.receiveStatus(view(node, { ...leads, ...more }), this.now);
     return this;
   }
 
   wait(ms: number, speaking: readonly string[] = []): this {
     this.now += ms;
     for (const node of speaking) this.hear(node);
-    this.a.ticked(1, this.now);
+    this.a.recordTimerLag(1, this.now);
     this.a.assess(this.now, this.stateAgeMs);
     return this;
   }
 
   link(node: string, ...links: ('lost' | 'refused' | 'up')[]): this {
-    for (const link of links) this.a.linked(node, link, this.now);
+    for (const link of links) this.a.setLinkState(node, link, this.now);
     this.a.assess(this.now, this.stateAgeMs);
     return this;
   }
 
   strays(count: number): this {
-    for (let i = 0; i < count; i += 1) this.a.strayed(`m-${i}`, this.now);
+    for (let i = 0; i < count; i += 1) this.a.recordUnexpectedReport(`m-${i}`, this.now);
     return this;
   }
 
@@ -63,26 +63,28 @@
   }
 
   get inherits(): boolean {
-    return this.a.mayInherit('b', this.now, this.stateAgeMs);
+    return this.a.mayReplaceEarly('b', this.now, this.stateAgeMs);
   }
 
   /** Node a itself leads, and hears few of its machines. */
   deaf(): this {
-    this.a.hears({ reporting: 2, expected: 40, running: 40, neverReported: 0, silentMs: 5000 }, 40);
+    this.a.setWorkerHealth({ reporting: 2, expected: 40, running: 40, neverReported: 0, silentMs: 5000 }, 40);
     return this;
   }
 
   get yields(): string | null {
-    return this.a.yieldsTo(this.now, this.stateAgeMs)?.to ?? null;
+    return this.a.chooseSuccessor(this.now, this.stateAgeMs)?.to ?? null;
   }
 }
 
-const REFUSED = { sees: [{ node: 'b', ageMs: 900, link: 'refused' }] } as const;
+const REFUSED = { observations: [{ node: 'b', ageMs: 900, linkState: 'refused' }] } as const;
 const crash = (scene: Scene): Scene =>
   scene.link('b', 'lost', 'refused', 'refused').wait(50).hear('c', REFUSED);
-const MET = { round: 1, met: 8, unmet: 0 };
+const MET = { probeRound: 1, reachable: 8, unreachable: 0 };
 const knocked = (scene: Scene): Scene => {
-  scene.deaf().a.knocked({ round: 1, met: 0, unmet: 8, asked: 8, at: scene.now });
+  scene
+    .deaf()
+    .a.setProbeRound({ round: 1, reachable: 0, unreachable: 8, requested: 8, startedAt: scene.now });
   return scene;
 };
 
@@ -90,9 +92,12 @@
 const ROWS: Record<string, readonly [(scene: Scene) => unknown, unknown]> = {
   'unusually silent': [(s) => s.wait(4 * TOLD).levelOfB, 'suspected'],
   'link lost': [(s) => s.link('b', 'lost').levelOfB, 'suspected'],
-  'behind its own timers': [(s) => s.hear('b', { lateMs: 9 * TIMES.tickMs }).wait(1).levelOfB, 'suspected'],
+  'behind its own timers': [
+    (s) => s.hear('b', { timerLagMs: 9 * TIMES.tickMs }).wait(1).levelOfB,
+    'suspected',
+  ],
   'not served by the state service': [
-    (s) => s.hear('b', { stateAgeMs: 60_000 }).wait(1).levelOfB,
+    (s) => s.hear('b', { storeContactAgeMs: 60_000 }).wait(1).levelOfB,
     'suspected',
   ],
   // One refusal may be a full table of sockets.
@@ -112,7 +117,7 @@
   'no witness hears it': [
     (s) =>
       crash(s)
-        .hear('c', { sees: [{ node: 'b', ageMs: 90, link: 'up' }] })
+        .hear('c', { observations: [{ node: 'b', ageMs: 90, linkState: 'up' }] })
         .strays(3).inherits,
     false,
   ],
@@ -121,7 +126,7 @@
     (s) => {
       crash(s)
         .strays(3)
-        .a.ticked(3 * TIMES.tickMs, s.now);
+        .a.recordTimerLag(3 * TIMES.tickMs, s.now);
       return s.inherits;
     },
     false,
@@ -134,24 +139,24 @@
     false,
   ],
   heard: [(s) => knocked(s).hear('c', MET).link('c', 'lost').yields, null],
-  served: [(s) => knocked(s).hear('c', { ...MET, stateAgeMs: 60_000 }).yields, null],
-  'keeps up': [(s) => knocked(s).hear('c', { ...MET, lateMs: 4 * TIMES.tickMs }).yields, null],
+  served: [(s) => knocked(s).hear('c', { ...MET, storeContactAgeMs: 60_000 }).yields, null],
+  'keeps up': [(s) => knocked(s).hear('c', { ...MET, timerLagMs: 4 * TIMES.tickMs }).yields, null],
   'this node cannot reach its machines': [(s) => knocked(s).hear('c', MET).yields, 'c'],
   'reaches the machines': [
     (s) => {
-      s.a.hears({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 40);
-      s.a.knocked({ ...MET, asked: 8, at: s.now });
-      s.hear('b', { round: 1, met: 1, unmet: 7 }).hear('c', MET);
-      return ['b', 'c'].map((node) => s.a.isFit(node, s.now, 10));
+      s.a.setWorkerHealth({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 40);
+      s.a.setProbeRound({ ...MET, round: 1, requested: 8, startedAt: s.now });
+      s.hear('b', { probeRound: 1, reachable: 1, unreachable: 7 }).hear('c', MET);
+      return ['b', 'c'].map((node) => s.a.isEligibleSuccessor(node, s.now, 10));
     },
     [false, true],
   ],
   'this node cannot keep up, and computes slower than it did': [
     (s) => {
-      s.a.hears({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 0, 0);
+      s.a.setWorkerHealth({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 0, 0);
       const work = (times: number, late: number): void => {
-        s.wait(TIMES.maxHeartbeatIntervalMs, ['b', 'c']).a.pace.worked(20 * times, 10, s.now);
-        s.a.ticked(late, s.now);
+        s.wait(TIMES.maxHeartbeatIntervalMs, ['b', 'c']).a.processingRate.record(20 * times, 10, s.now);
+        s.a.recordTimerLag(late, s.now);
       };
       for (let i = 0; i < 12; i += 1) work(1, 1);
       for (let i = 0; i < 6; i += 1) work(4, TIMES.tickMs);
@@ -161,31 +166,32 @@
   ],
 };
 
-const without = (name: string): Table => {
-  const rest = (rows: Table['fit']): Table['fit'] => rows.filter((row) => row.name !== name);
+const without = (name: string): EvidenceRules => {
+  const rest = (rows: EvidenceRules['eligibleSuccessor']): EvidenceRules['eligibleSuccessor'] =>
+    rows.filter((row) => row.name !== name);
   return {
-    suspicions: rest(TABLE.suspicions),
-    crashed: rest(TABLE.crashed),
-    fit: rest(TABLE.fit),
-    yields: rest(TABLE.yields),
+    suspected: rest(EVIDENCE_RULES.suspected),
+    crashed: rest(EVIDENCE_RULES.crashed),
+    eligibleSuccessor: rest(EVIDENCE_RULES.eligibleSuccessor),
+    transfer: rest(EVIDENCE_RULES.transfer),
   };
 };
 
 test('every row of the evidence table has its scene', () => {
-  const names = Object.values(TABLE as unknown as Record<string, Table['fit']>).flatMap((rows) =>
-    rows.map(({ name }) => name),
-  );
+  const names = Object.values(
+    EVIDENCE_RULES as unknown as Record<string, EvidenceRules['eligibleSuccessor']>,
+  ).flatMap((rows) => rows.map(({ name }) => name));
   expect(Object.keys(ROWS).sort()).toEqual([...names].sort());
 });
 
 test.each(Object.keys(ROWS))('evidence: %s', (name) => {
   const [play, comes] = ROWS[name] as (typeof ROWS)[string];
-  expect(play(new Scene(TABLE))).toEqual(comes);
+  expect(play(new Scene(EVIDENCE_RULES))).toEqual(comes);
   expect(play(new Scene(without(name)))).not.toEqual(comes);
 });
 
 test('all the evidence of a crash together is a verdict, and a word of its own takes it back', () => {
-  const scene = crash(new Scene(TABLE)).strays(3);
+  const scene = crash(new Scene(EVIDENCE_RULES)).strays(3);
   expect(scene.inherits).toBe(true);
   scene.a.assess(scene.now, scene.stateAgeMs);
   expect(scene.levelOfB).toBe('given up');
@@ -195,13 +201,13 @@
 
 // A peer that was frozen again and again got the lead back seven seconds after each time.
 test('a node that flaps is trusted at once, and handed over to ever later', () => {
-  const scene = new Scene(TABLE);
+  const scene = new Scene(EVIDENCE_RULES);
   const settledAfter = (): number => {
     scene.link('c', 'lost').wait(10);
     scene.link('c', 'up').hear('c').wait(10, ['b', 'c']);
     const from = scene.now;
     expect(scene.a.levelOf('c')).toBe('trusted');
-    while (!scene.a.isSettled('c', 4000, scene.now)) scene.wait(TOLD, ['b', 'c']);
+    while (!scene.a.isStable('c', 4000, scene.now)) scene.wait(TOLD, ['b', 'c']);
     return scene.now - from;
   };
   const waits = [settledAfter(), settledAfter(), settledAfter()];
@@ -211,8 +217,8 @@
 
 test('silence becomes unusual by the gaps that are usual', () => {
   const usual = (gap: number): number => {
-    const gaps = new Gaps(500);
-    for (let i = 0; i < 20; i += 1) gaps.note(i * gap + (i % 2 === 0 ? 0 : gap / 4));
+    const gaps = new InterArrivalTracker(500);
+    for (let i = 0; i < 20; i += 1) gaps.record(i * gap + (i % 2 === 0 ? 0 : gap / 4));
     let silence = 0;
     while (gaps.phi(19 * gap + gap / 4 + silence) < 3) silence += 50;
     return silence;
@@ -223,13 +229,13 @@
 
 // In a burst three controllers of a twelfth of a core handed the lead round every five seconds.
 test('a leader that is behind for its load alone keeps the lead', () => {
-  const scene = new Scene(TABLE);
-  scene.a.hears({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 0, 0);
+  const scene = new Scene(EVIDENCE_RULES);
+  scene.a.setWorkerHealth({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 0, 0);
   for (let i = 0; i < 24; i += 1) {
     scene
       .wait(TIMES.maxHeartbeatIntervalMs, ['b', 'c'])
-      .a.pace.worked(i < 12 ? 20 : 200, i < 12 ? 10 : 100, scene.now);
-    if (i >= 12) scene.a.ticked(TIMES.tickMs, scene.now);
+      .a.processingRate.record(i < 12 ? 20 : 200, i < 12 ? 10 : 100, scene.now);
+    if (i >= 12) scene.a.recordTimerLag(TIMES.tickMs, scene.now);
   }
   expect(scene.yields).toBeNull();
 });
@@ -239,17 +245,24 @@
  * a worker that wanders among them is with it within a bound.
  */
 test('a healthy leader gets its workers within its lease and two hops, whatever its peers see', () => {
-  const beliefs: Omit<Reach, 'token'>[] = [];
+  const beliefs: Omit<LeaderReachability, 'token'>[] = [];
   for (const heard of [true, false])
     for (const lostAt of heard ? [null] : [0])
       for (const quiet of [false, true])
-        beliefs.push({ leader: 'l', heard, lostAt, recorded: true, quiet, others: true });
+        beliefs.push({
+          leader: 'l',
+          hasContact: heard,
+          linkLostAt: lostAt,
+          isRecordConfirmed: true,
+          isZoneSilent: quiet,
+          hasOtherContact: true,
+        });
   const hop = 1000;
   let worst = 0;
   for (const first of beliefs)
     for (const second of beliefs)
       for (let begin = 0; begin < 2 * TIMES.leaderLeaseMs; begin += 250) {
-        const nodes = [first, second].map((belief) => ({ belief, routing: new Routing(TIMES) }));
+        const nodes = [first, second].map((belief) => ({ belief, routing: new WorkerRouter(TIMES) }));
         let at = 0;
         let now = begin;
         for (;;) {
@@ -267,12 +280,13 @@
 
 // Held back on the way, what a former life had to say would make the present one a witness, or a leader, again.
 test('a word of a life that another has followed counts for nothing, however often lives change', () => {
-  const scene = new Scene(TABLE);
-  const isPresent = (incarnation: string): boolean => scene.a.isPresentLife({ node: 'b', incarnation });
+  const scene = new Scene(EVIDENCE_RULES);
+  const isPresent = (incarnation: string): boolean =>
+    scene.a.isCurrentIncarnation({ node: 'b', incarnation });
   expect(isPresent('life-of-b')).toBe(true);
-  for (const incarnation of ['second', 'third', 'fourth']) scene.hear('b', { incarnation, leading: false });
+  for (const incarnation of ['second', 'third', 'fourth']) scene.hear('b', { incarnation, isLeader: false });
   expect(['life-of-b', 'second', 'third', 'fourth'].map(isPresent)).toEqual([false, false, false, true]);
-  const before = scene.a.viewOf('b');
+  const before = scene.a.statusOf('b');
   scene.hear('b', { incarnation: 'second', term: 99 });
-  expect(scene.a.viewOf('b')).toBe(before);
+  expect(scene.a.statusOf('b')).toBe(before);
 });
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -5,8 +5,8 @@
 import type { Common } from '../src/controller/common.js';
 import { ReportIntake, type IntakeContext } from '../src/controller/report-intake.js';
 import { SharedReports } from '../src/controller/shared-reports.js';
-import { balance, chooseFollower, isSharedAt } from '../src/membership/sharing.js';
-import { toldEvery } from '../src/membership/table.js';
+import { chooseRebalancing, chooseFollower, shouldShare } from '../src/membership/heartbeat-sharing.js';
+import { snapshotIntervalMs } from '../src/membership/evidence-rules.js';
 import { createPolicy } from '../src/policy.js';
 import { rulesFor } from '../src/rules.js';
 import { timing } from '../src/settings.js';
@@ -191,7 +191,7 @@
 
   test('not once snapshots have stopped, nor for another leader', async () => {
     const bench = await IntakeBench.settled();
-    await bench.world.runUntil(3 * toldEvery(TIMES));
+    await bench.world.runUntil(3 * snapshotIntervalMs(TIMES));
     expect(await bench.take(2)).toBe('not taken');
     bench.snapshot();
     bench.leader = 'n-2';
@@ -491,9 +491,9 @@
   expect(chooseFollower(followers, 'a')).toBe('n-1');
   expect(chooseFollower(followers, 'c')).toBe('n-2');
   expect(chooseFollower([], 'a')).toBeNull();
-  expect(balance(followers, 10)).toEqual({ from: 'n-3', to: 'n-2', count: 10 });
-  expect(balance([load('n-1', 'a', 40), load('n-2', 'b', 42)], 10)).toBeNull();
-  expect([isSharedAt(90, 100, false), isSharedAt(90, 100, true), isSharedAt(79, 100, true)]).toEqual([
+  expect(chooseRebalancing(followers, 10)).toEqual({ from: 'n-3', to: 'n-2', count: 10 });
+  expect(chooseRebalancing([load('n-1', 'a', 40), load('n-2', 'b', 42)], 10)).toBeNull();
+  expect([shouldShare(90, 100, false), shouldShare(90, 100, true), shouldShare(79, 100, true)]).toEqual([
     false,
     true,
     false,
--- a/test/standins/golden-messages.ts
+++ b/test/standins/golden-messages.ts
@@ -35,27 +35,27 @@
   node: 'n-0',
   incarnation: 'life-1',
   term: 7,
-  leading: true,
-  stateAgeMs: 12,
+  isLeader: true,
+  storeContactAgeMs: 12,
   counts: [{ id: 'req-000001', done: 3, running: 4, why: 2 }],
   format: 2,
   settledAt: 1_000_000_000_012.5,
   quiet: [{ zone: 'b', ageMs: 1500 }],
   hears: ['vm-000001'],
   provenAt: 1_000_000_000_013.5,
-  lateMs: 40,
-  sees: (['up', 'silent', 'lost', 'refused'] as const).map((link, i) => ({
+  timerLagMs: 40,
+  observations: (['up', 'silent', 'lost', 'refused'] as const).map((linkState, i) => ({
     node: `n-${i + 1}`,
     ageMs: 700 + i,
-    link,
+    linkState,
   })),
-  strays: 2,
-  heard: 590,
+  unexpectedReports: 2,
+  reporting: 590,
   expected: 600,
-  asks: ['10.1.0.7:9000'],
-  round: 3,
-  met: 1,
-  unmet: 7,
+  probeRequests: ['10.1.0.7:9000'],
+  probeRound: 3,
+  reachable: 1,
+  unreachable: 7,
   takesReports: true,
 };
 
@@ -131,7 +131,15 @@
 
 /** Between controllers: each frame in hexadecimal. */
 export function peers(): string[] {
-  const quiet = { leading: false, counts: [], quiet: [], hears: [], sees: [], asks: [], takesReports: false };
+  const quiet = {
+    isLeader: false,
+    counts: [],
+    quiet: [],
+    hears: [],
+    observations: [],
+    probeRequests: [],
+    takesReports: false,
+  };
   return [
     `leader's status ${hex(encodeStatus(STATUS))}`,
     `follower's status ${hex(encodeStatus({ ...STATUS, ...quiet }))}`,
--- a/test/standins/world.ts
+++ b/test/standins/world.ts
@@ -3,7 +3,7 @@
 import { ControllerNode } from '../../src/controller/node.js';
 import { createPolicy } from '../../src/policy.js';
 import { lastingLimits, parseSettings, timing, type PlatformSettings } from '../../src/settings.js';
-import type { Link } from '../../src/membership/views.js';
+import type { LinkState } from '../../src/membership/status.js';
 import type { IntakeMessage } from '../../src/wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader } from '../../src/wire/peers.js';
 import { Checker, type OnMachine, type SubmittedJob } from './checker.js';
@@ -50,15 +50,15 @@
 
 /** What a version before suspicion says of the others. */
 export const UNSEEN = {
-  lateMs: 0,
-  sees: [],
-  strays: 0,
-  heard: 0,
+  timerLagMs: 0,
+  observations: [],
+  unexpectedReports: 0,
+  reporting: 0,
   expected: 0,
-  asks: [],
-  round: 0,
-  met: 0,
-  unmet: 0,
+  probeRequests: [],
+  probeRound: 0,
+  reachable: 0,
+  unreachable: 0,
   takesReports: false,
 };
 
@@ -362,7 +362,7 @@
 
   /** The nodes that take themselves for leader. */
   leaders(): string[] {
-    return NODES.filter((name) => this.#lives.get(name)?.node.status().leading === true);
+    return NODES.filter((name) => this.#lives.get(name)?.node.status().isLeader === true);
   }
 
   start(i: number): void {
@@ -453,7 +453,7 @@
   }
 
   /** Versions before suspicion look at no links; the benchmark plays them too. */
-  #link({ node }: Life, to: string, link: Link): void {
+  #link({ node }: Life, to: string, link: LinkState): void {
     if ('onLink' in node) node.onLink(to, link);
   }
 
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -50,7 +50,7 @@
 
 test('peers of either version read what the other says', () => {
   const [status] = new StatusReader().push(Buffer.from(production.status, 'base64'));
-  expect(status).toMatchObject({ node: 'n-0', term: 7, leading: true, format: 0, settledAt: 0 });
+  expect(status).toMatchObject({ node: 'n-0', term: 7, isLeader: true, format: 0, settledAt: 0 });
   // Fields as production declares them.
   const earlier = protobuf.Root.fromJSON({
     nested: {
@@ -69,8 +69,8 @@
     node: 'n-1',
     incarnation: 'y',
     term: 8,
-    leading: true,
-    stateAgeMs: 3,
+    isLeader: true,
+    storeContactAgeMs: 3,
     counts: [],
     format: 2,
     settledAt: 1e12,
