--- a/src/owner.ts
+++ b/src/controller/command-loop.ts
@@ -1,12 +1,12 @@
 /** The one owner of a node's scheduling state: a queue of commands, worked off in batches. */
 import { buffer, exhaustMap, Observable, Subject, type Subscription } from 'rxjs';
-import type { Clock, Work } from './clock.js';
-import type { Command, Effect } from './core/effects.js';
-import { step } from './core/step.js';
-import type { CoreState } from './core/state.js';
-import type { Log } from './logging.js';
+import type { Clock, Work } from '../clock.js';
+import type { Command, Effect } from '../core/effects.js';
+import { step } from '../core/step.js';
+import type { CoreState } from '../core/state.js';
+import type { Log } from '../logging.js';
 
-export class Owner {
+export class CommandLoop {
   readonly #commands = new Subject<Command>();
   readonly #subscription: Subscription;
 
@@ -14,9 +14,9 @@
     readonly state: CoreState,
     private readonly clock: Clock,
     private readonly log: Log,
-    private readonly carryOut: (effect: Effect) => void,
+    private readonly executeEffect: (effect: Effect) => void,
     /** Is told how long some of the batches took: those of a tick, for each look at the clocks costs too. */
-    private readonly worked: (work: Work) => void = () => undefined,
+    private readonly recordWork: (work: Work) => void = () => undefined,
   ) {
     // A batch is all that has come in by the time the input that is ready now is read.
     const nextTurn = new Observable<void>((subscriber) => {
@@ -53,7 +53,7 @@
       );
       effects = step(this.state, [{ kind: 'resign', reason: 'internal fault' }], now);
     }
-    for (const effect of effects) this.carryOut(effect);
-    if (end !== null) this.worked(end());
+    for (const effect of effects) this.executeEffect(effect);
+    if (end !== null) this.recordWork(end());
   }
 }
--- a/src/controller/common.ts
+++ b/src/controller/context.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../clock.js';
 import type { SchedulingPolicy } from '../core/model.js';
 import type { Log } from '../logging.js';
-import type { Owner } from '../owner.js';
+import type { CommandLoop } from './command-loop.js';
 import type { PlatformSettings, Timing } from '../settings.js';
 
 /** What a controller needs of the world around it. */
@@ -29,16 +29,16 @@
   leadingTerm: number;
 }
 
-export interface Common {
+export interface ControllerContext {
   readonly settings: PlatformSettings;
   readonly timing: Timing;
   readonly ports: Ports;
-  readonly owner: Owner;
-  readonly standing: LeadershipView;
+  readonly commands: CommandLoop;
+  readonly leadershipView: LeadershipView;
 }
 
 /** Milliseconds since the state service last answered this node. */
-export function stateAgeMs({ ports: { state, clock } }: Common): number {
+export function storeContactAgeMs({ ports: { state, clock } }: ControllerContext): number {
   const contact = state.contactAt();
   return contact === null ? 0xffffffff : Math.max(0, Math.round(clock.monotonicMs() - contact));
 }
--- a/src/controller/election.ts
+++ b/src/controller/election-driver.ts
@@ -14,31 +14,31 @@
   type ElectionEffect,
   type ElectionEvent,
   type ElectionState,
-  type Kept,
-  type Outcome,
-  type Seen,
+  type KeyState,
+  type TransactionOutcome,
+  type LeaderKeyState,
   type ElectionResult,
 } from '../membership/election.js';
 
-export interface ElectionEvents {
-  elected(won: ElectionResult): void;
+export interface ElectionListener {
+  onElected(won: ElectionResult): void;
   /** Another node may lead. */
-  lost(): void;
-  leaderKnown(leader: LeaderRecord | null, modRevision: number): void;
+  onLost(): void;
+  onLeaderObserved(leader: LeaderRecord | null, modRevision: number): void;
 }
 
-export class Election {
+export class ElectionDriver {
   constructor(
     private readonly machine: ElectionState,
     private readonly state: StateService,
     private readonly clock: Clock,
-    private readonly events: ElectionEvents,
+    private readonly events: ElectionListener,
     /** How long to wait before standing, as of now. */
     private readonly handicap: () => number,
   ) {}
 
-  tell(event: ElectionEvent): void {
-    this.machine.handicap = this.handicap();
+  dispatch(event: ElectionEvent): void {
+    this.machine.campaignDelayMs = this.handicap();
     for (const effect of electionStep(this.machine, event)) void this.#carryOut(effect);
   }
 
@@ -46,25 +46,31 @@
     switch (effect.kind) {
       case 'wait':
         await this.clock.sleep(effect.ms);
-        this.tell({ kind: 'time', round: effect.round });
+        this.dispatch({ kind: 'timerFired', round: effect.round });
         break;
-      case 'read':
-        this.tell({ kind: 'read', round: effect.round, leader: await this.#seen() });
+      case 'readLeader':
+        this.dispatch({ kind: 'leaderRead', round: effect.round, leader: await this.#seen() });
         break;
-      case 'watch': {
+      case 'watchLeader': {
         const found = await this.state.watch(LEADER_KEY, effect.after, effect.ms);
-        this.tell({ kind: 'watched', round: effect.round, answered: found.kind !== 'unknown' });
+        this.dispatch({ kind: 'leaderWatched', round: effect.round, answered: found.kind !== 'unknown' });
         break;
       }
-      case 'grant': {
+      case 'grantLease': {
         const [lease, term] = await Promise.all([
           this.state.grant(this.machine.timing.leaderLeaseMs),
           this.#term(),
         ]);
-        this.tell({ kind: 'granted', round: effect.round, lease, term, now: this.clock.monotonicMs() });
+        this.dispatch({
+          kind: 'leaseGranted',
+          round: effect.round,
+          lease,
+          term,
+          now: this.clock.monotonicMs(),
+        });
         break;
       }
-      case 'stand': {
+      case 'campaign': {
         const { record, lease, leaderRevision, termRevision } = effect;
         const [outcome, revision] = await this.#commit({
           preconditions: [
@@ -76,21 +82,25 @@
             { put: TERM_KEY, value: { term: record.term } },
           ],
         });
-        this.tell({ kind: 'stood', round: effect.round, outcome, revision });
+        this.dispatch({ kind: 'campaigned', round: effect.round, outcome, revision });
         break;
       }
-      case 'check': {
+      case 'verifyCampaign': {
         const [leader, term] = await Promise.all([this.#leader(), this.#term()]);
-        this.tell({ kind: 'checked', round: effect.round, leader, term });
+        this.dispatch({ kind: 'campaignVerified', round: effect.round, leader, term });
         break;
       }
-      case 'renew':
-        this.tell({ kind: 'renewed', round: effect.round, alive: await this.state.renew(effect.lease) });
+      case 'renewLease':
+        this.dispatch({
+          kind: 'leaseRenewed',
+          round: effect.round,
+          alive: await this.state.renew(effect.lease),
+        });
         break;
-      case 'revoke':
+      case 'revokeLease':
         await this.state.revoke(effect.lease);
         break;
-      case 'name': {
+      case 'nameSuccessor': {
         const { record, lease, leaderRevision, termRevision } = effect;
         const [outcome, revision] = await this.#commit({
           preconditions: [
@@ -99,23 +109,23 @@
           ],
           mutations: [{ put: LEADER_KEY, value: record, lease }],
         });
-        this.tell({ kind: 'named', round: effect.round, outcome, revision });
+        this.dispatch({ kind: 'successorNamed', round: effect.round, outcome, revision });
         break;
       }
       case 'elected':
-        this.events.elected(effect.won);
+        this.events.onElected(effect.result);
         break;
       case 'lost':
-        this.events.lost();
+        this.events.onLost();
         break;
-      case 'leaderKnown':
-        this.events.leaderKnown(effect.leader, effect.modRevision);
+      case 'leaderObserved':
+        this.events.onLeaderObserved(effect.leader, effect.modRevision);
         break;
     }
   }
 
   /** Listed, for only that tells the revision as of which it is true. */
-  async #seen(): Promise<Seen | 'unknown'> {
+  async #seen(): Promise<LeaderKeyState | 'unknown'> {
     const found = await this.state.list(LEADER_KEY);
     if (found === 'unknown') return 'unknown';
     const entry = found.entries.find(({ key }) => key === LEADER_KEY);
@@ -126,19 +136,19 @@
     };
   }
 
-  async #leader(): Promise<Kept<LeaderRecord> | 'unknown'> {
+  async #leader(): Promise<KeyState<LeaderRecord> | 'unknown'> {
     const read = await this.state.read(LEADER_KEY);
     if (read === 'unknown') return 'unknown';
     return { value: decodeLeader(read.entry?.value), modRevision: read.entry?.modRevision ?? 0 };
   }
 
-  async #term(): Promise<Kept<number> | 'unknown'> {
+  async #term(): Promise<KeyState<number> | 'unknown'> {
     const read = await this.state.read(TERM_KEY);
     if (read === 'unknown') return 'unknown';
     return { value: decodeTerm(read.entry?.value)?.term ?? null, modRevision: read.entry?.modRevision ?? 0 };
   }
 
-  async #commit(txn: Transaction): Promise<[Outcome, number]> {
+  async #commit(txn: Transaction): Promise<[TransactionOutcome, number]> {
     const outcome = await this.state.commit(txn);
     if (outcome.kind === 'applied') return ['applied', outcome.revision];
     return [outcome.kind === 'unknown' ? 'unknown' : 'failed', 0];
--- a/src/controller/observing.ts
+++ b/src/controller/failure-detector.ts
@@ -6,24 +6,24 @@
 import { Membership, type SuspicionState, type Resignation } from '../membership/membership.js';
 import { MACHINES_UNREACHABLE, MIN_UNEXPECTED_REPORTS } from '../membership/evidence-rules.js';
 import type { LinkState, MemberStatus } from '../membership/status.js';
-import { stateAgeMs, type Common } from './common.js';
-import type { Sights } from './peering.js';
+import { storeContactAgeMs, type ControllerContext } from './context.js';
+import type { FailureDetectorStatus } from './peer-exchange.js';
 
 /** A leader asks what others meet at so many machines. */
-const MOST_ASKED = 8;
+const MAX_PROBED_MACHINES = 8;
 
-export interface Conclusions {
+export interface FailureDetectorActions {
   /** The leader that this node follows has crashed: it may be succeeded now. */
-  inherit(): void;
+  replaceCrashedLeader(): void;
   /** This node leads and should not. */
-  yieldTo(to: Resignation): void;
+  transferLeadership(to: Resignation): void;
   /** The nodes that are to lead rather than others. */
-  preferred(): ReadonlySet<string>;
+  preferredLeaders(): ReadonlySet<string>;
   /** Something has changed that the others should know at once. */
-  tell(): void;
+  broadcastStatus(): void;
 }
 
-export class Observing {
+export class FailureDetector {
   readonly membership: Membership;
   #asks: readonly string[] = [];
   #askedAt = -Infinity;
@@ -34,8 +34,8 @@
   #cutOff = false;
 
   constructor(
-    private readonly common: Common,
-    private readonly conclude: Conclusions,
+    private readonly common: ControllerContext,
+    private readonly actions: FailureDetectorActions,
   ) {
     const names = common.settings.others.map(({ host_name }) => host_name);
     this.membership = new Membership(names, common.timing, undefined, common.settings.cluster.quota.cpu);
@@ -47,8 +47,8 @@
 
   onPeer(view: MemberStatus): void {
     this.membership.receiveStatus(view, this.#now);
-    const { standing } = this.common;
-    const asked = view.isLeader && view.term >= standing.highestTerm && view.probeRequests.length > 0;
+    const { leadershipView } = this.common;
+    const asked = view.isLeader && view.term >= leadershipView.highestTerm && view.probeRequests.length > 0;
     if (asked && view.probeRound !== this.#answered) void this.#knockFor(view);
     this.#conclude();
   }
@@ -57,27 +57,27 @@
     this.membership.setLinkState(node, link, this.#now);
     this.#conclude();
     // Whoever waits for a second witness should not wait for the next word.
-    if (link === 'refused' && this.membership.consecutiveRefusals(node) === 2) this.conclude.tell();
+    if (link === 'refused' && this.membership.consecutiveRefusals(node) === 2) this.actions.broadcastStatus();
   }
 
   /** Whether it would be a leader that no worker reaches. */
-  get isCutOff(): boolean {
+  get isIsolated(): boolean {
     return this.#cutOff;
   }
 
   /** Some worker has reached this node. */
-  metWorker(): void {
+  workerReached(): void {
     this.#cutOff = false;
   }
 
   /** A worker of the present leader came by, sent by nobody. */
-  strayed(machine: string): void {
+  recordUnexpectedReport(machine: string): void {
     this.membership.recordUnexpectedReport(machine, this.#now);
     const strays = this.membership.unexpectedReports(this.#now);
     if (strays < MIN_UNEXPECTED_REPORTS) this.#told = 0;
     if (strays < Math.max(MIN_UNEXPECTED_REPORTS, 2 * this.#told)) return;
     this.#told = strays;
-    this.conclude.tell();
+    this.actions.broadcastStatus();
     this.#conclude();
   }
 
@@ -85,9 +85,9 @@
   tick(lateMs: number): void {
     const now = this.#now;
     this.membership.recordTimerLag(lateMs, now);
-    const { leadership, health, machines } = this.common.owner.state;
+    const { leadership, health, machines } = this.common.commands.state;
     this.membership.setWorkerHealth(leadership === null ? null : health, machines.size, leadership?.since);
-    if (leadership !== null && this.membership.isMissingHeartbeats(now, stateAgeMs(this.common)))
+    if (leadership !== null && this.membership.isMissingHeartbeats(now, storeContactAgeMs(this.common)))
       this.#ask(now, true);
     else if (leadership !== null && this.membership.isLagging(now)) this.#ask(now, false);
     else if (this.#asks.length > 0 && now - this.#askedAt > this.common.timing.maxHeartbeatIntervalMs)
@@ -96,35 +96,35 @@
   }
 
   /** Whether it is behind its timers. */
-  get isBusy(): boolean {
+  get isOverloaded(): boolean {
     return this.membership.timerLagMs(this.#now) > this.common.timing.tickMs / 4;
   }
 
-  get doubtsItself(): boolean {
+  get isStalled(): boolean {
     return this.membership.isStalled(this.#now);
   }
 
   #conclude(): void {
     const now = this.#now;
-    const age = stateAgeMs(this.common);
+    const age = storeContactAgeMs(this.common);
     const changed = this.membership.assess(now, age);
     for (const standing of changed) this.#log(standing, now);
     // What one concludes by itself the others may need as a second witness.
-    if (changed.some(({ level }) => level !== 'trusted')) this.conclude.tell();
-    const { standing, owner } = this.common;
-    const { leadership } = owner.state;
+    if (changed.some(({ level }) => level !== 'trusted')) this.actions.broadcastStatus();
+    const { leadershipView, commands } = this.common;
+    const { leadership } = commands.state;
     if (leadership !== null) {
       if (leadership.isTransferring === true) return;
-      const to = this.membership.chooseSuccessor(now, age, this.conclude.preferred());
+      const to = this.membership.chooseSuccessor(now, age, this.actions.preferredLeaders());
       if (to === null) return;
       this.#cutOff ||= to.reason === MACHINES_UNREACHABLE;
-      this.conclude.yieldTo(to);
+      this.actions.transferLeadership(to);
     } else if (
-      standing.leader !== null &&
+      leadershipView.leader !== null &&
       !this.#cutOff &&
-      this.membership.mayReplaceEarly(standing.leader, now, age)
+      this.membership.mayReplaceEarly(leadershipView.leader, now, age)
     )
-      this.conclude.inherit();
+      this.actions.replaceCrashedLeader();
   }
 
   #log({ node, level, evidence, since }: SuspicionState, now: number): void {
@@ -134,16 +134,16 @@
   }
 
   /** Whether this node, as a leader, may hand over to a peer; what that needs to be known is asked for. */
-  isFit(node: string): boolean {
+  isEligibleSuccessor(node: string): boolean {
     const now = this.#now;
-    if (this.membership.isEligibleSuccessor(node, now, stateAgeMs(this.common))) return true;
+    if (this.membership.isEligibleSuccessor(node, now, storeContactAgeMs(this.common))) return true;
     this.#ask(now, false);
     return false;
   }
 
   /** A few machines evenly from all of them, or from those that should speak and are not heard. */
   #sample(now: number, unheard: boolean): string[] {
-    const { state } = this.common.owner;
+    const { state } = this.common.commands;
     const from = now - 2 * this.common.timing.tickMs;
     const all = [...state.machines.values()].filter(
       ({ lastHeartbeatAt, address, terminationReason, claims }) =>
@@ -151,9 +151,9 @@
         terminationReason === null &&
         (lastHeartbeatAt === null ? unheard && claims.size > 0 : !unheard || lastHeartbeatAt < from),
     );
-    const step = Math.max(1, all.length / MOST_ASKED);
+    const step = Math.max(1, all.length / MAX_PROBED_MACHINES);
     const picked = Array.from(
-      { length: Math.min(MOST_ASKED, all.length) },
+      { length: Math.min(MAX_PROBED_MACHINES, all.length) },
       (_, i) => all[Math.floor(i * step)],
     );
     return picked.flatMap((machine) => (machine === undefined ? [] : [machine.address]));
@@ -173,9 +173,9 @@
       requested: this.#asks.length,
       startedAt: now,
     });
-    const { health } = this.common.owner.state;
+    const { health } = this.common.commands.state;
     if (unheard) this.common.ports.log.info({ asks: this.#asks.length, ...health }, 'hears few workers');
-    this.conclude.tell();
+    this.actions.broadcastStatus();
     void this.#knock(this.#asks, round);
   }
 
@@ -190,12 +190,12 @@
       startedAt: this.#now,
     });
     await this.#knock(probeRequests, probeRound);
-    this.conclude.tell();
+    this.actions.broadcastStatus();
   }
 
   async #knock(addresses: readonly string[], round: number): Promise<void> {
     const found = await Promise.all(
-      addresses.slice(0, MOST_ASKED).map((address) => this.common.ports.workers.isThere(address)),
+      addresses.slice(0, MAX_PROBED_MACHINES).map((address) => this.common.ports.workers.isThere(address)),
     );
     if (this.membership.probeRound.round !== round) return;
     const met = found.filter((one) => one === true).length;
@@ -205,9 +205,9 @@
   }
 
   /** What the others are told. */
-  sights(): Sights {
+  localStatus(): FailureDetectorStatus {
     const now = this.#now;
-    const { health, leadership } = this.common.owner.state;
+    const { health, leadership } = this.common.commands.state;
     const { round, reachable, unreachable } = this.membership.probeRound;
     return {
       timerLagMs: this.membership.timerLagMs(now),
--- a/src/controller/deputy.ts
+++ b/src/controller/fallback-responder.ts
@@ -26,11 +26,11 @@
 
 /** The live jobs as a leader knew them, and the time of day of the read that proved it. */
 export interface LiveJobsSnapshot {
-  readonly at: number;
-  readonly live: ReadonlySet<string>;
+  readonly viewConfirmedAt: number;
+  readonly liveJobs: ReadonlySet<string>;
 }
 
-export class Deputy {
+export class FallbackResponder {
   #snapshot: LiveJobsSnapshot | null = null;
 
   readonly #live = new Set<string>();
@@ -54,7 +54,7 @@
 
   /** Takes in what the leader knows; a word that was held back is older than it is new here. */
   receiveSnapshot(snapshot: LiveJobsSnapshot): void {
-    if (snapshot.at > (this.#snapshot?.at ?? -Infinity)) this.#snapshot = snapshot;
+    if (snapshot.viewConfirmedAt > (this.#snapshot?.viewConfirmedAt ?? -Infinity)) this.#snapshot = snapshot;
   }
 
   /** The jobs that are known to be live, freshly enough to answer by; null: they are not known. */
@@ -63,10 +63,10 @@
     if (this.clock.monotonicMs() < this.#provenAt + authorityWindowMs) return this.#live;
     if (
       this.#snapshot === null ||
-      this.clock.epochMs() >= this.#snapshot.at + authorityWindowMs - this.clocksApart
+      this.clock.epochMs() >= this.#snapshot.viewConfirmedAt + authorityWindowMs - this.clocksApart
     )
       return null;
-    return this.#snapshot.live;
+    return this.#snapshot.liveJobs;
   }
 
   /** What to tell a worker, or null when this node may not answer it. */
@@ -92,7 +92,7 @@
   }
 
   /** Machines that this node has answered lately, in the leader's place. */
-  hears(): string[] {
+  answeredMachines(): string[] {
     const from = this.clock.monotonicMs() - 2 * this.timing.maxHeartbeatIntervalMs;
     return [...this.#seen].flatMap(([machine, { at }]) => (at > from ? [machine] : []));
   }
@@ -160,7 +160,7 @@
     let told = 0;
     let toldAt = -Infinity;
     while (this.#following) {
-      const machines = this.hears();
+      const machines = this.answeredMachines();
       const due = this.clock.monotonicMs() - toldAt > 2 * this.timing.maxHeartbeatIntervalMs;
       if (machines.length > 0 && (due || machines.length > told)) {
         const at = this.clock.epochMs();
--- a/src/controller/following.ts
+++ b/src/controller/follower-role.ts
@@ -2,37 +2,37 @@
 import type { Heartbeat } from '../core/types.js';
 import { WorkerRouter, type LeaderReachability } from '../membership/worker-router.js';
 import { encodeRedirect, encodeReply } from '../wire/workers.js';
-import { stateAgeMs, type Common } from './common.js';
-import type { Deputy } from './deputy.js';
-import type { Observing } from './observing.js';
-import type { Peering } from './peering.js';
+import { storeContactAgeMs, type ControllerContext } from './context.js';
+import type { FallbackResponder } from './fallback-responder.js';
+import type { FailureDetector } from './failure-detector.js';
+import type { PeerExchange } from './peer-exchange.js';
 
-export class Following {
+export class FollowerRole {
   readonly #routing: WorkerRouter;
 
   constructor(
-    private readonly common: Common,
-    private readonly peering: Peering,
-    private readonly observing: Observing,
-    private readonly deputy: Deputy,
+    private readonly common: ControllerContext,
+    private readonly peers: PeerExchange,
+    private readonly failureDetector: FailureDetector,
+    private readonly responder: FallbackResponder,
     /** Whether a worker has reported here for a leader that shares its reports; it does so no more. */
-    private readonly leaveHome: (machine: string) => boolean,
+    private readonly forgetWorker: (machine: string) => boolean,
   ) {
     this.#routing = new WorkerRouter(common.timing);
   }
 
   #reach(zone: string): LeaderReachability {
-    const { standing, settings, timing, ports } = this.common;
-    const { membership } = this.observing;
-    const leader = standing.leader === settings.host_name ? null : standing.leader;
+    const { leadershipView, settings, timing, ports } = this.common;
+    const { membership } = this.failureDetector;
+    const leader = leadershipView.leader === settings.host_name ? null : leadershipView.leader;
     return {
       leader,
       hasContact: leader !== null && membership.hasContact(leader, ports.clock.monotonicMs()),
       linkLostAt: leader === null ? null : membership.linkLostAt(leader),
-      isRecordConfirmed: stateAgeMs(this.common) < timing.leaderLeaseMs,
-      isZoneSilent: this.peering.isQuiet(zone),
+      isRecordConfirmed: storeContactAgeMs(this.common) < timing.leaderLeaseMs,
+      isZoneSilent: this.peers.isZoneSilent(zone),
       hasOtherContact: membership.hasOtherContact(leader, ports.clock.monotonicMs()),
-      token: standing.highestTerm,
+      token: leadershipView.highestTerm,
     };
   }
 
@@ -42,26 +42,26 @@
     const reach = this.#reach(report.zone);
     // One that reported here has left no leader by coming here again; it has if it comes back from there.
     if (
-      !this.leaveHome(report.machine) &&
+      !this.forgetWorker(report.machine) &&
       this.#routing.isUnexpected(report.machine, report.token, reach, now)
     )
-      this.observing.strayed(report.machine);
+      this.failureDetector.recordUnexpectedReport(report.machine);
     const route = this.#routing.route(report.machine, report.token, reach, now);
     if (route !== 'here') {
       done(421, encodeRedirect(route === 'on' ? reach.leader : null));
       return;
     }
-    this.answerAlone(report, done);
+    this.answerWithoutLeader(report, done);
   }
 
   /** Answers a worker in the leader's place, by what is known here of the live jobs. */
-  answerAlone(report: Heartbeat, done: (status: number, body: string) => void): void {
-    const token = this.common.standing.highestTerm;
-    void this.deputy.answer(report).then((commands) => {
+  answerWithoutLeader(report: Heartbeat, done: (status: number, body: string) => void): void {
+    const token = this.common.leadershipView.highestTerm;
+    void this.responder.answer(report).then((commands) => {
       if (
         commands === null ||
-        this.common.owner.state.leadership !== null ||
-        token !== this.common.standing.highestTerm
+        this.common.commands.state.leadership !== null ||
+        token !== this.common.leadershipView.highestTerm
       )
         done(503, '{}');
       else done(200, encodeReply(token, commands));
--- a/src/controller/report-intake.ts
+++ b/src/controller/heartbeat-intake.ts
@@ -10,30 +10,30 @@
 import type { Heartbeat, ReportedTask } from '../core/types.js';
 import { snapshotIntervalMs } from '../membership/evidence-rules.js';
 import type { Timing } from '../settings.js';
-import type { AnswersMessage, ForwardedReport, IntakeMessage, Shed } from '../wire/intake.js';
+import type { AnswersMessage, ForwardedHeartbeat, IntakeMessage, RedirectQuota } from '../wire/intake.js';
 
 /** Answers a report: a status and a body of the workers' interface. */
-export type AnswerReport = (status: number, body: string) => void;
+export type RespondToWorker = (status: number, body: string) => void;
 
 /** What the intake needs of the node around it. */
-export interface IntakeContext {
+export interface HeartbeatIntakeContext {
   readonly clock: Clock;
   readonly timing: Timing;
   readonly node: string;
   readonly incarnation: string;
   /** How far the times of day of two controllers may be apart, in milliseconds. */
-  readonly clocksApartMs: number;
+  readonly maxClockSkewMs: number;
   /** The leader and term that this node follows; null: none, or this node leads. */
-  following(): { readonly leader: string; readonly term: number } | null;
+  followedLeader(): { readonly leader: string; readonly term: number } | null;
   /** False: there is no link to that node. */
   send(to: string, message: IntakeMessage): boolean;
   /** The bodies of the workers' interface. */
   encodeAnswer(term: number, commands: AnswersMessage['answers'][number]['commands']): string;
   encodeRedirect(to: string): string;
   /** Answers in the leader's place, without it: what a forwarded report falls back to. */
-  answerAlone(report: Heartbeat, done: AnswerReport): void;
+  answerWithoutLeader(report: Heartbeat, done: RespondToWorker): void;
   /** Sends a worker on, or answers it, as without shared reports. */
-  route(report: Heartbeat, done: AnswerReport): void;
+  route(report: Heartbeat, done: RespondToWorker): void;
 }
 
 interface LeaderView {
@@ -42,37 +42,37 @@
   readonly incarnation: string;
   number: number;
   receivedAt: number;
-  provenAt: number;
+  confirmedAt: number;
   isSharing: boolean;
   attention: Set<string>;
-  shed: Shed | null;
-  shedLeft: number;
+  redirect: RedirectQuota | null;
+  redirectsLeft: number;
 }
 
 interface KnownWorker {
-  readonly session: number;
-  readonly seq: number;
+  readonly agentEpoch: number;
+  readonly sequence: number;
   readonly tasks: readonly ReportedTask[];
   /** The leader has answered this content without a command, and has nothing more to tell. */
   isAnswered: boolean;
   /** When its report last reached the leader, and when it last came here; steady times. */
   readonly forwardedAt: number;
-  readonly seenAt: number;
+  readonly receivedAt: number;
 }
 
-interface PendingReport {
-  readonly report: Heartbeat;
-  readonly done: AnswerReport;
+interface PendingHeartbeat {
+  readonly heartbeat: Heartbeat;
+  readonly respond: RespondToWorker;
 }
 
 /** A worker waits 4 s for an answer; before that it is answered without the leader. */
 const FORWARD_TIMEOUT_MS = 3000;
 /** Snapshots come at every `toldEvery`; without one for so many of them the leader's view is not known. */
-const SNAPSHOTS_MISSED = 2.5;
+const MAX_MISSED_SNAPSHOTS = 2.5;
 /** So many tasks go in one message, for its size is bounded. */
 const MAX_TASKS_IN_MESSAGE = 600;
-const MAX_REPORTS_IN_MESSAGE = 100;
-const MAX_HEARTBEATS_IN_MESSAGE = 1000;
+const MAX_FORWARDED_IN_MESSAGE = 100;
+const MAX_KEEPALIVES_IN_MESSAGE = 1000;
 
 const isSameTask = (one: ReportedTask, other: ReportedTask | undefined): boolean =>
   other !== undefined &&
@@ -86,19 +86,19 @@
 
 const hasExit = (report: Heartbeat): boolean => report.tasks.some(({ stage }) => stage === 'exited');
 
-export class ReportIntake {
+export class HeartbeatIntake {
   #view: LeaderView | null = null;
   readonly #known = new Map<string, KnownWorker>();
-  readonly #pending = new Map<number, PendingReport>();
+  readonly #pending = new Map<number, PendingHeartbeat>();
   #nextReference = 1;
-  #reports: ForwardedReport[] = [];
-  #heartbeats: { readonly heartbeat: Omit<Keepalive, 'ageMs'>; readonly at: number }[] = [];
-  #flushing = false;
+  #heartbeats: ForwardedHeartbeat[] = [];
+  #keepalives: { readonly keepalive: Omit<Keepalive, 'ageMs'>; readonly at: number }[] = [];
+  #isFlushScheduled = false;
   /** Reports forwarded and answered here, for the status page. */
   forwarded = 0;
   answered = 0;
 
-  constructor(private readonly context: IntakeContext) {}
+  constructor(private readonly context: HeartbeatIntakeContext) {}
 
   /** Whether this node takes reports for the leader that it follows. */
   get isActive(): boolean {
@@ -107,41 +107,41 @@
 
   #activeView(): LeaderView | null {
     const view = this.#view;
-    const following = this.context.following();
+    const following = this.context.followedLeader();
     if (view === null || following === null || !view.isSharing) return null;
     if (view.leader !== following.leader || view.term !== following.term) return null;
     const { clock, timing } = this.context;
-    return clock.monotonicMs() - view.receivedAt < SNAPSHOTS_MISSED * snapshotIntervalMs(timing)
+    return clock.monotonicMs() - view.receivedAt < MAX_MISSED_SNAPSHOTS * snapshotIntervalMs(timing)
       ? view
       : null;
   }
 
   /** Whether a worker has reported here of late; from now on it is sent elsewhere. */
-  leaveHome(machine: string): boolean {
+  forgetWorker(machine: string): boolean {
     const known = this.#known.get(machine);
     this.#known.delete(machine);
     return (
       known !== undefined &&
-      this.context.clock.monotonicMs() - known.seenAt < this.context.timing.workerLeaseMs
+      this.context.clock.monotonicMs() - known.receivedAt < this.context.timing.workerLeaseMs
     );
   }
 
   /** The link to a controller is lost: if that is the leader, what waits for its answer is routed as without it. */
-  linkLost(node: string): void {
+  onLinkLost(node: string): void {
     if (this.#view?.leader !== node) return;
     this.#view.isSharing = false;
-    this.#reports = [];
-    for (const { report, done } of this.#drainPending()) this.context.route(report, done);
+    this.#heartbeats = [];
+    for (const { heartbeat, respond } of this.#drainPending()) this.context.route(heartbeat, respond);
   }
 
-  #drainPending(): PendingReport[] {
+  #drainPending(): PendingHeartbeat[] {
     const waiting = [...this.#pending.values()];
     this.#pending.clear();
     return waiting;
   }
 
   /** Takes a report in; false: it is not for this node to answer now. */
-  take(report: Heartbeat, done: AnswerReport): boolean {
+  take(report: Heartbeat, done: RespondToWorker): boolean {
     const view = this.#activeView();
     if (view === null || this.#pending.size >= MAX_TRACKED_MACHINES) return false;
     if (report.token > view.term) return false;
@@ -151,20 +151,20 @@
       return true;
     }
     const isNews = this.#isNews(report, known, view);
-    if (!isNews && this.#sheds(view, report, done)) return true;
-    if (!isNews && this.#mayAnswer(view)) this.#answerHere(report, view, known, done);
+    if (!isNews && this.#redirects(view, report, done)) return true;
+    if (!isNews && this.#mayAnswerLocally(view)) this.#answerLocally(report, view, known, done);
     else this.#forward(report, done);
     return true;
   }
 
   #isNewer({ agentEpoch, sequence }: Heartbeat, known: KnownWorker): boolean {
-    return agentEpoch > known.session || (agentEpoch === known.session && sequence > known.seq);
+    return agentEpoch > known.agentEpoch || (agentEpoch === known.agentEpoch && sequence > known.sequence);
   }
 
   #isNews(report: Heartbeat, known: KnownWorker | undefined, view: LeaderView): boolean {
     if (known === undefined || !known.isAnswered || view.attention.has(report.machine)) return true;
     // After a report that went elsewhere, what was answered there is not known here.
-    if (report.agentEpoch !== known.session || report.sequence !== known.seq + 1) return true;
+    if (report.agentEpoch !== known.agentEpoch || report.sequence !== known.sequence + 1) return true;
     if (report.token !== view.term || report.terminationNoticeS !== null || hasExit(report)) return true;
     const age = this.context.clock.monotonicMs() - known.forwardedAt;
     // Whatever is known of it, within the time that a cancellation has the leader hears each machine in full.
@@ -172,9 +172,9 @@
   }
 
   /** Whether the view that the leader has told of is proven freshly enough to answer by. */
-  #mayAnswer({ provenAt }: LeaderView): boolean {
-    const { clock, timing, clocksApartMs } = this.context;
-    return clock.epochMs() < provenAt + timing.authorityWindowMs - clocksApartMs;
+  #mayAnswerLocally({ confirmedAt }: LeaderView): boolean {
+    const { clock, timing, maxClockSkewMs } = this.context;
+    return clock.epochMs() < confirmedAt + timing.authorityWindowMs - maxClockSkewMs;
   }
 
   #remember(machine: string, known: KnownWorker): void {
@@ -187,62 +187,68 @@
   }
 
   /** Sends a worker to the controller that the leader has named, so that loads even out. */
-  #sheds(view: LeaderView, { machine }: Heartbeat, done: AnswerReport): boolean {
-    if (view.shed === null || view.shedLeft <= 0) return false;
-    view.shedLeft -= 1;
+  #redirects(view: LeaderView, { machine }: Heartbeat, done: RespondToWorker): boolean {
+    if (view.redirect === null || view.redirectsLeft <= 0) return false;
+    view.redirectsLeft -= 1;
     this.#known.delete(machine);
-    done(421, this.context.encodeRedirect(view.shed.to));
+    done(421, this.context.encodeRedirect(view.redirect.to));
     return true;
   }
 
-  #answerHere(report: Heartbeat, view: LeaderView, known: KnownWorker | undefined, done: AnswerReport): void {
+  #answerLocally(
+    report: Heartbeat,
+    view: LeaderView,
+    known: KnownWorker | undefined,
+    done: RespondToWorker,
+  ): void {
     const { machine, agentEpoch, sequence, tasks } = report;
     const now = this.context.clock.monotonicMs();
     this.answered += 1;
     this.#remember(machine, {
-      session: agentEpoch,
-      seq: sequence,
+      agentEpoch,
+      sequence,
       tasks,
       isAnswered: true,
       forwardedAt: known?.forwardedAt ?? now,
-      seenAt: now,
+      receivedAt: now,
     });
-    this.#heartbeats.push({ heartbeat: { machine, agentEpoch, sequence }, at: now });
+    this.#keepalives.push({ keepalive: { machine, agentEpoch, sequence }, at: now });
     done(200, this.context.encodeAnswer(view.term, []));
   }
 
-  #forward(report: Heartbeat, done: AnswerReport): void {
+  #forward(report: Heartbeat, done: RespondToWorker): void {
     const { machine, agentEpoch, sequence, tasks } = report;
     const now = this.context.clock.monotonicMs();
     this.forwarded += 1;
     this.#remember(machine, {
-      session: agentEpoch,
-      seq: sequence,
+      agentEpoch,
+      sequence,
       tasks,
       isAnswered: false,
       forwardedAt: now,
-      seenAt: now,
+      receivedAt: now,
     });
     this.#view?.attention.delete(machine);
-    this.#enqueue({ report, done });
+    this.#enqueue({ heartbeat: report, respond: done });
   }
 
-  #enqueue(pending: PendingReport): void {
+  #enqueue(pending: PendingHeartbeat): void {
     const reference = this.#nextReference++;
     this.#pending.set(reference, pending);
-    this.#reports.push({ reference, report: pending.report });
+    this.#heartbeats.push({ reference, heartbeat: pending.heartbeat });
     this.#flushSoon();
     void this.context.clock.sleep(FORWARD_TIMEOUT_MS).then(() => {
-      if (this.#pending.delete(reference)) this.context.answerAlone(pending.report, pending.done);
+      if (this.#pending.delete(reference))
+        this.context.answerWithoutLeader(pending.heartbeat, pending.respond);
     });
   }
 
   #flushSoon(): void {
-    if (this.#flushing) return;
-    this.#flushing = true;
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
     // Reports of a moment go together: each message costs the leader a pass over its queue.
     void this.context.clock.sleep(this.context.timing.forwardBatchDelayMs).then(() => {
-      this.#flushing = false;
+      this.#isFlushScheduled = false;
       this.flush();
     });
   }
@@ -251,68 +257,68 @@
   flush(): void {
     const view = this.#activeView();
     if (view === null) {
-      this.#reports = [];
       this.#heartbeats = [];
+      this.#keepalives = [];
       return;
     }
-    while (this.#reports.length > 0 || this.#heartbeats.length > 0) this.#sendMessage(view);
+    while (this.#heartbeats.length > 0 || this.#keepalives.length > 0) this.#sendMessage(view);
   }
 
   #sendMessage({ leader, term }: LeaderView): void {
     const { clock, node, incarnation } = this.context;
     const now = clock.monotonicMs();
-    const reports = this.#takeReports();
-    const heartbeats = this.#heartbeats
-      .splice(0, MAX_HEARTBEATS_IN_MESSAGE)
-      .map(({ heartbeat, at }) => ({ ...heartbeat, ageMs: Math.max(0, Math.round(now - at)) }));
+    const heartbeats = this.#takeHeartbeats();
+    const keepalives = this.#keepalives
+      .splice(0, MAX_KEEPALIVES_IN_MESSAGE)
+      .map(({ keepalive, at }) => ({ ...keepalive, ageMs: Math.max(0, Math.round(now - at)) }));
     const message = {
-      kind: 'reports',
+      kind: 'heartbeats',
       node,
       incarnation,
       term,
-      at: clock.epochMs(),
-      reports,
+      sentAt: clock.epochMs(),
       heartbeats,
+      keepalives,
     } as const;
     if (this.context.send(leader, message)) return;
     // Its workers may well reach a leader to which this node has no link.
-    for (const { reference } of reports) {
-      this.#pending.get(reference)?.done(421, this.context.encodeRedirect(leader));
+    for (const { reference } of heartbeats) {
+      this.#pending.get(reference)?.respond(421, this.context.encodeRedirect(leader));
       this.#pending.delete(reference);
     }
   }
 
-  #takeReports(): ForwardedReport[] {
+  #takeHeartbeats(): ForwardedHeartbeat[] {
     let tasks = 0;
     let count = 0;
-    for (const { report } of this.#reports) {
-      tasks += report.tasks.length;
-      if (count > 0 && (tasks > MAX_TASKS_IN_MESSAGE || count >= MAX_REPORTS_IN_MESSAGE)) break;
+    for (const { heartbeat } of this.#heartbeats) {
+      tasks += heartbeat.tasks.length;
+      if (count > 0 && (tasks > MAX_TASKS_IN_MESSAGE || count >= MAX_FORWARDED_IN_MESSAGE)) break;
       count += 1;
     }
-    return this.#reports.splice(0, count);
+    return this.#heartbeats.splice(0, count);
   }
 
   /** Takes in what the leader says. Its sender and term are checked by the caller. */
   receive(message: AnswersMessage): void {
-    if (!this.#takeView(message)) return;
-    for (const { reference, able, pending, commands } of message.answers) {
+    if (!this.#updateView(message)) return;
+    for (const { reference, isAccepted, needsAttention, commands } of message.answers) {
       const waiting = this.#pending.get(reference);
       this.#pending.delete(reference);
       if (waiting === undefined) continue;
-      const { machine, agentEpoch, sequence, token } = waiting.report;
+      const { machine, agentEpoch, sequence, token } = waiting.heartbeat;
       const known = this.#known.get(machine);
       // A report that came before its worker had seen the token does not tell the leader the whole.
-      if (known?.session === agentEpoch && known.seq === sequence)
-        known.isAnswered = able && commands.length === 0 && token === message.term;
-      if (pending) this.#view?.attention.add(machine);
-      if (able) waiting.done(200, this.context.encodeAnswer(message.term, commands));
-      else this.context.answerAlone(waiting.report, waiting.done);
+      if (known?.agentEpoch === agentEpoch && known.sequence === sequence)
+        known.isAnswered = isAccepted && commands.length === 0 && token === message.term;
+      if (needsAttention) this.#view?.attention.add(machine);
+      if (isAccepted) waiting.respond(200, this.context.encodeAnswer(message.term, commands));
+      else this.context.answerWithoutLeader(waiting.heartbeat, waiting.respond);
     }
   }
 
   /** Brings the leader's view up to date; false: the message is not of use. */
-  #takeView(message: AnswersMessage): boolean {
+  #updateView(message: AnswersMessage): boolean {
     const { node, term, incarnation, number } = message;
     const view = this.#view;
     const isSame = view?.leader === node && view.term === term && view.incarnation === incarnation;
@@ -324,13 +330,13 @@
         incarnation,
         number,
         receivedAt: this.context.clock.monotonicMs(),
-        provenAt: message.provenAt,
+        confirmedAt: message.viewConfirmedAt,
         isSharing: message.isSharing,
         attention: new Set(message.attention),
-        shed: message.shed,
-        shedLeft: message.shed?.count ?? 0,
+        redirect: message.redirect,
+        redirectsLeft: message.redirect?.count ?? 0,
       };
-      if (!isSame) this.#forwardAgain();
+      if (!isSame) this.#forwardPendingAgain();
       return true;
     }
     if (!isSame) return false;
@@ -344,12 +350,12 @@
   }
 
   /** A new leader is told of what waits for an answer of the one before. */
-  #forwardAgain(): void {
+  #forwardPendingAgain(): void {
     for (const pending of this.#drainPending()) this.#enqueue(pending);
   }
 
   /** This node leads now: what waits for an answer is its own to answer. */
-  takePending(): PendingReport[] {
+  takePending(): PendingHeartbeat[] {
     this.#view = null;
     return this.#drainPending();
   }
--- a/src/controller/leading.ts
+++ b/src/controller/leader-role.ts
@@ -1,6 +1,6 @@
 /** Leading: what the leaders before have committed is loaded, then the jobs are followed. */
 import { readJob } from '../adapters/reads.js';
-import type { Common } from './common.js';
+import type { ControllerContext } from './context.js';
 import type { LoadedChunk, ReconciledRecords } from '../core/effects.js';
 import {
   decodeChunk,
@@ -22,8 +22,8 @@
 } from '../core/persistence/index.js';
 import type { EndedRecord, JobSpec, Versioned } from '../core/types.js';
 import type { ElectionResult } from '../membership/election.js';
-import type { Observing } from './observing.js';
-import type { Peering } from './peering.js';
+import type { FailureDetector } from './failure-detector.js';
+import type { PeerExchange } from './peer-exchange.js';
 import type { PlatformSettings } from '../settings.js';
 import { firstLayout, formatRecord, lastingLayout } from '../upgrade.js';
 import type { Entry } from '../wire/state.js';
@@ -42,7 +42,7 @@
  * part, those of the far zone find a deputy within their lease only if the node after
  * the leader is in another zone than the leader. Nodes of which this is so are to lead.
  */
-function wellPlaced(settings: PlatformSettings): Set<string> {
+function choosePreferredLeaders(settings: PlatformSettings): Set<string> {
   const { host_name, zone, others } = settings;
   const nodes = [{ host_name, zone }, ...others].sort((a, b) => (a.host_name < b.host_name ? -1 : 1));
   const several = nodes.some((node) => node.zone !== zone);
@@ -50,28 +50,28 @@
   return new Set(found.map((node) => node.host_name));
 }
 
-export class Leading {
+export class LeaderRole {
   readonly #wellPlaced: ReadonlySet<string>;
   readonly #startedAt: number;
   /** When some zone was last quiet. */
   #quietAt = -Infinity;
 
   constructor(
-    private readonly common: Common,
-    private readonly peering: Peering,
-    private readonly observing: Observing,
+    private readonly common: ControllerContext,
+    private readonly peers: PeerExchange,
+    private readonly failureDetector: FailureDetector,
   ) {
-    this.#wellPlaced = wellPlaced(common.settings);
+    this.#wellPlaced = choosePreferredLeaders(common.settings);
     this.#startedAt = common.ports.clock.monotonicMs();
   }
 
   /** The nodes that are to lead rather than others. */
-  get preferred(): ReadonlySet<string> {
+  get preferredLeaders(): ReadonlySet<string> {
     return this.#wellPlaced;
   }
 
   /** Whether this node is one of those that are to lead. */
-  get isWellPlaced(): boolean {
+  get isPreferredLeader(): boolean {
     return this.#wellPlaced.has(this.common.settings.host_name);
   }
 
@@ -82,10 +82,10 @@
   }
 
   /** Whether a node that is to lead rather than this one is heard, or may still be after this one's start. */
-  hasBetterPlaced(): boolean {
-    if (this.isWellPlaced) return false;
+  hasPreferredPeer(): boolean {
+    if (this.isPreferredLeader) return false;
     const now = this.common.ports.clock.monotonicMs();
-    const { membership } = this.observing;
+    const { membership } = this.failureDetector;
     const young = now - this.#startedAt < this.common.timing.maxHeartbeatIntervalMs;
     const heard = (node: string): boolean =>
       membership.linkLostAt(node) === null && (young || membership.hasContact(node, now));
@@ -93,15 +93,15 @@
   }
 
   /** The node that is to lead rather than this one, if it has been back, and served, for a while. */
-  betterPlaced(): string | null {
-    const { leadership, machines } = this.common.owner.state;
+  preferredSuccessor(): string | null {
+    const { leadership, machines } = this.common.commands.state;
     const now = this.common.ports.clock.monotonicMs();
     const settled = 0.4 * this.common.timing.workerLeaseMs;
-    if (leadership === null || this.isWellPlaced) return null;
+    if (leadership === null || this.isPreferredLeader) return null;
     if (now - leadership.since < settled) return null;
     // The next leader would wait anew for machines that are silent, and their tasks with them; and what
     // a zone brings back with it is best taken in by whoever knows what was given up meanwhile.
-    if (this.common.owner.state.silentZones.size > 0) this.#quietAt = now;
+    if (this.common.commands.state.silentZones.size > 0) this.#quietAt = now;
     if (now - this.#quietAt < this.common.timing.workerLeaseMs) return null;
     if (
       [...machines.values()].some(
@@ -109,7 +109,7 @@
       )
     )
       return null;
-    const { membership } = this.observing;
+    const { membership } = this.failureDetector;
     return [...this.#wellPlaced].find((node) => membership.isStable(node, settled, now)) ?? null;
   }
 
@@ -117,22 +117,22 @@
    * Begins nothing new, and waits until what was begun is written, so that the next leader finds all
    * of it: a moment, and no longer than it takes workers to notice.
    */
-  async close(): Promise<void> {
-    const { owner, ports, timing } = this.common;
-    owner.push({ kind: 'transferLeadership' });
+  async drainForTransfer(): Promise<void> {
+    const { commands, ports, timing } = this.common;
+    commands.push({ kind: 'transferLeadership' });
     const until = ports.clock.monotonicMs() + 2 * timing.tickMs;
     while (ports.clock.monotonicMs() < until) {
       await ports.clock.sleep(timing.tickMs / 8);
-      const { commit, pendingReconciliation, dirtyJobs } = owner.state;
+      const { commit, pendingReconciliation, dirtyJobs } = commands.state;
       if (commit === null && pendingReconciliation === null && dirtyJobs.start.size === 0) return;
     }
   }
 
   /** Loads what the leaders before have committed, then follows the jobs. */
-  async lead(won: ElectionResult): Promise<void> {
-    this.common.standing.highestTerm = Math.max(this.common.standing.highestTerm, won.term);
-    this.common.standing.leader = this.common.settings.host_name;
-    this.common.standing.leadingTerm = won.term;
+  async takeLeadership(won: ElectionResult): Promise<void> {
+    this.common.leadershipView.highestTerm = Math.max(this.common.leadershipView.highestTerm, won.term);
+    this.common.leadershipView.leader = this.common.settings.host_name;
+    this.common.leadershipView.leadingTerm = won.term;
     this.common.ports.log.info({ term: won.term }, 'elected');
     for (;;) {
       const sentAt = this.common.ports.clock.monotonicMs();
@@ -142,7 +142,10 @@
         this.#readMemory(),
         this.#readFormat(won.modRevision),
       ]);
-      if (this.common.standing.leadingTerm !== won.term || this.common.standing.highestTerm > won.term)
+      if (
+        this.common.leadershipView.leadingTerm !== won.term ||
+        this.common.leadershipView.highestTerm > won.term
+      )
         return;
       if (jobs === 'unknown' || runs === 'unknown' || memory === 'unknown' || format === 'unknown') {
         await this.common.ports.clock.sleep(this.common.timing.tickMs);
@@ -156,7 +159,7 @@
           chunks.push({ job: name.job, name, record: { value: record, modRevision } });
       }
       const { term, modRevision } = won;
-      this.common.owner.push({
+      this.common.commands.push({
         kind: 'becomeLeader',
         term,
         modRevision,
@@ -167,8 +170,8 @@
         jobs: decodeJobs(jobs.entries),
         chunks,
         demandHistory: memory,
-        silentZones: this.peering.quietOfLate(),
-        previousLeaderMayBeAlive: won.before === 'unknown' && term > 1,
+        silentZones: this.peers.recentlySilentZones(),
+        previousLeaderMayBeAlive: won.previousLeader === 'unknown' && term > 1,
       });
       await this.#follow(term, jobs.revision);
       return;
@@ -207,7 +210,7 @@
   /** Watches the jobs while this node leads; each answer proves how fresh its view is. */
   async #follow(term: number, revision: number): Promise<void> {
     let after = revision;
-    while (this.common.standing.leadingTerm === term) {
+    while (this.common.leadershipView.leadingTerm === term) {
       const sentAt = this.common.ports.clock.monotonicMs();
       const found = await this.common.ports.state.watch(JOB_PREFIX, after, this.common.timing.watchTimeoutMs);
       if (found.kind === 'unknown') {
@@ -216,27 +219,27 @@
         const jobs = await this.common.ports.state.list(JOB_PREFIX);
         if (jobs === 'unknown') continue;
         after = jobs.revision;
-        this.common.owner.push({
+        this.common.commands.push({
           kind: 'jobsReplaced',
           jobs: decodeJobs(jobs.entries),
           revision: jobs.revision,
         });
-        this.common.owner.push({ kind: 'viewConfirmed', sentAt });
+        this.common.commands.push({ kind: 'viewConfirmed', sentAt });
       } else {
         after = found.revision;
         for (const { key, value, modRevision } of found.changes) {
           const spec = decodeJob(value);
-          if (value === undefined) this.common.owner.push({ kind: 'jobRemoved', id: jobOfKey(key) });
+          if (value === undefined) this.common.commands.push({ kind: 'jobRemoved', id: jobOfKey(key) });
           else if (spec !== null)
-            this.common.owner.push({ kind: 'jobAdded', job: { value: spec, modRevision } });
+            this.common.commands.push({ kind: 'jobAdded', job: { value: spec, modRevision } });
         }
-        this.common.owner.push({ kind: 'viewConfirmed', sentAt });
+        this.common.commands.push({ kind: 'viewConfirmed', sentAt });
       }
     }
   }
 
   /** How awaited jobs stand, by the committed records. */
-  async resolve(ids: readonly string[]): Promise<void> {
+  async resolveDependencies(ids: readonly string[]): Promise<void> {
     const found = await Promise.all(
       ids.map(async (id) => {
         const job = await readJob(this.common.ports.state, id);
@@ -246,10 +249,10 @@
         ] as const;
       }),
     );
-    this.common.owner.push({ kind: 'dependenciesResolved', found: new Map(found) });
+    this.common.commands.push({ kind: 'dependenciesResolved', found: new Map(found) });
   }
 
-  async recheck(ids: readonly string[], keys: readonly string[]): Promise<void> {
+  async reconcile(ids: readonly string[], keys: readonly string[]): Promise<void> {
     const jobs = new Map<string, { live: boolean; ended: EndedRecord | null }>();
     const chunks = new Map<string, number>();
     let whole = true;
@@ -270,7 +273,7 @@
       if (!whole) break;
     }
     if (!whole) await this.common.ports.clock.sleep(this.common.timing.tickMs);
-    this.common.owner.push({
+    this.common.commands.push({
       kind: 'reconciled',
       found: whole ? ({ jobs, chunks } satisfies ReconciledRecords) : null,
     });
@@ -282,7 +285,7 @@
     const young = 0.5 * this.common.timing.workerLeaseMs + 2 * this.common.settings.cluster.clock_error_ms;
     for (;;) {
       await this.common.ports.clock.sleep(4 * this.common.timing.tickMs);
-      const { leadership, machines } = this.common.owner.state;
+      const { leadership, machines } = this.common.commands.state;
       if (leadership === null) continue;
       const now = this.common.ports.clock.monotonicMs();
       let silent = 0;
@@ -300,7 +303,7 @@
         if (record === null) continue;
         const ageMs = Math.max(0, this.common.ports.clock.epochMs() - record.at);
         if (ageMs < young)
-          this.common.owner.push({ kind: 'machinesRelayed', machines: record.machines, ageMs });
+          this.common.commands.push({ kind: 'machinesRelayed', machines: record.machines, ageMs });
       }
     }
   }
@@ -308,7 +311,7 @@
   async #keepCatalog(): Promise<void> {
     for (;;) {
       const types = await this.common.ports.cloud.catalog();
-      if (types !== null) this.common.owner.push({ kind: 'catalog', types });
+      if (types !== null) this.common.commands.push({ kind: 'catalog', types });
       await this.common.ports.clock.sleep(
         types === null ? this.common.timing.tickMs : 6 * this.common.timing.workerLeaseMs,
       );
@@ -321,10 +324,10 @@
       (this.common.settings.cluster.cloud.list_lag_s * 1000) / 4,
     );
     for (;;) {
-      if (this.common.owner.state.leadership !== null) {
+      if (this.common.commands.state.leadership !== null) {
         const askedAt = this.common.ports.clock.monotonicMs();
         const machines = await this.common.ports.cloud.machines();
-        if (machines !== null) this.common.owner.push({ kind: 'machinesListed', askedAt, machines });
+        if (machines !== null) this.common.commands.push({ kind: 'machinesListed', askedAt, machines });
       }
       await this.common.ports.clock.sleep(pause);
     }
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -2,22 +2,22 @@
 import { Admission } from '../adapters/admission.js';
 import type { PeerTraffic } from '../adapters/peers.js';
 import { Users } from '../adapters/users.js';
-import { stateAgeMs, type Common, type Ports, type LeadershipView } from './common.js';
+import { storeContactAgeMs, type ControllerContext, type Ports, type LeadershipView } from './context.js';
 import { FORMAT, LEADER_KEY } from '../core/persistence/index.js';
 import type { Effect, Reply } from '../core/effects.js';
 import { createState } from '../core/create-state.js';
-import { Deputy } from './deputy.js';
+import { FallbackResponder } from './fallback-responder.js';
 import { describeLead } from '../describe.js';
-import { Election } from './election.js';
-import { Following } from './following.js';
+import { ElectionDriver } from './election-driver.js';
+import { FollowerRole } from './follower-role.js';
 import { Latencies } from '../latency.js';
-import { Leading } from './leading.js';
+import { LeaderRole } from './leader-role.js';
 import { Tally } from '../logging.js';
-import { Owner } from '../owner.js';
-import { Observing } from './observing.js';
-import { Peering } from './peering.js';
-import { ReportIntake } from './report-intake.js';
-import { SharedReports } from './shared-reports.js';
+import { CommandLoop } from './command-loop.js';
+import { FailureDetector } from './failure-detector.js';
+import { PeerExchange } from './peer-exchange.js';
+import { HeartbeatIntake } from './heartbeat-intake.js';
+import { SharedHeartbeats } from './shared-heartbeats.js';
 import { createElection } from '../membership/election.js';
 import type { Resignation } from '../membership/membership.js';
 import type { LinkState } from '../membership/status.js';
@@ -40,22 +40,22 @@
   readonly admission: Admission;
   /** What came in that could not be read, by what it should have been. */
   readonly malformed = new Tally();
-  readonly #common: Common;
-  readonly #peering: Peering;
-  readonly #leading: Leading;
-  readonly #following: Following;
-  readonly #election: Election;
+  readonly #common: ControllerContext;
+  readonly #peering: PeerExchange;
+  readonly #leading: LeaderRole;
+  readonly #following: FollowerRole;
+  readonly #election: ElectionDriver;
   readonly #upgrade: Upgrade;
-  readonly #intake: ReportIntake;
-  readonly #shared: SharedReports;
+  readonly #intake: HeartbeatIntake;
+  readonly #shared: SharedHeartbeats;
   readonly #replies = new Map<number, (reply: Reply) => void>();
   /** Tells the other controllers what has changed; set by whoever has the links. */
-  tellPeers: () => void = () => undefined;
+  broadcastStatus: () => void = () => undefined;
   /** Sends a message about shared reports, false if it cannot be sent; set by whoever has the links. */
   sendIntake: (to: string, message: IntakeMessage) => boolean = () => false;
   /** What was written to the other controllers; set by whoever has the links. */
   peerTraffic: () => PeerTraffic = () => ({ sentMessages: 0, sentBytes: 0 });
-  readonly #observing: Observing;
+  readonly #observing: FailureDetector;
   #nextReply = 1;
   #ticks = 0;
   /** Stamp of the leader's record that this node has stood against, and the term it last handed over. */
@@ -66,7 +66,7 @@
     const { state, clock, log, incarnation } = ports;
     const times = timing(settings);
     const rules = rulesFor(settings, ports.policy);
-    const owner = new Owner(
+    const owner = new CommandLoop(
       createState(settings.host_name, rules),
       clock,
       log,
@@ -75,9 +75,9 @@
         this.#observing.membership.processingRate.record(steadyMs, processorMs, clock.monotonicMs()),
     );
     const standing: LeadershipView = { leader: null, leaderRevision: 0, highestTerm: 0, leadingTerm: 0 };
-    this.#common = { settings, timing: times, ports, owner, standing };
+    this.#common = { settings, timing: times, ports, commands: owner, leadershipView: standing };
     const { value_kb, txn_ops, rps } = lastingLimits(settings);
-    const deputy = new Deputy(
+    const deputy = new FallbackResponder(
       settings.host_name,
       state,
       clock,
@@ -85,30 +85,30 @@
       value_kb * 1024,
       2 * settings.cluster.clock_error_ms,
     );
-    this.#observing = new Observing(this.#common, {
-      inherit: () => this.#inherit(),
-      yieldTo: (to) => void this.#handOver(to),
-      tell: () => this.tellPeers(),
-      preferred: () => this.#leading.preferred,
+    this.#observing = new FailureDetector(this.#common, {
+      replaceCrashedLeader: () => this.#inherit(),
+      transferLeadership: (to) => void this.#handOver(to),
+      broadcastStatus: () => this.broadcastStatus(),
+      preferredLeaders: () => this.#leading.preferredLeaders,
     });
-    this.#peering = new Peering(
+    this.#peering = new PeerExchange(
       this.#common,
-      () => deputy.hears(),
+      () => deputy.answeredMachines(),
       () => this.#intake.isActive,
       (view) => deputy.receiveSnapshot(view),
-      () => this.#observing.sights(),
+      () => this.#observing.localStatus(),
     );
-    this.#leading = new Leading(this.#common, this.#peering, this.#observing);
-    this.#following = new Following(this.#common, this.#peering, this.#observing, deputy, (machine) =>
-      this.#intake.leaveHome(machine),
+    this.#leading = new LeaderRole(this.#common, this.#peering, this.#observing);
+    this.#following = new FollowerRole(this.#common, this.#peering, this.#observing, deputy, (machine) =>
+      this.#intake.forgetWorker(machine),
     );
-    this.#intake = new ReportIntake({
+    this.#intake = new HeartbeatIntake({
       clock,
       timing: times,
       node: settings.host_name,
       incarnation,
-      clocksApartMs: 2 * settings.cluster.clock_error_ms,
-      following: () => {
+      maxClockSkewMs: 2 * settings.cluster.clock_error_ms,
+      followedLeader: () => {
         const { leader, highestTerm } = standing;
         const leads = owner.state.leadership !== null;
         return leads || leader === null || leader === settings.host_name
@@ -118,41 +118,41 @@
       send: (to, message) => this.sendIntake(to, message),
       encodeAnswer: encodeReply,
       encodeRedirect,
-      answerAlone: (report, done) => this.#following.answerAlone(report, done),
+      answerWithoutLeader: (report, done) => this.#following.answerWithoutLeader(report, done),
       route: (report, done) => this.#following.answer(report, done),
     });
-    this.#shared = new SharedReports(this.#common, {
+    this.#shared = new SharedHeartbeats(this.#common, {
       candidates: () => this.#followers(),
-      isTaking: (node) => this.#peering.takesReports(node),
+      isAccepting: (node) => this.#peering.isAcceptingHeartbeats(node),
       send: (to, message) => this.sendIntake(to, message),
       push: (report, ageMs, answer) =>
         this.#pushReport(report, ageMs, (reply) =>
           answer({
-            able: reply.kind === 'commands',
-            pending: this.#needsAttention(report.machine),
+            isAccepted: reply.kind === 'commands',
+            needsAttention: this.#needsAttention(report.machine),
             commands: reply.kind === 'commands' ? reply.commands : [],
           }),
         ),
     });
-    this.#election = new Election(
+    this.#election = new ElectionDriver(
       createElection(
         settings.host_name,
         incarnation,
         times,
-        this.#leading.isWellPlaced ? 0 : 4 * times.tickMs,
+        this.#leading.isPreferredLeader ? 0 : 4 * times.tickMs,
       ),
       state,
       clock,
       {
-        elected: (won) => {
+        onElected: (won) => {
           this.#observing.membership.clearUnexpectedReports();
-          void this.#leading.lead(won);
+          void this.#leading.takeLeadership(won);
         },
-        lost: () => {
+        onLost: () => {
           standing.leadingTerm = 0;
           owner.push({ kind: 'resign', reason: 'another may lead' });
         },
-        leaderKnown: (leader, modRevision) => {
+        onLeaderObserved: (leader, modRevision) => {
           if (leader !== null && leader.term > standing.highestTerm)
             this.#observing.membership.clearUnexpectedReports();
           standing.leader = leader?.node ?? null;
@@ -164,8 +164,8 @@
       () => {
         // It would lead and hear nobody: elected again while its successor stood still, such a node cost
         // 1,787 tasks their lease.
-        if (this.#observing.isCutOff) return 8 * times.tickMs;
-        return this.#leading.hasBetterPlaced() ? 4 * times.tickMs : 0;
+        if (this.#observing.isIsolated) return 8 * times.tickMs;
+        return this.#leading.hasPreferredPeer() ? 4 * times.tickMs : 0;
       },
     );
     this.#upgrade = new Upgrade({
@@ -174,7 +174,7 @@
       clock,
       pause: 2 * times.maxHeartbeatIntervalMs,
       termRevision: () => owner.state.leadership?.modRevision ?? null,
-      hearsEarlier: () => this.#peering.hearsEarlier(),
+      hearsEarlier: () => this.#peering.hasPeerOfEarlierFormat(),
       adopted: (record) => {
         log.info(record, 'every controller reads the new format');
         state.keepTo(lastingLimits(settings));
@@ -188,7 +188,7 @@
       valueBytes: value_kb * 1024,
       conditions: 4 * txn_ops,
       knowsPipelines: async () => (await this.#upgrade.look()) !== null,
-      isSettled: () => this.#peering.isSettled(),
+      isSettled: () => this.#peering.areDependenciesResolved(),
       state,
       clock,
       teams: rules.teams,
@@ -200,7 +200,7 @@
 
   start(): void {
     const { settings, ports } = this.#common;
-    this.#election.tell({ kind: 'start' });
+    this.#election.dispatch({ kind: 'start' });
     this.#leading.start();
     void this.#keepTicking();
     void this.#keepContact();
@@ -214,7 +214,7 @@
 
   onLink(node: string, link: LinkState): void {
     this.#observing.onLink(node, link);
-    if (link !== 'up') this.#intake.linkLost(node);
+    if (link !== 'up') this.#intake.onLinkLost(node);
   }
 
   onPeer(status: PeerStatus): void {
@@ -227,11 +227,11 @@
   /** A message about shared reports from another controller. */
   onIntake(message: IntakeMessage): void {
     if (!this.#observing.membership.isCurrentIncarnation(message)) return;
-    const { standing, owner } = this.#common;
-    if (message.kind === 'reports') this.#shared.receive(message);
-    else if (owner.state.leadership === null && message.term >= standing.highestTerm) {
-      standing.highestTerm = message.term;
-      standing.leader = message.node;
+    const { leadershipView, commands } = this.#common;
+    if (message.kind === 'heartbeats') this.#shared.receive(message);
+    else if (commands.state.leadership === null && message.term >= leadershipView.highestTerm) {
+      leadershipView.highestTerm = message.term;
+      leadershipView.leader = message.node;
       this.#intake.receive(message);
     }
   }
@@ -246,22 +246,22 @@
   }
 
   #needsAttention(name: string): boolean {
-    const { machines, attention } = this.#common.owner.state;
+    const { machines, attention } = this.#common.commands.state;
     const machine = machines.get(name);
     return machine !== undefined && attention.has(machine);
   }
 
   /** Machines that this node knows of as the leader; 0: it does not lead. */
   get machineCount(): number {
-    const { leadership, machines } = this.#common.owner.state;
+    const { leadership, machines } = this.#common.commands.state;
     return leadership === null ? 0 : machines.size;
   }
 
   core(): unknown {
-    return this.#common.owner.state;
+    return this.#common.commands.state;
   }
   ready(): boolean {
-    return this.#peering.ready();
+    return this.#peering.isReady();
   }
 
   /**
@@ -273,9 +273,9 @@
     const often = this.#common.timing.storeTimeoutMs / 2;
     for (;;) {
       await this.#common.ports.clock.sleep(often);
-      if (stateAgeMs(this.#common) >= often) await this.#common.ports.state.read(LEADER_KEY);
-      const to = this.#leading.betterPlaced();
-      if (to !== null && this.#observing.isFit(to))
+      if (storeContactAgeMs(this.#common) >= often) await this.#common.ports.state.read(LEADER_KEY);
+      const to = this.#leading.preferredSuccessor();
+      if (to !== null && this.#observing.isEligibleSuccessor(to))
         void this.#handOver({ to, reason: 'a better placed node is back' });
     }
   }
@@ -292,26 +292,26 @@
       }
       await clock.sleep(tickMs);
       this.#observing.tick(Math.max(0, clock.monotonicMs() - from - tickMs));
-      const { doubtsItself, isBusy } = this.#observing;
-      this.#common.owner.push({ kind: 'tick', isStalled: doubtsItself, isOverloaded: isBusy });
+      const { isStalled, isOverloaded } = this.#observing;
+      this.#common.commands.push({ kind: 'tick', isStalled, isOverloaded });
       this.#tellShared();
     }
   }
 
   /** A leader tells its followers what they may answer by; a follower tells its leader what it has answered. */
   #tellShared(): void {
-    if (this.#common.owner.state.leadership === null) {
+    if (this.#common.commands.state.leadership === null) {
       this.#intake.flush();
       return;
     }
-    for (const { report, done } of this.#intake.takePending()) this.#answerAsLeader(report, done);
+    for (const { heartbeat, respond } of this.#intake.takePending()) this.#answerAsLeader(heartbeat, respond);
     this.#ticks += 1;
-    if (this.#ticks % TICKS_A_SNAPSHOT === 0) this.#shared.tell();
+    if (this.#ticks % TICKS_A_SNAPSHOT === 0) this.#shared.sendSnapshots();
   }
 
   /** The leader has crashed for all the evidence there is: its record may be replaced now. */
   #inherit(): void {
-    const { leader, leaderRevision } = this.#common.standing;
+    const { leader, leaderRevision } = this.#common.leadershipView;
     if (this.#inherited === leaderRevision) return;
     this.#inherited = leaderRevision;
     this.#common.ports.log.info({ leader }, 'the leader has crashed, standing early');
@@ -321,33 +321,35 @@
   /** A node that is not to lead lets one that is come first, if there is one: else it would hand over soon. */
   async #standEarly(modRevision: number): Promise<void> {
     const { clock } = this.#common.ports;
-    if (this.#leading.hasBetterPlaced()) await clock.sleep(this.#common.timing.tickMs / 2);
-    this.#election.tell({ kind: 'inherit', modRevision });
+    if (this.#leading.hasPreferredPeer()) await clock.sleep(this.#common.timing.tickMs / 2);
+    this.#election.dispatch({ kind: 'replaceCrashedLeader', modRevision });
   }
 
   /** Hands the leadership to another node: nothing is begun any more, all is written, the node named. */
   async #handOver({ to, reason }: Resignation): Promise<void> {
-    const { owner, ports } = this.#common;
-    const { leadership } = owner.state;
+    const { commands, ports } = this.#common;
+    const { leadership } = commands.state;
     if (leadership === null || this.#yielding === leadership.term) return;
     this.#yielding = leadership.term;
     ports.log.info({ to, why: reason }, 'hands over');
-    await this.#leading.close();
-    if (owner.state.leadership?.term === leadership.term) this.#election.tell({ kind: 'handOver', to });
+    await this.#leading.drainForTransfer();
+    if (commands.state.leadership?.term === leadership.term)
+      this.#election.dispatch({ kind: 'transferLeadership', to });
   }
 
   /** The status page; a brief one leaves out what takes a walk over jobs and machines. */
   describe(brief = false): object {
-    const { state } = this.#common.owner;
+    const { state } = this.#common.commands;
     const now = {
       monotonicMs: this.#common.ports.clock.monotonicMs(),
       epochMs: this.#common.ports.clock.epochMs(),
     };
     return {
       node: this.#common.settings.host_name,
-      leader: state.leadership === null ? this.#common.standing.leader : this.#common.settings.host_name,
+      leader:
+        state.leadership === null ? this.#common.leadershipView.leader : this.#common.settings.host_name,
       term: this.#peering.term(),
-      stateAgeMs: stateAgeMs(this.#common),
+      stateAgeMs: storeContactAgeMs(this.#common),
       ready: this.ready(),
       peers: this.#observing.describe(),
       format: { reads: FORMAT, inForce: this.#upgrade.record?.format ?? 1 },
@@ -371,8 +373,8 @@
   }
 
   #takeReport(report: Heartbeat, done: (status: number, body: string) => void): void {
-    if (this.#common.owner.state.leadership === null) {
-      this.#observing.metWorker();
+    if (this.#common.commands.state.leadership === null) {
+      this.#observing.workerReached();
       if (!this.#intake.take(report, done)) this.#following.answer(report, done);
       return;
     }
@@ -381,7 +383,7 @@
       done(421, encodeRedirect(follower));
       return;
     }
-    this.#shared.noteDirect(report.machine);
+    this.#shared.recordDirect(report.machine);
     this.#answerAsLeader(report, done);
   }
 
@@ -394,7 +396,7 @@
         return;
       }
       // Handed over: whoever leads now is told, and found without trying the others in turn.
-      const { leader } = this.#common.standing;
+      const { leader } = this.#common.leadershipView;
       const elsewhere = leader !== null && leader !== this.#common.settings.host_name;
       done(elsewhere ? 421 : 503, elsewhere ? encodeRedirect(leader) : '{}');
     });
@@ -404,7 +406,7 @@
   #pushReport(report: Heartbeat, ageMs: number, onReply: (reply: Reply) => void): void {
     const reply = this.#nextReply++;
     this.#replies.set(reply, onReply);
-    this.#common.owner.push({ kind: 'heartbeat', reply, heartbeat: report, ageMs });
+    this.#common.commands.push({ kind: 'heartbeat', reply, heartbeat: report, ageMs });
   }
 
   #carryOut(effect: Effect): void {
@@ -417,7 +419,7 @@
       }
       case 'commit':
         void this.#common.ports.state.commit(effect.transaction).then((outcome) => {
-          this.#common.owner.push({
+          this.#common.commands.push({
             kind: 'committed',
             id: effect.id,
             outcome,
@@ -425,48 +427,48 @@
         });
         break;
       case 'resolveDependencies':
-        void this.#leading.resolve(effect.ids);
+        void this.#leading.resolveDependencies(effect.ids);
         break;
       case 'reconcile':
-        void this.#leading.recheck(effect.jobs, effect.chunks);
+        void this.#leading.reconcile(effect.jobs, effect.chunks);
         break;
       case 'sendCommands':
         void this.#common.ports.workers
           .direct(effect.address, effect.token, effect.agentEpoch, effect.commands)
           .then((report) => {
-            if (report !== null) this.#common.owner.push({ kind: 'directAnswer', heartbeat: report });
+            if (report !== null) this.#common.commands.push({ kind: 'directAnswer', heartbeat: report });
           });
         break;
       case 'probe':
         void this.#common.ports.workers.isThere(effect.address).then((met) => {
-          this.#common.owner.push({ kind: 'probed', machine: effect.machine, isReachable: met });
+          this.#common.commands.push({ kind: 'probed', machine: effect.machine, isReachable: met });
         });
         break;
       case 'provision':
         void this.#common.ports.cloud
           .rent(effect.requestId, effect.type, effect.zone, effect.spot, effect.count)
           .then((outcome) =>
-            this.#common.owner.push({ kind: 'provisioned', requestId: effect.requestId, outcome }),
+            this.#common.commands.push({ kind: 'provisioned', requestId: effect.requestId, outcome }),
           );
         break;
       case 'terminate':
         void this.#common.ports.cloud.giveBack(effect.machines).then((ok) => {
-          this.#common.owner.push({ kind: 'terminated', machines: effect.machines, ok });
+          this.#common.commands.push({ kind: 'terminated', machines: effect.machines, ok });
         });
         break;
       case 'saveDemandHistory':
         void this.#common.ports.state.commit(effect.transaction);
         break;
       case 'attention':
-        this.#shared.attend(effect.machines);
+        this.#shared.announceAttention(effect.machines);
         break;
       case 'steppedDown':
         this.#shared.clear();
         this.#common.ports.log.info({ reason: effect.reason }, 'stepped down');
-        if (this.#common.standing.leader === this.#common.settings.host_name)
-          this.#common.standing.leader = null;
-        this.#common.standing.leadingTerm = 0;
-        this.#election.tell({ kind: 'abandon' });
+        if (this.#common.leadershipView.leader === this.#common.settings.host_name)
+          this.#common.leadershipView.leader = null;
+        this.#common.leadershipView.leadingTerm = 0;
+        this.#election.dispatch({ kind: 'resign' });
         break;
       case 'log':
         this.#common.ports.log[effect.level](effect.detail, effect.event);
--- a/src/controller/peering.ts
+++ b/src/controller/peer-exchange.ts
@@ -1,14 +1,14 @@
 /** Talking with the other controllers: what they are told, and what of theirs is believed. */
-import type { LiveJobsSnapshot } from './deputy.js';
-import { stateAgeMs, type Common } from './common.js';
+import type { LiveJobsSnapshot } from './fallback-responder.js';
+import { storeContactAgeMs, type ControllerContext } from './context.js';
 import { FORMAT } from '../core/persistence/index.js';
 import { resolvedUntil } from '../core/jobs/index.js';
 import { REASONS, whyWaits } from '../core/placement/index.js';
 import type { MemberStatus } from '../membership/status.js';
-import type { JobCount, PeerStatus, QuietZone } from '../wire/peers.js';
+import type { JobCount, PeerStatus, SilentZone } from '../wire/peers.js';
 
 /** The part of a status that tells of suspicion. */
-export type Sights = Pick<
+export type FailureDetectorStatus = Pick<
   MemberStatus,
   | 'timerLagMs'
   | 'observations'
@@ -21,62 +21,65 @@
   | 'unreachable'
 >;
 
-interface HeardStatus {
+interface ReceivedStatus {
   readonly status: PeerStatus;
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
-export class Peering {
+export class PeerExchange {
   readonly #counts = new Map<string, JobCount>();
-  readonly #heard = new Map<string, HeardStatus>();
+  readonly #heard = new Map<string, ReceivedStatus>();
   /** Zones of which the leader heard nobody, and the steady time since. */
   readonly #quiet = new Map<string, number>();
 
   constructor(
-    private readonly common: Common,
+    private readonly common: ControllerContext,
     /** Machines that this node answers in the leader's place. */
-    private readonly hears: () => string[],
+    private readonly relayedMachines: () => string[],
     /** Whether this node takes reports for the leader that it follows. */
-    private readonly isTakingReports: () => boolean,
+    private readonly acceptsHeartbeats: () => boolean,
     /** Takes the live jobs of which a leader has told. */
     private readonly receiveSnapshot: (view: LiveJobsSnapshot) => void,
     /** What this node sees of the others, and is asked or answers of machines. */
-    private readonly sights: () => Sights,
+    private readonly failureDetectorStatus: () => FailureDetectorStatus,
   ) {}
 
   /** Whether a node has said of late that it takes reports for the leader of this term. */
-  takesReports(node: string): boolean {
+  isAcceptingHeartbeats(node: string): boolean {
     const heard = this.#heard.get(node);
     if (heard === undefined || heard.status.term !== this.term()) return false;
     const { clock } = this.common.ports;
     return (
-      heard.status.takesReports && clock.monotonicMs() - heard.at < this.common.timing.maxHeartbeatIntervalMs
+      heard.status.acceptsHeartbeats &&
+      clock.monotonicMs() - heard.receivedAt < this.common.timing.maxHeartbeatIntervalMs
     );
   }
 
   /** Whether a peer of an earlier format has been heard of late. */
-  hearsEarlier(): boolean {
+  hasPeerOfEarlierFormat(): boolean {
     const now = this.common.ports.clock.monotonicMs();
     return [...this.#heard.values()].some(
-      ({ status, at }) => status.format < FORMAT && now - at < this.common.timing.workerLeaseMs,
+      ({ status, receivedAt }) =>
+        status.format < FORMAT && now - receivedAt < this.common.timing.workerLeaseMs,
     );
   }
 
   /** Whether the leader hears nobody of a zone, as far as this node knows. */
-  isQuiet(zone: string): boolean {
+  isZoneSilent(zone: string): boolean {
     return this.#quiet.has(zone);
   }
 
   /** Zones of which leaders of late heard nobody, and the steady time since. */
-  quietOfLate(): Map<string, number> {
+  recentlySilentZones(): Map<string, number> {
     const from = this.common.ports.clock.monotonicMs() - 3 * this.common.timing.workerLeaseMs;
     return new Map([...this.#quiet].filter(([, since]) => since > from));
   }
 
   countOf(id: string): Omit<JobCount, 'id'> | null {
-    const job = this.common.owner.state.jobs.get(id);
-    if (this.common.owner.state.leadership === null || job === undefined) return this.#counts.get(id) ?? null;
-    const why = whyWaits(this.common.owner.state, job);
+    const job = this.common.commands.state.jobs.get(id);
+    if (this.common.commands.state.leadership === null || job === undefined)
+      return this.#counts.get(id) ?? null;
+    const why = whyWaits(this.common.commands.state, job);
     return {
       done: job.doneCount,
       running: job.runningCount,
@@ -85,12 +88,12 @@
   }
 
   term(): number {
-    return this.common.owner.state.leadership?.term ?? this.common.standing.highestTerm;
+    return this.common.commands.state.leadership?.term ?? this.common.leadershipView.highestTerm;
   }
 
   /** What the other nodes are told; it counts the tasks of all jobs, so nothing else asks for it. */
   status(): PeerStatus {
-    const { state } = this.common.owner;
+    const { state } = this.common.commands;
     const counts: JobCount[] = [];
     if (state.leadership !== null) {
       for (const [id, job] of state.jobs) {
@@ -103,45 +106,45 @@
       incarnation: this.common.ports.incarnation,
       term: this.term(),
       isLeader: state.leadership !== null,
-      storeContactAgeMs: stateAgeMs(this.common),
+      storeContactAgeMs: storeContactAgeMs(this.common),
       counts,
       format: FORMAT,
-      settledAt: this.#settledAt(),
-      quiet: this.#quietZones(),
-      hears: state.leadership === null ? this.hears() : [],
-      provenAt: this.#provenAt(),
-      takesReports: this.isTakingReports(),
-      ...this.sights(),
+      dependenciesResolvedUntil: this.#settledAt(),
+      silentZones: this.#quietZones(),
+      relayedMachines: state.leadership === null ? this.relayedMachines() : [],
+      viewConfirmedAt: this.#provenAt(),
+      acceptsHeartbeats: this.acceptsHeartbeats(),
+      ...this.failureDetectorStatus(),
     };
   }
 
   /** What is known of zones that nobody is heard of: by this node as the leader, or from one. */
-  #quietZones(): QuietZone[] {
-    const { state } = this.common.owner;
+  #quietZones(): SilentZone[] {
+    const { state } = this.common.commands;
     const now = this.common.ports.clock.monotonicMs();
     const known = state.leadership === null ? this.#quiet : state.silentZones;
-    return [...known].map(([zone, since]) => ({ zone, ageMs: Math.max(0, Math.round(now - since)) }));
+    return [...known].map(([zone, since]) => ({ zone, silentMs: Math.max(0, Math.round(now - since)) }));
   }
 
   /** Takes over what a peer knows of quiet zones; it grows old by itself once nobody tells of it. */
   #learnQuiet(status: PeerStatus, now: number): void {
     if (status.isLeader) this.#quiet.clear();
-    for (const { zone, ageMs } of status.quiet) {
-      const since = now - ageMs;
+    for (const { zone, silentMs } of status.silentZones) {
+      const since = now - silentMs;
       if (status.isLeader || (this.#quiet.get(zone) ?? -Infinity) < since) this.#quiet.set(zone, since);
     }
   }
 
   /** Time of day up to which cancellations have gone through their pipelines; 0 without leading. */
   #settledAt(): number {
-    const { state } = this.common.owner;
+    const { state } = this.common.commands;
     if (state.leadership === null) return 0;
     return this.common.ports.clock.epochMs() - (this.common.ports.clock.monotonicMs() - resolvedUntil(state));
   }
 
   /** Time of day of the read that proved this leader's view; 0 without leading. */
   #provenAt(): number {
-    const { leadership } = this.common.owner.state;
+    const { leadership } = this.common.commands.state;
     const { clock } = this.common.ports;
     return leadership === null ? 0 : clock.epochMs() - (clock.monotonicMs() - leadership.viewConfirmedAt);
   }
@@ -150,27 +153,32 @@
    * Whether a leader vouches, freshly enough for the bound on cancellations, that no waiting
    * job needs one that was cancelled. Its word may have been held back: the time of day tells.
    */
-  isSettled(): boolean {
+  areDependenciesResolved(): boolean {
     const fresh = this.common.timing.cancelTimeoutMs / 2 - 2 * this.common.settings.cluster.clock_error_ms;
     const now = this.common.ports.clock.epochMs();
     if (now - this.#settledAt() < fresh) return true;
-    return [...this.#heard.values()].some(({ status }) => status.isLeader && now - status.settledAt < fresh);
+    return [...this.#heard.values()].some(
+      ({ status }) => status.isLeader && now - status.dependenciesResolvedUntil < fresh,
+    );
   }
 
   onPeer(status: PeerStatus): void {
     const now = this.common.ports.clock.monotonicMs();
-    this.#heard.set(status.node, { status, at: now });
-    if (status.term > this.common.standing.highestTerm) {
-      this.common.standing.highestTerm = status.term;
-      this.common.owner.push({ kind: 'higherTokenSeen', token: status.term });
+    this.#heard.set(status.node, { status, receivedAt: now });
+    if (status.term > this.common.leadershipView.highestTerm) {
+      this.common.leadershipView.highestTerm = status.term;
+      this.common.commands.push({ kind: 'higherTokenSeen', token: status.term });
     }
-    if (status.hears.length > 0)
-      this.common.owner.push({ kind: 'machinesRelayed', machines: status.hears, ageMs: 0 });
-    if (status.term >= this.common.standing.highestTerm) this.#learnQuiet(status, now);
-    if (!status.isLeader || status.term < this.common.standing.highestTerm) return;
-    if (this.common.owner.state.leadership === null) this.common.standing.leader = status.node;
-    if (status.provenAt > 0)
-      this.receiveSnapshot({ at: status.provenAt, live: new Set(status.counts.map(({ id }) => id)) });
+    if (status.relayedMachines.length > 0)
+      this.common.commands.push({ kind: 'machinesRelayed', machines: status.relayedMachines, ageMs: 0 });
+    if (status.term >= this.common.leadershipView.highestTerm) this.#learnQuiet(status, now);
+    if (!status.isLeader || status.term < this.common.leadershipView.highestTerm) return;
+    if (this.common.commands.state.leadership === null) this.common.leadershipView.leader = status.node;
+    if (status.viewConfirmedAt > 0)
+      this.receiveSnapshot({
+        viewConfirmedAt: status.viewConfirmedAt,
+        liveJobs: new Set(status.counts.map(({ id }) => id)),
+      });
     this.#counts.clear();
     for (const count of status.counts) this.#counts.set(count.id, count);
   }
@@ -179,16 +187,16 @@
    * A node that the state service alone refuses sends users elsewhere. When nobody is
    * served, staying is better: each removal by the load balancer costs a growing pause.
    */
-  ready(): boolean {
-    const { state } = this.common.owner;
+  isReady(): boolean {
+    const { state } = this.common.commands;
     if (state.machineTypes.size === 0) return false;
     const stale = 2 * this.common.timing.storeTimeoutMs;
-    if (stateAgeMs(this.common) < stale) return true;
+    if (storeContactAgeMs(this.common) < stale) return true;
     const now = this.common.ports.clock.monotonicMs();
     let heard = this.#heard.size === 0;
-    for (const { status, at } of this.#heard.values()) {
-      if (now - at < stale / 2 && status.storeContactAgeMs < stale / 2) return false;
-      heard ||= now - at < stale;
+    for (const { status, receivedAt } of this.#heard.values()) {
+      if (now - receivedAt < stale / 2 && status.storeContactAgeMs < stale / 2) return false;
+      heard ||= now - receivedAt < stale;
     }
     // Alone without the state service and all peers, it is this node that is cut off.
     return heard;
--- a/src/controller/shared-reports.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -11,9 +11,9 @@
   type Rebalancing,
   type FollowerLoad,
 } from '../membership/heartbeat-sharing.js';
-import type { ForwardedAnswer, IntakeMessage, ReportsMessage } from '../wire/intake.js';
+import type { ForwardedAnswer, IntakeMessage, HeartbeatsMessage } from '../wire/intake.js';
 import { nameBytes, portionLength } from '../wire/portions.js';
-import type { Common } from './common.js';
+import type { ControllerContext } from './context.js';
 
 /** A controller that may take reports, as this one knows it. */
 export interface FollowerCandidate {
@@ -22,11 +22,11 @@
 }
 
 /** What the leader's side needs of the node around it. */
-export interface SharedReportsContext {
+export interface SharedHeartbeatsContext {
   /** Controllers that are heard and keep up. */
   candidates(): readonly FollowerCandidate[];
   /** Whether a follower has said that it takes reports for this leader now. */
-  isTaking(node: string): boolean;
+  isAccepting(node: string): boolean;
   send(to: string, message: IntakeMessage): boolean;
   /** Hands a report to the core; the answer comes back once. */
   push(report: Heartbeat, ageMs: number, answer: (answer: Omit<ForwardedAnswer, 'reference'>) => void): void;
@@ -50,7 +50,7 @@
 /** Commands in one message, for its size is bounded. */
 const MAX_COMMANDS_IN_MESSAGE = 500;
 
-export class SharedReports {
+export class SharedHeartbeats {
   #isSharing = false;
   #movesLeft = 0;
   #balance: Rebalancing | null = null;
@@ -64,8 +64,8 @@
   #flushing = false;
 
   constructor(
-    private readonly common: Common,
-    private readonly context: SharedReportsContext,
+    private readonly common: ControllerContext,
+    private readonly context: SharedHeartbeatsContext,
   ) {}
 
   /** Workers by follower, for the status page. */
@@ -88,24 +88,24 @@
   }
 
   /** Takes in what a follower forwards. */
-  receive(message: ReportsMessage): void {
-    const { leadership } = this.common.owner.state;
-    const ageMs = Math.max(0, this.common.ports.clock.epochMs() - message.at);
+  receive(message: HeartbeatsMessage): void {
+    const { leadership } = this.common.commands.state;
+    const ageMs = Math.max(0, this.common.ports.clock.epochMs() - message.sentAt);
     if (leadership === null || message.term !== leadership.term) return;
     if (ageMs > MAX_AGE_SHARE * this.common.timing.workerLeaseMs) return;
-    if (message.heartbeats.length > 0) {
-      for (const { machine } of message.heartbeats) this.#setHome(machine, message.node);
-      const heartbeats = message.heartbeats.map((one) => ({ ...one, ageMs: one.ageMs + ageMs }));
-      this.common.owner.push({ kind: 'keepalives', keepalives: heartbeats });
+    if (message.keepalives.length > 0) {
+      for (const { machine } of message.keepalives) this.#setHome(machine, message.node);
+      const heartbeats = message.keepalives.map((one) => ({ ...one, ageMs: one.ageMs + ageMs }));
+      this.common.commands.push({ kind: 'keepalives', keepalives: heartbeats });
     }
-    for (const { reference, report } of message.reports) {
-      this.#setHome(report.machine, message.node);
-      this.context.push(report, ageMs, (answer) => this.#answer(message.node, { reference, ...answer }));
+    for (const { reference, heartbeat } of message.heartbeats) {
+      this.#setHome(heartbeat.machine, message.node);
+      this.context.push(heartbeat, ageMs, (answer) => this.#answer(message.node, { reference, ...answer }));
     }
   }
 
   /** A worker has reported to this node itself. */
-  noteDirect(machine: string): void {
+  recordDirect(machine: string): void {
     this.#setHome(machine, null);
   }
 
@@ -123,7 +123,7 @@
 
   /** Forgets machines that are gone: only once more are remembered than there are. */
   #forgetGone(): void {
-    const { machines } = this.common.owner.state;
+    const { machines } = this.common.commands.state;
     if (this.#homes.size > machines.size)
       for (const machine of this.#homes.keys()) if (!machines.has(machine)) this.#setHome(machine, null);
     if (this.#sentAt.size > machines.size)
@@ -133,7 +133,7 @@
   /** The follower that a worker is to report to from now on; null: this node answers it. */
   redirect(report: Heartbeat): string | null {
     if (!this.#isSharing || this.#movesLeft <= 0 || this.#loads.length === 0) return null;
-    const { state } = this.common.owner;
+    const { state } = this.common.commands;
     const machine = state.machines.get(report.machine);
     // What is on its way to or from the machine is settled here first.
     if (machine?.isReconciled !== true || report.token !== state.leadership?.term) return null;
@@ -153,7 +153,7 @@
    * Machines to which there has come to be something to say: told at once to the follower that each reports to.
    * What a follower may answer by itself rests on the snapshots, which name them all.
    */
-  attend(machines: readonly string[]): void {
+  announceAttention(machines: readonly string[]): void {
     if (!this.#isSharing) return;
     for (const machine of machines) {
       const home = this.#homes.get(machine);
@@ -212,7 +212,7 @@
       shed?: Rebalancing;
     },
   ): void {
-    const { leadership } = this.common.owner.state;
+    const { leadership } = this.common.commands.state;
     if (leadership === null) return;
     const { settings, ports } = this.common;
     outbox.number += 1;
@@ -222,20 +222,20 @@
       node: settings.host_name,
       incarnation: ports.incarnation,
       term: leadership.term,
-      at: ports.clock.epochMs(),
+      sentAt: ports.clock.epochMs(),
       number: outbox.number,
       answers: content.answers,
       attention: content.attention,
       isSnapshot: snapshot !== undefined,
       isSharing: this.#isSharing,
-      provenAt: snapshot ?? 0,
-      shed: shed === undefined ? null : { to: shed.to, count: shed.count },
+      viewConfirmedAt: snapshot ?? 0,
+      redirect: shed === undefined ? null : { to: shed.to, count: shed.count },
     });
   }
 
   /** Looks at the loads, and tells each follower the whole of what it may answer by. */
-  tell(): void {
-    const { state } = this.common.owner;
+  sendSnapshots(): void {
+    const { state } = this.common.commands;
     const { leadership } = state;
     if (leadership === null) return;
     const nodes = this.#look();
@@ -263,7 +263,7 @@
    * whom to tell.
    */
   #look(): ReadonlySet<string> {
-    const { machines, config } = this.common.owner.state;
+    const { machines, config } = this.common.commands.state;
     const candidates = this.context.candidates();
     const from = config.policy.sharedHeartbeatsMinMachines;
     const before = this.#isSharing;
@@ -275,7 +275,7 @@
       );
     this.#forgetGone();
     // A follower that has not taken this leader's word would send every worker back.
-    const taking = this.#isSharing ? candidates.filter(({ node }) => this.context.isTaking(node)) : [];
+    const taking = this.#isSharing ? candidates.filter(({ node }) => this.context.isAccepting(node)) : [];
     this.#loads = taking.map(({ node, zone }) => ({ node, zone, workers: this.#counts.get(node) ?? 0 }));
     this.#movesLeft = maxMoves(machines.size);
     this.#balance = this.#isSharing ? chooseRebalancing(this.#loads, this.#movesLeft) : null;
--- a/src/membership/election.ts
+++ b/src/membership/election.ts
@@ -13,94 +13,106 @@
   readonly term: number;
   readonly modRevision: number;
   /** Steady time at which the winning transaction was sent. */
-  readonly provenAt: number;
+  readonly startedAt: number;
   /** What is known of the leader before: it named this node, or has crashed; else nothing. */
-  readonly before: 'gone' | 'unknown';
+  readonly previousLeader: 'gone' | 'unknown';
 }
 
 /** A key as read; a revision of 0: it does not exist. */
-export interface Kept<T> {
+export interface KeyState<T> {
   readonly value: T | null;
   readonly modRevision: number;
 }
 
 /** The leader's record, and the revision as of which it stood so: a watch from there missedResponses nothing. */
-export interface Seen extends Kept<LeaderRecord> {
+export interface LeaderKeyState extends KeyState<LeaderRecord> {
   readonly revision: number;
 }
 
-export type Outcome = 'applied' | 'failed' | 'unknown';
+export type TransactionOutcome = 'applied' | 'failed' | 'unknown';
 
 /** What happens to the machine. Answers carry the round they belong to; those of an earlier one are void. */
 export type ElectionEvent =
   | { readonly kind: 'start' }
-  | { readonly kind: 'time'; readonly round: number }
-  | { readonly kind: 'read'; readonly round: number; readonly leader: Seen | 'unknown' }
-  | { readonly kind: 'watched'; readonly round: number; readonly answered: boolean }
+  | { readonly kind: 'timerFired'; readonly round: number }
+  | { readonly kind: 'leaderRead'; readonly round: number; readonly leader: LeaderKeyState | 'unknown' }
+  | { readonly kind: 'leaderWatched'; readonly round: number; readonly answered: boolean }
   | {
-      readonly kind: 'granted';
+      readonly kind: 'leaseGranted';
       readonly round: number;
       readonly lease: number | null;
-      readonly term: Kept<number> | 'unknown';
+      readonly term: KeyState<number> | 'unknown';
       readonly now: number;
     }
   | {
-      readonly kind: 'stood';
+      readonly kind: 'campaigned';
       readonly round: number;
-      readonly outcome: Outcome;
+      readonly outcome: TransactionOutcome;
       readonly revision: number;
     }
   | {
-      readonly kind: 'checked';
+      readonly kind: 'campaignVerified';
       readonly round: number;
-      readonly leader: Kept<LeaderRecord> | 'unknown';
-      readonly term: Kept<number> | 'unknown';
+      readonly leader: KeyState<LeaderRecord> | 'unknown';
+      readonly term: KeyState<number> | 'unknown';
+    }
+  | { readonly kind: 'leaseRenewed'; readonly round: number; readonly alive: boolean | null }
+  | {
+      readonly kind: 'successorNamed';
+      readonly round: number;
+      readonly outcome: TransactionOutcome;
+      readonly revision: number;
     }
-  | { readonly kind: 'renewed'; readonly round: number; readonly alive: boolean | null }
-  | { readonly kind: 'named'; readonly round: number; readonly outcome: Outcome; readonly revision: number }
   /** The owner has stepped down of itself: the lease goes, and the node stands again. */
-  | { readonly kind: 'abandon' }
+  | { readonly kind: 'resign' }
   /** The leader of the record with this revision has crashed for all the evidence there is. */
-  | { readonly kind: 'inherit'; readonly modRevision: number }
+  | { readonly kind: 'replaceCrashedLeader'; readonly modRevision: number }
   /** This leader is to be followed by another node, which it names in its record. */
-  | { readonly kind: 'handOver'; readonly to: string };
+  | { readonly kind: 'transferLeadership'; readonly to: string };
 
 /** What the machine asks for; answers come back as events of the same round. */
 export type ElectionEffect =
   | { readonly kind: 'wait'; readonly round: number; readonly ms: number }
-  | { readonly kind: 'read'; readonly round: number }
-  | { readonly kind: 'watch'; readonly round: number; readonly after: number; readonly ms: number }
-  | { readonly kind: 'grant'; readonly round: number }
+  | { readonly kind: 'readLeader'; readonly round: number }
+  | { readonly kind: 'watchLeader'; readonly round: number; readonly after: number; readonly ms: number }
+  | { readonly kind: 'grantLease'; readonly round: number }
   | {
-      readonly kind: 'stand';
+      readonly kind: 'campaign';
       readonly round: number;
       readonly lease: number;
       readonly record: LeaderRecord;
       readonly leaderRevision: number;
       readonly termRevision: number;
     }
-  | { readonly kind: 'check'; readonly round: number }
-  | { readonly kind: 'renew'; readonly round: number; readonly lease: number }
-  | { readonly kind: 'revoke'; readonly lease: number }
+  | { readonly kind: 'verifyCampaign'; readonly round: number }
+  | { readonly kind: 'renewLease'; readonly round: number; readonly lease: number }
+  | { readonly kind: 'revokeLease'; readonly lease: number }
   | {
-      readonly kind: 'name';
+      readonly kind: 'nameSuccessor';
       readonly round: number;
       readonly lease: number;
       readonly record: LeaderRecord;
       readonly leaderRevision: number;
       readonly termRevision: number;
     }
-  | { readonly kind: 'elected'; readonly won: ElectionResult }
+  | { readonly kind: 'elected'; readonly result: ElectionResult }
   /** Another may lead. */
   | { readonly kind: 'lost' }
-  | { readonly kind: 'leaderKnown'; readonly leader: LeaderRecord | null; readonly modRevision: number };
+  | { readonly kind: 'leaderObserved'; readonly leader: LeaderRecord | null; readonly modRevision: number };
 
-interface Holding {
+interface HeldLeadership {
   readonly lease: number;
-  readonly won: ElectionResult;
+  readonly result: ElectionResult;
   /** Stamp of the leader record, which naming a successor moves on; 0: not known. */
   leaderRevision: number;
-  named: string | null;
+  namedSuccessor: string | null;
+}
+
+/** An attempt to be elected: the term it is for, and the steady time (ms) at which it was begun. */
+interface Campaign {
+  readonly term: number;
+  readonly termRevision: number;
+  readonly startedAt: number;
 }
 
 export interface ElectionState {
@@ -108,24 +120,24 @@
   readonly incarnation: string;
   readonly timing: Timing;
   /** How long this node waits before it stands, so that better placed ones that are heard come first. */
-  handicap: number;
-  phase: 'looking' | 'following' | 'granting' | 'standing' | 'checking' | 'holding';
+  campaignDelayMs: number;
+  phase: 'reading' | 'following' | 'granting' | 'campaigning' | 'verifying' | 'leading';
   /** Every question has a round of its own; these are the ones awaited: of the main course, */
-  rounds: number;
+  lastRound: number;
   round: number;
   /** of the renewals, and of the look at the record while holding. */
-  renewal: number;
-  sentry: number;
+  renewalRound: number;
+  leaderWatchRound: number;
   /** It has waited out its handicap for the leadership that is free now. */
-  deferred: boolean;
+  hasDeferred: boolean;
   /** Stamp of the record that it follows. */
-  followed: number;
+  followedRevision: number;
   /** The leader before has named this node, or crashed. */
-  gone: boolean;
+  isPreviousLeaderGone: boolean;
   lease: number | null;
   leaderRevision: number;
-  standsFor: { readonly term: number; readonly termRevision: number; readonly provenAt: number } | null;
-  holding: Holding | null;
+  campaign: Campaign | null;
+  held: HeldLeadership | null;
 }
 
 export function createElection(
@@ -138,83 +150,86 @@
     node,
     incarnation,
     timing,
-    handicap,
-    phase: 'looking',
-    rounds: 0,
+    campaignDelayMs: handicap,
+    phase: 'reading',
+    lastRound: 0,
     round: 0,
-    renewal: 0,
-    sentry: 0,
-    deferred: false,
-    followed: 0,
-    gone: false,
+    renewalRound: 0,
+    leaderWatchRound: 0,
+    hasDeferred: false,
+    followedRevision: 0,
+    isPreviousLeaderGone: false,
     lease: null,
     leaderRevision: 0,
-    standsFor: null,
-    holding: null,
+    campaign: null,
+    held: null,
   };
 }
 
-const nextRound = (state: ElectionState): number => (state.round = ++state.rounds);
-const nextRenewal = (state: ElectionState): number => (state.renewal = ++state.rounds);
-const nextSentry = (state: ElectionState): number => (state.sentry = ++state.rounds);
+const nextRound = (state: ElectionState): number => (state.round = ++state.lastRound);
+const nextRenewalRound = (state: ElectionState): number => (state.renewalRound = ++state.lastRound);
+const nextLeaderWatchRound = (state: ElectionState): number => (state.leaderWatchRound = ++state.lastRound);
 
-function look(state: ElectionState): ElectionEffect[] {
-  state.phase = 'looking';
-  return [{ kind: 'read', round: nextRound(state) }];
+function readLeader(state: ElectionState): ElectionEffect[] {
+  state.phase = 'reading';
+  return [{ kind: 'readLeader', round: nextRound(state) }];
 }
 
-function lookLater(state: ElectionState, ms: number): ElectionEffect[] {
-  state.phase = 'looking';
+function readLeaderLater(state: ElectionState, ms: number): ElectionEffect[] {
+  state.phase = 'reading';
   return [{ kind: 'wait', round: nextRound(state), ms }];
 }
 
-function ask(state: ElectionState, leaderRevision: number, gone = false): ElectionEffect[] {
+function requestLease(state: ElectionState, leaderRevision: number, gone = false): ElectionEffect[] {
   state.phase = 'granting';
-  state.gone = gone;
+  state.isPreviousLeaderGone = gone;
   state.leaderRevision = leaderRevision;
-  return [{ kind: 'grant', round: nextRound(state) }];
+  return [{ kind: 'grantLease', round: nextRound(state) }];
 }
 
-function onLooked(state: ElectionState, found: Seen | 'unknown'): ElectionEffect[] {
+function onLeaderRead(state: ElectionState, found: LeaderKeyState | 'unknown'): ElectionEffect[] {
   const { timing } = state;
-  if (found === 'unknown') return lookLater(state, timing.tickMs);
+  if (found === 'unknown') return readLeaderLater(state, timing.tickMs);
   const { value: leader, modRevision, revision } = found;
   if (modRevision === 0) {
-    if (!state.deferred && state.handicap > 0) {
-      state.deferred = true;
-      return lookLater(state, state.handicap);
+    if (!state.hasDeferred && state.campaignDelayMs > 0) {
+      state.hasDeferred = true;
+      return readLeaderLater(state, state.campaignDelayMs);
     }
-    state.deferred = false;
-    return ask(state, 0);
+    state.hasDeferred = false;
+    return requestLease(state, 0);
   }
   // An earlier life of this very node is over.
-  if (leader?.node === state.node) return ask(state, modRevision, true);
+  if (leader?.node === state.node) return requestLease(state, modRevision, true);
   // Whoever has once waited for others waits again when the leadership is next free: a badly placed
   // node was elected at every other change of leader, and handed over each time.
-  state.deferred = false;
-  const known: ElectionEffect = { kind: 'leaderKnown', leader, modRevision };
-  if (leader?.successor === state.node) return [known, ...ask(state, modRevision, true)];
+  state.hasDeferred = false;
+  const known: ElectionEffect = { kind: 'leaderObserved', leader, modRevision };
+  if (leader?.successor === state.node) return [known, ...requestLease(state, modRevision, true)];
   state.phase = 'following';
-  state.followed = modRevision;
-  return [known, { kind: 'watch', round: nextRound(state), after: revision, ms: 4 * timing.leaderLeaseMs }];
+  state.followedRevision = modRevision;
+  return [
+    known,
+    { kind: 'watchLeader', round: nextRound(state), after: revision, ms: 4 * timing.leaderLeaseMs },
+  ];
 }
 
-function onGranted(
+function onLeaseGranted(
   state: ElectionState,
-  { lease, term, now }: Extract<ElectionEvent, { kind: 'granted' }>,
+  { lease, term, now }: Extract<ElectionEvent, { kind: 'leaseGranted' }>,
 ): ElectionEffect[] {
   if (lease === null || term === 'unknown')
     return [
-      ...(lease === null ? [] : [{ kind: 'revoke', lease } as const]),
-      ...lookLater(state, state.timing.tickMs / 2),
+      ...(lease === null ? [] : [{ kind: 'revokeLease', lease } as const]),
+      ...readLeaderLater(state, state.timing.tickMs / 2),
     ];
   const next = (term.value ?? 0) + 1;
-  state.phase = 'standing';
+  state.phase = 'campaigning';
   state.lease = lease;
-  state.standsFor = { term: next, termRevision: term.modRevision, provenAt: now };
+  state.campaign = { term: next, termRevision: term.modRevision, startedAt: now };
   return [
     {
-      kind: 'stand',
+      kind: 'campaign',
       round: nextRound(state),
       lease,
       record: { term: next, node: state.node, incarnation: state.incarnation },
@@ -228,26 +243,31 @@
  * It leads. Of one whose standing got no answer the lease has run meanwhile, and is renewed at once: a
  * leader elected unseen lost it 0.8 s later, before its first renewal, and nobody led for 3 s more.
  */
-function hold(
+function becomeLeader(
   state: ElectionState,
   modRevision: number,
   leaderRevision: number,
   unseen: boolean,
 ): ElectionEffect[] {
-  const { lease, standsFor, timing } = state;
-  if (lease === null || standsFor === null) return look(state);
-  const before = state.gone ? 'gone' : 'unknown';
-  const won: ElectionResult = { term: standsFor.term, modRevision, provenAt: standsFor.provenAt, before };
-  state.phase = 'holding';
-  state.holding = { lease, won, leaderRevision, named: null };
+  const { lease, campaign, timing } = state;
+  if (lease === null || campaign === null) return readLeader(state);
+  const before = state.isPreviousLeaderGone ? 'gone' : 'unknown';
+  const won: ElectionResult = {
+    term: campaign.term,
+    modRevision,
+    startedAt: campaign.startedAt,
+    previousLeader: before,
+  };
+  state.phase = 'leading';
+  state.held = { lease, result: won, leaderRevision, namedSuccessor: null };
   state.lease = null;
   nextRound(state);
   return [
-    { kind: 'elected', won },
+    { kind: 'elected', result: won },
     unseen
-      ? { kind: 'renew', round: nextRenewal(state), lease }
-      : { kind: 'wait', round: nextRenewal(state), ms: timing.renewIntervalMs },
-    ...guard(state, modRevision),
+      ? { kind: 'renewLease', round: nextRenewalRound(state), lease }
+      : { kind: 'wait', round: nextRenewalRound(state), ms: timing.renewIntervalMs },
+    ...watchOwnRecord(state, modRevision),
   ];
 }
 
@@ -257,84 +277,89 @@
  * only so many changes, and from an older one on each watch ended at once. On a day of 20,000 changes
  * three controllers asked 280,000 times.
  */
-function guard(state: ElectionState, after: number): ElectionEffect[] {
-  return [{ kind: 'watch', round: nextSentry(state), after, ms: 4 * state.timing.leaderLeaseMs }];
+function watchOwnRecord(state: ElectionState, after: number): ElectionEffect[] {
+  return [
+    { kind: 'watchLeader', round: nextLeaderWatchRound(state), after, ms: 4 * state.timing.leaderLeaseMs },
+  ];
 }
 
-function release(state: ElectionState, revoke: boolean): ElectionEffect[] {
-  const { holding } = state;
-  state.holding = null;
-  nextRenewal(state);
-  nextSentry(state);
+function loseLeadership(state: ElectionState, revoke: boolean): ElectionEffect[] {
+  const { held } = state;
+  state.held = null;
+  nextRenewalRound(state);
+  nextLeaderWatchRound(state);
   return [
     // Whoever stands next need not wait for the lease to run out.
-    ...(revoke && holding !== null ? [{ kind: 'revoke', lease: holding.lease } as const] : []),
+    ...(revoke && held !== null ? [{ kind: 'revokeLease', lease: held.lease } as const] : []),
     { kind: 'lost' },
-    ...look(state),
+    ...readLeader(state),
   ];
 }
 
-function giveUpStanding(state: ElectionState): ElectionEffect[] {
+function abandonCampaign(state: ElectionState): ElectionEffect[] {
   const { lease } = state;
   state.lease = null;
-  state.standsFor = null;
+  state.campaign = null;
   return [
-    ...(lease === null ? [] : [{ kind: 'revoke', lease } as const]),
-    ...lookLater(state, state.timing.tickMs / 2),
+    ...(lease === null ? [] : [{ kind: 'revokeLease', lease } as const]),
+    ...readLeaderLater(state, state.timing.tickMs / 2),
   ];
 }
 
-function whileHolding(state: ElectionState, holding: Holding, event: ElectionEvent): ElectionEffect[] {
+function stepAsLeader(state: ElectionState, holding: HeldLeadership, event: ElectionEvent): ElectionEffect[] {
   switch (event.kind) {
-    case 'time':
-      if (event.round === state.renewal)
-        return [{ kind: 'renew', round: state.renewal, lease: holding.lease }];
+    case 'timerFired':
+      if (event.round === state.renewalRound)
+        return [{ kind: 'renewLease', round: state.renewalRound, lease: holding.lease }];
       // The successor that was named has not come: anybody may.
-      return event.round === state.round && holding.named !== null ? release(state, true) : [];
-    case 'renewed': {
-      if (event.round !== state.renewal) return [];
-      if (event.alive === false) return release(state, false);
+      return event.round === state.round && holding.namedSuccessor !== null
+        ? loseLeadership(state, true)
+        : [];
+    case 'leaseRenewed': {
+      if (event.round !== state.renewalRound) return [];
+      if (event.alive === false) return loseLeadership(state, false);
       // Without an answer so much of the lease is gone that there is no time to wait as long.
       const { renewIntervalMs, tickMs } = state.timing;
       const ms = event.alive === null ? Math.min(renewIntervalMs, tickMs) : renewIntervalMs;
-      return [{ kind: 'wait', round: nextRenewal(state), ms }];
+      return [{ kind: 'wait', round: nextRenewalRound(state), ms }];
     }
-    case 'watched':
-      if (event.round !== state.sentry) return [];
+    case 'leaderWatched':
+      if (event.round !== state.leaderWatchRound) return [];
       return event.answered
-        ? [{ kind: 'read', round: nextSentry(state) }]
-        : [{ kind: 'wait', round: nextSentry(state), ms: state.timing.tickMs }];
-    case 'read': {
-      if (event.round !== state.sentry) return [];
+        ? [{ kind: 'readLeader', round: nextLeaderWatchRound(state) }]
+        : [{ kind: 'wait', round: nextLeaderWatchRound(state), ms: state.timing.tickMs }];
+    case 'leaderRead': {
+      if (event.round !== state.leaderWatchRound) return [];
       if (event.leader === 'unknown')
-        return [{ kind: 'wait', round: nextSentry(state), ms: state.timing.tickMs }];
+        return [{ kind: 'wait', round: nextLeaderWatchRound(state), ms: state.timing.tickMs }];
       const { value, modRevision } = event.leader;
-      const ours = value?.incarnation === state.incarnation && value.term === holding.won.term;
-      if (!ours) return [{ kind: 'leaderKnown', leader: value, modRevision }, ...release(state, false)];
+      const ours = value?.incarnation === state.incarnation && value.term === holding.result.term;
+      if (!ours)
+        return [{ kind: 'leaderObserved', leader: value, modRevision }, ...loseLeadership(state, false)];
       holding.leaderRevision = modRevision;
-      return guard(state, event.leader.revision);
+      return watchOwnRecord(state, event.leader.revision);
     }
-    case 'abandon':
-      return release(state, true);
-    case 'handOver':
-      if (holding.named !== null) return [];
-      holding.named = event.to;
+    case 'resign':
+      return loseLeadership(state, true);
+    case 'transferLeadership':
+      if (holding.namedSuccessor !== null) return [];
+      holding.namedSuccessor = event.to;
       return [
         {
-          kind: 'name',
+          kind: 'nameSuccessor',
           round: nextRound(state),
           lease: holding.lease,
           record: {
-            term: holding.won.term,
+            term: holding.result.term,
             node: state.node,
             incarnation: state.incarnation,
             successor: event.to,
           },
           leaderRevision: holding.leaderRevision,
-          termRevision: holding.won.modRevision,
+          termRevision: holding.result.modRevision,
         },
       ];
-    case 'named':
+    case 'successorNamed':
       if (event.round !== state.round) return [];
       // Whatever came of it, the successor or anybody has the lead before long.
       if (event.outcome === 'applied') holding.leaderRevision = event.revision;
@@ -346,38 +371,40 @@
 
 /** One event into the machine, and what follows from it. */
 export function electionStep(state: ElectionState, event: ElectionEvent): ElectionEffect[] {
-  if (event.kind === 'start') return look(state);
-  if (state.holding !== null) {
-    if (event.kind === 'time' && event.round === state.sentry)
-      return [{ kind: 'read', round: nextSentry(state) }];
-    return whileHolding(state, state.holding, event);
+  if (event.kind === 'start') return readLeader(state);
+  if (state.held !== null) {
+    if (event.kind === 'timerFired' && event.round === state.leaderWatchRound)
+      return [{ kind: 'readLeader', round: nextLeaderWatchRound(state) }];
+    return stepAsLeader(state, state.held, event);
   }
   switch (event.kind) {
-    case 'time':
-      return event.round === state.round && state.phase === 'looking' ? look(state) : [];
-    case 'read':
-      return event.round === state.round && state.phase === 'looking' ? onLooked(state, event.leader) : [];
-    case 'watched':
+    case 'timerFired':
+      return event.round === state.round && state.phase === 'reading' ? readLeader(state) : [];
+    case 'leaderRead':
+      return event.round === state.round && state.phase === 'reading'
+        ? onLeaderRead(state, event.leader)
+        : [];
+    case 'leaderWatched':
       if (event.round !== state.round || state.phase !== 'following') return [];
-      return event.answered ? look(state) : lookLater(state, state.timing.tickMs);
-    case 'inherit':
-      return state.phase === 'following' && event.modRevision === state.followed
-        ? ask(state, event.modRevision, true)
+      return event.answered ? readLeader(state) : readLeaderLater(state, state.timing.tickMs);
+    case 'replaceCrashedLeader':
+      return state.phase === 'following' && event.modRevision === state.followedRevision
+        ? requestLease(state, event.modRevision, true)
         : [];
-    case 'granted':
+    case 'leaseGranted':
       if (event.round !== state.round || state.phase !== 'granting')
-        return event.lease === null ? [] : [{ kind: 'revoke', lease: event.lease }];
-      return onGranted(state, event);
-    case 'stood':
-      if (event.round !== state.round || state.phase !== 'standing') return [];
-      if (event.outcome === 'applied') return hold(state, event.revision, event.revision, false);
-      if (event.outcome === 'failed') return giveUpStanding(state);
-      state.phase = 'checking';
-      return [{ kind: 'check', round: nextRound(state) }];
-    case 'checked': {
-      if (event.round !== state.round || state.phase !== 'checking') return [];
+        return event.lease === null ? [] : [{ kind: 'revokeLease', lease: event.lease }];
+      return onLeaseGranted(state, event);
+    case 'campaigned':
+      if (event.round !== state.round || state.phase !== 'campaigning') return [];
+      if (event.outcome === 'applied') return becomeLeader(state, event.revision, event.revision, false);
+      if (event.outcome === 'failed') return abandonCampaign(state);
+      state.phase = 'verifying';
+      return [{ kind: 'verifyCampaign', round: nextRound(state) }];
+    case 'campaignVerified': {
+      if (event.round !== state.round || state.phase !== 'verifying') return [];
       const { leader, term } = event;
-      const sought = state.standsFor;
+      const sought = state.campaign;
       // No answer to the transaction: it counts if our own record of this life stands there.
       const won =
         leader !== 'unknown' &&
@@ -386,7 +413,7 @@
         leader.value?.incarnation === state.incarnation &&
         leader.value.term === sought.term &&
         term.value === sought.term;
-      return won ? hold(state, term.modRevision, leader.modRevision, true) : giveUpStanding(state);
+      return won ? becomeLeader(state, term.modRevision, leader.modRevision, true) : abandonCampaign(state);
     }
     default:
       return [];
--- a/src/service.ts
+++ b/src/service.ts
@@ -43,7 +43,7 @@
     node.malformed,
     (message) => node.onIntake(message),
   );
-  node.tellPeers = () => peers.tellNow();
+  node.broadcastStatus = () => peers.tellNow();
   node.sendIntake = (to, message) => peers.sendIntake(to, message);
   node.peerTraffic = () => peers.traffic;
   const memory = new MemoryWatch({
--- a/src/wire/intake.ts
+++ b/src/wire/intake.ts
@@ -12,34 +12,34 @@
   readonly incarnation: string;
   readonly term: number;
   /** Time of day at the sender, in milliseconds: a message that was held back is as old as it is. */
-  readonly at: number;
+  readonly sentAt: number;
 }
 
 /** A report that the leader is to answer. */
-export interface ForwardedReport {
+export interface ForwardedHeartbeat {
   readonly reference: number;
-  readonly report: Heartbeat;
+  readonly heartbeat: Heartbeat;
 }
 
 /** From a follower: reports with news, and the heartbeats of machines without. */
-export interface ReportsMessage extends Envelope {
-  readonly kind: 'reports';
-  readonly reports: readonly ForwardedReport[];
-  readonly heartbeats: readonly Keepalive[];
+export interface HeartbeatsMessage extends Envelope {
+  readonly kind: 'heartbeats';
+  readonly heartbeats: readonly ForwardedHeartbeat[];
+  readonly keepalives: readonly Keepalive[];
 }
 
 /** What the leader says to a forwarded report. */
 export interface ForwardedAnswer {
   readonly reference: number;
   /** False: the leader may not answer now. */
-  readonly able: boolean;
+  readonly isAccepted: boolean;
   /** More is to be told to the machine: its next report is to be forwarded, too. */
-  readonly pending: boolean;
+  readonly needsAttention: boolean;
   readonly commands: readonly WorkerCommand[];
 }
 
 /** Workers that a follower is to send to another controller. */
-export interface Shed {
+export interface RedirectQuota {
   readonly to: string;
   readonly count: number;
 }
@@ -55,11 +55,11 @@
   readonly isSnapshot: boolean;
   /** Of a snapshot: whether followers are to take reports, and the time of day of the read that proved it. */
   readonly isSharing: boolean;
-  readonly provenAt: number;
-  readonly shed: Shed | null;
+  readonly viewConfirmedAt: number;
+  readonly redirect: RedirectQuota | null;
 }
 
-export type IntakeMessage = ReportsMessage | AnswersMessage;
+export type IntakeMessage = HeartbeatsMessage | AnswersMessage;
 
 const STAGES: readonly TaskStage[] = ['fetching', 'running', 'saving', 'exited'];
 const EXITS: readonly ExitReason[] = ['done', 'stopped', 'error', 'no_room', 'busy', 'unknown'];
@@ -77,7 +77,7 @@
       exit: { type: 'uint32', id: 5 },
     },
   },
-  IntakeReport: {
+  IntakeForwardedHeartbeat: {
     fields: {
       reference: { type: 'uint32', id: 1 },
       machine: { type: 'string', id: 2 },
@@ -93,7 +93,7 @@
       tasks: { rule: 'repeated', type: 'IntakeTask', id: 12 },
     },
   },
-  IntakeHeartbeat: {
+  IntakeKeepalive: {
     fields: {
       machine: { type: 'string', id: 1 },
       agentEpoch: { type: 'double', id: 2 },
@@ -113,8 +113,8 @@
   IntakeAnswer: {
     fields: {
       reference: { type: 'uint32', id: 1 },
-      able: { type: 'bool', id: 2 },
-      pending: { type: 'bool', id: 3 },
+      isAccepted: { type: 'bool', id: 2 },
+      needsAttention: { type: 'bool', id: 3 },
       commands: { rule: 'repeated', type: 'IntakeCommand', id: 4 },
     },
   },
@@ -123,18 +123,18 @@
       node: { type: 'string', id: 1 },
       incarnation: { type: 'string', id: 2 },
       term: { type: 'double', id: 3 },
-      at: { type: 'double', id: 4 },
+      sentAt: { type: 'double', id: 4 },
       fromLeader: { type: 'bool', id: 5 },
-      reports: { rule: 'repeated', type: 'IntakeReport', id: 6 },
-      heartbeats: { rule: 'repeated', type: 'IntakeHeartbeat', id: 7 },
+      heartbeats: { rule: 'repeated', type: 'IntakeForwardedHeartbeat', id: 6 },
+      keepalives: { rule: 'repeated', type: 'IntakeKeepalive', id: 7 },
       answers: { rule: 'repeated', type: 'IntakeAnswer', id: 8 },
       number: { type: 'uint32', id: 9 },
       attention: { rule: 'repeated', type: 'string', id: 10 },
       isSnapshot: { type: 'bool', id: 11 },
       isSharing: { type: 'bool', id: 12 },
-      provenAt: { type: 'double', id: 13 },
-      shedTo: { type: 'string', id: 14 },
-      shedCount: { type: 'uint32', id: 15 },
+      viewConfirmedAt: { type: 'double', id: 13 },
+      redirectTo: { type: 'string', id: 14 },
+      redirectCount: { type: 'uint32', id: 15 },
     },
   },
 };
@@ -146,7 +146,7 @@
   readonly stage: number;
   readonly exit: number;
 }
-interface WireReport extends Omit<Heartbeat, 'terminationNoticeS' | 'tasks'> {
+interface WireHeartbeat extends Omit<Heartbeat, 'terminationNoticeS' | 'tasks'> {
   readonly reference: number;
   readonly hasNotice: boolean;
   readonly terminationNoticeS: number;
@@ -163,8 +163,8 @@
 /** A message as protobuf has it; fields that are missing have their defaults. */
 export interface WireIntake extends Envelope {
   readonly fromLeader: boolean;
-  readonly reports: readonly WireReport[];
-  readonly heartbeats: readonly Keepalive[];
+  readonly heartbeats: readonly WireHeartbeat[];
+  readonly keepalives: readonly Keepalive[];
   readonly answers: readonly (Omit<ForwardedAnswer, 'commands'> & {
     readonly commands: readonly WireCommand[];
   })[];
@@ -172,9 +172,9 @@
   readonly attention: readonly string[];
   readonly isSnapshot: boolean;
   readonly isSharing: boolean;
-  readonly provenAt: number;
-  readonly shedTo: string;
-  readonly shedCount: number;
+  readonly viewConfirmedAt: number;
+  readonly redirectTo: string;
+  readonly redirectCount: number;
 }
 
 const taskToWire = ({ job, task, attempt, stage, exit }: ReportedTask): WireTask => ({
@@ -207,44 +207,46 @@
 /** A message as protobuf takes it. */
 export function intakeToWire(message: IntakeMessage): object {
   const { kind, ...rest } = message;
-  if (kind === 'reports')
+  if (kind === 'heartbeats')
     return {
       ...rest,
       fromLeader: false,
-      reports: message.reports.map(({ reference, report }) => ({
-        ...report,
+      heartbeats: message.heartbeats.map(({ reference, heartbeat }) => ({
+        ...heartbeat,
         reference,
-        hasNotice: report.terminationNoticeS !== null,
-        terminationNoticeS: report.terminationNoticeS ?? 0,
-        tasks: report.tasks.map(taskToWire),
+        hasNotice: heartbeat.terminationNoticeS !== null,
+        terminationNoticeS: heartbeat.terminationNoticeS ?? 0,
+        tasks: heartbeat.tasks.map(taskToWire),
       })),
     };
   return {
     ...rest,
     fromLeader: true,
     answers: message.answers.map((answer) => ({ ...answer, commands: answer.commands.map(commandToWire) })),
-    shedTo: message.shed?.to ?? '',
-    shedCount: message.shed?.count ?? 0,
+    redirectTo: message.redirect?.to ?? '',
+    redirectCount: message.redirect?.count ?? 0,
   };
 }
 
 /** The message that protobuf has read. */
 export function intakeFromWire(wire: WireIntake): IntakeMessage {
-  const { node, incarnation, term, at } = wire;
-  const envelope = { node, incarnation, term, at };
+  const { node, incarnation, term, sentAt } = wire;
+  const envelope = { node, incarnation, term, sentAt };
   if (!wire.fromLeader)
     return {
-      kind: 'reports',
+      kind: 'heartbeats',
       ...envelope,
-      heartbeats: wire.heartbeats,
-      reports: wire.reports.map(({ reference, hasNotice, terminationNoticeS, tasks, ...report }) => ({
-        reference,
-        report: {
-          ...report,
-          terminationNoticeS: hasNotice ? terminationNoticeS : null,
-          tasks: tasks.map(taskFromWire),
-        },
-      })),
+      keepalives: wire.keepalives,
+      heartbeats: wire.heartbeats.map(
+        ({ reference, hasNotice, terminationNoticeS, tasks, ...heartbeat }) => ({
+          reference,
+          heartbeat: {
+            ...heartbeat,
+            terminationNoticeS: hasNotice ? terminationNoticeS : null,
+            tasks: tasks.map(taskFromWire),
+          },
+        }),
+      ),
     };
   return {
     kind: 'answers',
@@ -257,7 +259,7 @@
     attention: wire.attention,
     isSnapshot: wire.isSnapshot,
     isSharing: wire.isSharing,
-    provenAt: wire.provenAt,
-    shed: wire.shedTo === '' ? null : { to: wire.shedTo, count: wire.shedCount },
+    viewConfirmedAt: wire.viewConfirmedAt,
+    redirect: wire.redirectTo === '' ? null : { to: wire.redirectTo, count: wire.redirectCount },
   };
 }
--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -9,7 +9,7 @@
   intakeToWire,
   type AnswersMessage,
   type IntakeMessage,
-  type ReportsMessage,
+  type HeartbeatsMessage,
   type WireIntake,
 } from './intake.js';
 import { nameBytes, portionsOf } from './portions.js';
@@ -32,23 +32,23 @@
    * Time of day, in milliseconds, up to which every cancellation has gone through its
    * pipeline, as a leader knows; 0: unknown.
    */
-  readonly settledAt: number;
+  readonly dependenciesResolvedUntil: number;
   /** Zones of which the leader hears nobody, and for how long; as far as this node knows. */
-  readonly quiet: readonly QuietZone[];
+  readonly silentZones: readonly SilentZone[];
   /** Machines that this node answers in the leader's place. */
-  readonly hears: readonly string[];
+  readonly relayedMachines: readonly string[];
   /**
    * Time of day, in milliseconds, of the read that proved what the leader knows of cancellations;
    * 0: none, or the counts do not list every live job.
    */
-  readonly provenAt: number;
+  readonly viewConfirmedAt: number;
   /** It takes reports for the leader that it follows; versions before shared reports say nothing. */
-  readonly takesReports: boolean;
+  readonly acceptsHeartbeats: boolean;
 }
 
-export interface QuietZone {
+export interface SilentZone {
   readonly zone: string;
-  readonly ageMs: number;
+  readonly silentMs: number;
 }
 
 const root = protobuf.Root.fromJSON({
@@ -62,10 +62,10 @@
         why: { type: 'uint32', id: 4 },
       },
     },
-    QuietZone: {
+    SilentZone: {
       fields: {
         zone: { type: 'string', id: 1 },
-        ageMs: { type: 'uint32', id: 2 },
+        silentMs: { type: 'uint32', id: 2 },
       },
     },
     Observation: {
@@ -78,10 +78,10 @@
     Continuation: {
       fields: {
         counts: { rule: 'repeated', type: 'JobCount', id: 1 },
-        hears: { rule: 'repeated', type: 'string', id: 2 },
+        relayedMachines: { rule: 'repeated', type: 'string', id: 2 },
         attention: { rule: 'repeated', type: 'string', id: 3 },
         // The proof of the whole; the first frame has none, so that nobody answers by a part.
-        provenAt: { type: 'double', id: 4 },
+        viewConfirmedAt: { type: 'double', id: 4 },
       },
     },
     PeerStatus: {
@@ -94,10 +94,10 @@
         counts: { rule: 'repeated', type: 'JobCount', id: 6 },
         // Versions before pipelines leave these out, and skip them.
         format: { type: 'uint32', id: 7 },
-        settledAt: { type: 'double', id: 8 },
-        quiet: { rule: 'repeated', type: 'QuietZone', id: 9 },
-        hears: { rule: 'repeated', type: 'string', id: 10 },
-        provenAt: { type: 'double', id: 11 },
+        dependenciesResolvedUntil: { type: 'double', id: 8 },
+        silentZones: { rule: 'repeated', type: 'SilentZone', id: 9 },
+        relayedMachines: { rule: 'repeated', type: 'string', id: 10 },
+        viewConfirmedAt: { type: 'double', id: 11 },
         // Versions before suspicion leave these out: such a peer vouches for nobody's end.
         timerLagMs: { type: 'uint32', id: 12 },
         observations: { rule: 'repeated', type: 'Observation', id: 13 },
@@ -110,7 +110,7 @@
         unreachable: { type: 'uint32', id: 20 },
         // Versions before shared reports leave these out. A frame that carries an intake message names no
         // node, so that they pass it over.
-        takesReports: { type: 'bool', id: 21 },
+        acceptsHeartbeats: { type: 'bool', id: 21 },
         intake: { type: 'Intake', id: 22 },
         // Versions before portions leave these out. A frame that continues another names no node, so that
         // they pass it over.
@@ -123,10 +123,10 @@
 const statusType = root.lookupType('PeerStatus');
 
 /** The largest frame a peer may send. */
-export const MOST_FRAME = 64 * 1024;
+export const MAX_FRAME_BYTES = 64 * 1024;
 /** Lists up to so long go in one frame if that is not too large. */
 const MAX_COUNTS_IN_FRAME = 1000;
-const MAX_HEARD_IN_FRAME = 2000;
+const MAX_RELAYED_IN_FRAME = 2000;
 const MAX_ATTENTION_IN_FRAME = 3000;
 /** Frames that continue one message. A bound on bad input: the names of 64,000 machines take some 90. */
 const MAX_CONTINUATIONS = 512;
@@ -134,9 +134,9 @@
 /** What frames that continue a message carry of it. */
 interface Continuation {
   readonly counts: readonly JobCount[];
-  readonly hears: readonly string[];
+  readonly relayedMachines: readonly string[];
   readonly attention: readonly string[];
-  readonly provenAt: number;
+  readonly viewConfirmedAt: number;
 }
 
 const encodeFrame = (fields: object): Uint8Array => statusType.encodeDelimited(fields).finish();
@@ -145,28 +145,34 @@
 const COUNT_OVERHEAD_BYTES = 28;
 const countBytes = ({ id }: JobCount): number => Buffer.byteLength(id) + COUNT_OVERHEAD_BYTES;
 
-type Lists = Omit<Continuation, 'provenAt'>;
-const NO_LISTS: Lists = { counts: [], hears: [], attention: [] };
+type Lists = Omit<Continuation, 'viewConfirmedAt'>;
+const NO_LISTS: Lists = { counts: [], relayedMachines: [], attention: [] };
 
 /** The first frame, which has the first portion of the lists in it, and those that continue it with the others. */
 function encodePortions(
   lists: Partial<Lists>,
-  provenAt: number,
-  first: (portion: Lists, provenAt: number, continuations: number) => object,
+  viewConfirmedAt: number,
+  first: (portion: Lists, viewConfirmedAt: number, continuations: number) => object,
 ): Uint8Array {
   const portions: Lists[] = [
     ...portionsOf(lists.counts ?? [], countBytes).map((counts) => ({ ...NO_LISTS, counts })),
-    ...portionsOf(lists.hears ?? [], nameBytes).map((hears) => ({ ...NO_LISTS, hears })),
+    ...portionsOf(lists.relayedMachines ?? [], nameBytes).map((relayedMachines) => ({
+      ...NO_LISTS,
+      relayedMachines,
+    })),
     ...portionsOf(lists.attention ?? [], nameBytes).map((attention) => ({ ...NO_LISTS, attention })),
   ];
   const [begin = NO_LISTS, ...rest] = portions;
   const sent = rest.slice(0, MAX_CONTINUATIONS);
   // Nobody may answer by a part of the lists.
-  const proof = sent.length === rest.length ? provenAt : 0;
+  const proof = sent.length === rest.length ? viewConfirmedAt : 0;
   const frames = sent.map((portion) =>
-    encodeFrame({ node: '', continuation: { ...portion, provenAt: proof } }),
+    encodeFrame({ node: '', continuation: { ...portion, viewConfirmedAt: proof } }),
   );
-  return Buffer.concat([encodeFrame(first(begin, sent.length === 0 ? provenAt : 0, sent.length)), ...frames]);
+  return Buffer.concat([
+    encodeFrame(first(begin, sent.length === 0 ? viewConfirmedAt : 0, sent.length)),
+    ...frames,
+  ]);
 }
 
 /** The frames of a status: one, or of a large fleet several. */
@@ -175,17 +181,17 @@
     ...one,
     linkState: LINK_STATES.indexOf(one.linkState),
   }));
-  const { counts, hears, provenAt } = status;
-  if (counts.length <= MAX_COUNTS_IN_FRAME && hears.length <= MAX_HEARD_IN_FRAME) {
+  const { counts, relayedMachines, viewConfirmedAt } = status;
+  if (counts.length <= MAX_COUNTS_IN_FRAME && relayedMachines.length <= MAX_RELAYED_IN_FRAME) {
     const frame = encodeFrame({ ...status, observations });
-    if (frame.length <= MOST_FRAME) return frame;
+    if (frame.length <= MAX_FRAME_BYTES) return frame;
   }
-  return encodePortions({ counts, hears }, provenAt, (portion, proof, continuations) => ({
+  return encodePortions({ counts, relayedMachines }, viewConfirmedAt, (portion, proof, continuations) => ({
     ...status,
     observations,
     counts: portion.counts,
-    hears: portion.hears,
-    provenAt: proof,
+    relayedMachines: portion.relayedMachines,
+    viewConfirmedAt: proof,
     continuations,
   }));
 }
@@ -195,35 +201,35 @@
   if (message.kind === 'answers' && message.attention.length > MAX_ATTENTION_IN_FRAME)
     return encodeSnapshot(message);
   const frame = encodeFrame({ node: '', intake: intakeToWire(message) });
-  if (frame.length <= MOST_FRAME) return frame;
-  return message.kind === 'answers' ? encodeSnapshot(message) : encodeReports(message, frame);
+  if (frame.length <= MAX_FRAME_BYTES) return frame;
+  return message.kind === 'answers' ? encodeSnapshot(message) : encodeHeartbeats(message, frame);
 }
 
 function encodeSnapshot(message: AnswersMessage): Uint8Array {
   return encodePortions(
     { attention: message.attention },
-    message.provenAt,
-    ({ attention }, provenAt, continuations) => ({
+    message.viewConfirmedAt,
+    ({ attention }, viewConfirmedAt, continuations) => ({
       node: '',
-      intake: intakeToWire({ ...message, attention, provenAt }),
+      intake: intakeToWire({ ...message, attention, viewConfirmedAt }),
       continuations,
     }),
   );
 }
 
 /** Reports are taken in one by one, so that halves of a message are messages by themselves. */
-function encodeReports(message: ReportsMessage, whole: Uint8Array): Uint8Array {
-  const { reports, heartbeats } = message;
-  if (reports.length + heartbeats.length < 2) return whole;
+function encodeHeartbeats(message: HeartbeatsMessage, whole: Uint8Array): Uint8Array {
+  const { heartbeats, keepalives } = message;
+  if (heartbeats.length + keepalives.length < 2) return whole;
   const half = <T>(items: readonly T[]): [readonly T[], readonly T[]] => {
     const middle = Math.ceil(items.length / 2);
     return [items.slice(0, middle), items.slice(middle)];
   };
-  const [firstReports, otherReports] = half(reports);
   const [firstHeartbeats, otherHeartbeats] = half(heartbeats);
+  const [firstKeepalives, otherKeepalives] = half(keepalives);
   return Buffer.concat([
-    encodeIntake({ ...message, reports: firstReports, heartbeats: otherHeartbeats }),
-    encodeIntake({ ...message, reports: otherReports, heartbeats: firstHeartbeats }),
+    encodeIntake({ ...message, heartbeats: firstHeartbeats, keepalives: otherKeepalives }),
+    encodeIntake({ ...message, heartbeats: otherHeartbeats, keepalives: firstKeepalives }),
   ]);
 }
 
@@ -246,9 +252,9 @@
 /** What several frames have of the lists, one after the other. */
 const joinContinuations = (received: readonly Continuation[]): Continuation => ({
   counts: received.flatMap(({ counts }) => counts),
-  hears: received.flatMap(({ hears }) => hears),
+  relayedMachines: received.flatMap(({ relayedMachines }) => relayedMachines),
   attention: received.flatMap(({ attention }) => attention),
-  provenAt: received.at(-1)?.provenAt ?? 0,
+  viewConfirmedAt: received.at(-1)?.viewConfirmedAt ?? 0,
 });
 
 const decodeObservation = ({ node, ageMs, linkState }: WireObservation): Observation => ({
@@ -257,15 +263,20 @@
   linkState: LINK_STATES[linkState] ?? ('silent' satisfies LinkState),
 });
 
-const joinStatus = (first: PeerStatus, { counts, hears, provenAt }: Continuation): PeerStatus => ({
+const joinStatus = (
+  first: PeerStatus,
+  { counts, relayedMachines, viewConfirmedAt }: Continuation,
+): PeerStatus => ({
   ...first,
   counts: [...first.counts, ...counts],
-  hears: [...first.hears, ...hears],
-  provenAt,
+  relayedMachines: [...first.relayedMachines, ...relayedMachines],
+  viewConfirmedAt,
 });
 
-const joinIntake = (first: IntakeMessage, { attention, provenAt }: Continuation): IntakeMessage =>
-  first.kind === 'answers' ? { ...first, attention: [...first.attention, ...attention], provenAt } : first;
+const joinIntake = (first: IntakeMessage, { attention, viewConfirmedAt }: Continuation): IntakeMessage =>
+  first.kind === 'answers'
+    ? { ...first, attention: [...first.attention, ...attention], viewConfirmedAt }
+    : first;
 
 /** Splits a stream into messages; throws on garbage or an oversized frame. */
 export class StatusReader {
@@ -326,7 +337,7 @@
     for (let at = 0; at < this.#rest.length; at += 1) {
       const byte = this.#rest[at] ?? 0;
       length += (byte & 0x7f) * 2 ** (7 * at);
-      if (length > MOST_FRAME || at > 3) throw new RangeError('oversized frame');
+      if (length > MAX_FRAME_BYTES || at > 3) throw new RangeError('oversized frame');
       if ((byte & 0x80) !== 0) continue;
       const end = at + 1 + length;
       if (this.#rest.length < end) return null;
--- a/test/closer.test.ts
+++ b/test/closer.test.ts
@@ -103,18 +103,24 @@
   };
   const nobody = { value: null, modRevision: 0, revision: 1 };
   let told = electionStep(election, { kind: 'start' });
-  told = electionStep(election, { kind: 'read', round: round(told, 'read'), leader: nobody });
+  told = electionStep(election, { kind: 'leaderRead', round: round(told, 'readLeader'), leader: nobody });
   const term = { value: 1, modRevision: 1 };
-  told = electionStep(election, { kind: 'granted', round: round(told, 'grant'), lease: 7, term, now: 0 });
   told = electionStep(election, {
-    kind: 'stood',
-    round: round(told, 'stand'),
+    kind: 'leaseGranted',
+    round: round(told, 'grantLease'),
+    lease: 7,
+    term,
+    now: 0,
+  });
+  told = electionStep(election, {
+    kind: 'campaigned',
+    round: round(told, 'campaign'),
     outcome: 'applied',
     revision: 2,
   });
   expect(told).toContainEqual(expect.objectContaining({ kind: 'wait', ms: times.renewIntervalMs }));
-  told = electionStep(election, { kind: 'time', round: round(told, 'wait') });
-  told = electionStep(election, { kind: 'renewed', round: round(told, 'renew'), alive: null });
+  told = electionStep(election, { kind: 'timerFired', round: round(told, 'wait') });
+  told = electionStep(election, { kind: 'leaseRenewed', round: round(told, 'renewLease'), alive: null });
   expect(told).toEqual([expect.objectContaining({ kind: 'wait', ms: times.tickMs })]);
   expect(times.storeTimeoutMs + times.tickMs).toBeLessThan(times.leaderLeaseMs);
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -15,18 +15,18 @@
 import { main } from '../src/cli.js';
 import { systemClock } from '../src/clock.js';
 import { estimatedMemoryMb, MemoryWatch } from '../src/memory.js';
-import type { Common } from '../src/controller/common.js';
-import { Deputy } from '../src/controller/deputy.js';
-import { Peering } from '../src/controller/peering.js';
-import { ReportIntake } from '../src/controller/report-intake.js';
-import { SharedReports } from '../src/controller/shared-reports.js';
+import type { ControllerContext } from '../src/controller/context.js';
+import { FallbackResponder } from '../src/controller/fallback-responder.js';
+import { PeerExchange } from '../src/controller/peer-exchange.js';
+import { HeartbeatIntake } from '../src/controller/heartbeat-intake.js';
+import { SharedHeartbeats } from '../src/controller/shared-heartbeats.js';
 import { scaleOut } from '../src/core/autoscaling/index.js';
 import type { Effect } from '../src/core/effects.js';
 import { removeTerminated, getOrCreateMachine } from '../src/core/fleet/index.js';
 import { finalOutcomeNow, unregisterDependencies } from '../src/core/jobs/index.js';
 import { WorkerRouter, type LeaderReachability } from '../src/membership/worker-router.js';
 import { timing } from '../src/settings.js';
-import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
+import type { AnswersMessage, IntakeMessage, HeartbeatsMessage } from '../src/wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../src/wire/peers.js';
 import type { Heartbeat } from '../src/core/types.js';
 import { CoreBench, EIGHT, job, report, task, TERM } from './standins/core.js';
@@ -48,10 +48,10 @@
   storeContactAgeMs: 12,
   counts: [],
   format: 2,
-  settledAt: 12.5,
-  quiet: [],
-  hears: [],
-  provenAt: 0,
+  dependenciesResolvedUntil: 12.5,
+  silentZones: [],
+  relayedMachines: [],
+  viewConfirmedAt: 0,
   ...UNSEEN,
 };
 
@@ -122,19 +122,19 @@
   node: 'n-0',
   incarnation: 'x',
   term: TERM,
-  at: 5,
+  sentAt: 5,
   number: 3,
   answers: [],
   attention: NAMES,
   isSnapshot: true,
   isSharing: true,
-  provenAt: 4,
-  shed: null,
+  viewConfirmedAt: 4,
+  redirect: null,
 };
 
 describe('a message about 8,000 machines goes in portions', () => {
   test('the machines that a follower answers', () => {
-    const status = { ...STATUS, hears: NAMES };
+    const status = { ...STATUS, relayedMachines: NAMES };
     const bytes = encodeStatus(status);
     expect(readStatus(bytes)).toEqual([status]);
     const [first, ...others] = readAsEarlier(bytes);
@@ -148,8 +148,8 @@
     ['fewer long names than a frame may have', Array.from({ length: 1900 }, (_, i) => 'm'.repeat(40) + i)],
   ];
   test.each(fitting)('%s', (_what, hears) => {
-    const bytes = encodeStatus({ ...STATUS, hears });
-    expect(readStatus(bytes)).toEqual([{ ...STATUS, hears }]);
+    const bytes = encodeStatus({ ...STATUS, relayedMachines: hears });
+    expect(readStatus(bytes)).toEqual([{ ...STATUS, relayedMachines: hears }]);
     for (const one of readAsEarlier(bytes)) expect(one.hears.length).toBeLessThanOrEqual(EARLIER_NAMES);
     const snapshot = encodeIntake({ ...SNAPSHOT, attention: hears });
     expect(readIntake(snapshot)).toEqual([{ ...SNAPSHOT, attention: hears }]);
@@ -159,7 +159,7 @@
 
   test('the counts of 8,000 jobs, proven only as a whole', () => {
     const counts = NAMES.map((name) => ({ id: `req-${name}`, done: 90_000, running: 9000, why: 3 }));
-    const status = { ...STATUS, isLeader: true, counts, provenAt: 13.5 };
+    const status = { ...STATUS, isLeader: true, counts, viewConfirmedAt: 13.5 };
     const bytes = encodeStatus(status);
     expect(readStatus(bytes)).toEqual([status]);
     const [first] = readAsEarlier(bytes);
@@ -168,7 +168,7 @@
   });
 
   test('a stream that is cut anywhere, and one that ends within a message', () => {
-    const status = { ...STATUS, hears: NAMES };
+    const status = { ...STATUS, relayedMachines: NAMES };
     const bytes = Buffer.concat([encodeStatus(status), encodeStatus({ ...STATUS, term: 8 })]);
     const reader = new StatusReader();
     const found: PeerStatus[] = [];
@@ -189,27 +189,27 @@
     const heartbeats = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 900_000, ageMs: 500 }));
     const reports = NAMES.slice(0, 100).map((machine, i) => ({
       reference: i,
-      report: report(
+      heartbeat: report(
         machine,
         1,
         Array.from({ length: 6 }, () => task('req-123456/7', 1, 'running')),
       ),
     }));
-    const message: ReportsMessage = {
-      kind: 'reports',
+    const message: HeartbeatsMessage = {
+      kind: 'heartbeats',
       node: 'n-1',
       incarnation: 'x',
       term: TERM,
-      at: 5,
-      reports,
-      heartbeats,
+      sentAt: 5,
+      heartbeats: reports,
+      keepalives: heartbeats,
     };
     const bytes = encodeIntake(message);
     for (const { node, intake } of readAsEarlier(bytes)) expect([node, intake === null]).toEqual(['', false]);
-    const found = readIntake(bytes).flatMap((one) => (one.kind === 'reports' ? [one] : []));
-    const machines = found.flatMap((one) => one.heartbeats.map(({ machine }) => machine));
+    const found = readIntake(bytes).flatMap((one) => (one.kind === 'heartbeats' ? [one] : []));
+    const machines = found.flatMap((one) => one.keepalives.map(({ machine }) => machine));
     expect([...machines].sort()).toEqual(NAMES);
-    const references = found.flatMap((one) => one.reports.map(({ reference }) => reference));
+    const references = found.flatMap((one) => one.heartbeats.map(({ reference }) => reference));
     expect(references.sort((a, b) => a - b)).toEqual(reports.map(({ reference }) => reference));
   });
 
@@ -223,7 +223,7 @@
 });
 
 /** A node's surroundings, with a core that leads 8,000 machines. */
-function leaderOf(bench: CoreBench): Common {
+function leaderOf(bench: CoreBench): ControllerContext {
   const clock = new ProcessClock(new VirtualClock(), 1, 0);
   return {
     settings: testSettings(0),
@@ -234,9 +234,9 @@
       state: { contactAt: () => null },
       incarnation: 'x',
     },
-    owner: { state: bench.state, push: () => undefined },
-    standing: { leader: null, leaderRevision: 0, highestTerm: TERM, leadingTerm: TERM },
-  } as unknown as Common;
+    commands: { state: bench.state, push: () => undefined },
+    leadershipView: { leader: null, leaderRevision: 0, highestTerm: TERM, leadingTerm: TERM },
+  } as unknown as ControllerContext;
 }
 
 describe('what a controller says of 8,000 machines is the whole', () => {
@@ -249,29 +249,29 @@
         runningCount: 0,
         waitingCount: 0,
       } as never);
-    const peering = new Peering(
+    const peering = new PeerExchange(
       leaderOf(bench),
       () => [],
       () => false,
       () => undefined,
       () => UNSEEN,
     );
-    const { counts, provenAt } = peering.status();
+    const { counts, viewConfirmedAt } = peering.status();
     expect(counts).toHaveLength(FLEET);
-    expect(provenAt).not.toBe(0);
+    expect(viewConfirmedAt).not.toBe(0);
   });
 
   test('a follower tells of 8,000 machines that it answers', () => {
     const bench = new CoreBench();
     bench.state.leadership = null;
-    const peering = new Peering(
+    const peering = new PeerExchange(
       leaderOf(bench),
       () => NAMES,
       () => false,
       () => undefined,
       () => UNSEEN,
     );
-    expect(peering.status().hears).toEqual(NAMES);
+    expect(peering.status().relayedMachines).toEqual(NAMES);
   });
 
   test('a leader shares reports though 8,000 machines need attention', () => {
@@ -282,17 +282,17 @@
     }
     const common = leaderOf(bench);
     const sent: AnswersMessage[] = [];
-    const rules = { ...bench.state.config, policy: { ...bench.state.config.policy, sharedReportsFrom: 1 } };
-    Object.assign(bench.state, { rules });
-    const shared = new SharedReports(common, {
+    const policy = { ...bench.state.config.policy, sharedHeartbeatsMinMachines: 1 };
+    Object.assign(bench.state, { config: { ...bench.state.config, policy } });
+    const shared = new SharedHeartbeats(common, {
       candidates: () => [{ node: 'n-1', zone: 'b' }],
-      isTaking: () => true,
+      isAccepting: () => true,
       send: (_to, message) => message.kind === 'answers' && sent.push(message) > 0,
       push: () => undefined,
     });
-    shared.tell();
+    shared.sendSnapshots();
     expect(sent.at(-1)).toMatchObject({ isSnapshot: true, isSharing: true, attention: NAMES });
-    expect(sent.at(-1)?.provenAt).not.toBe(0);
+    expect(sent.at(-1)?.viewConfirmedAt).not.toBe(0);
   });
 
   test('what is added to a follower’s list goes in messages that an earlier one takes', () => {
@@ -304,24 +304,24 @@
       rules: { ...bench.state.config, policy: { ...bench.state.config.policy, sharedReportsFrom: 1 } },
     });
     Object.assign(common.ports.clock, { soon: (run: () => void) => run() });
-    const shared = new SharedReports(common, {
+    const shared = new SharedHeartbeats(common, {
       candidates: () => [{ node: 'n-1', zone: 'b' }],
-      isTaking: () => true,
+      isAccepting: () => true,
       send: (_to, message) => message.kind === 'answers' && sent.push(message) > 0,
       push: () => undefined,
     });
-    shared.tell();
+    shared.sendSnapshots();
     const heartbeats = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 1, ageMs: 0 }));
     shared.receive({
-      kind: 'reports',
+      kind: 'heartbeats',
       node: 'n-1',
       incarnation: 'y',
       term: TERM,
-      at: common.ports.clock.epochMs(),
-      reports: [],
-      heartbeats,
+      sentAt: common.ports.clock.epochMs(),
+      heartbeats: [],
+      keepalives: heartbeats,
     });
-    shared.attend(NAMES);
+    shared.announceAttention(NAMES);
     const added = sent.filter(({ isSnapshot }) => !isSnapshot);
     expect(added.flatMap(({ attention }) => attention)).toEqual(NAMES);
     for (const message of added) {
@@ -350,36 +350,36 @@
   test('a follower that answers workers in the leader’s place hears all of them', async () => {
     const clock = new ProcessClock(new VirtualClock(), 1, 0);
     const state = { list: () => Promise.resolve('unknown') } as never;
-    const deputy = new Deputy('n-1', state, clock, TIMES, 32 * 1024, 100);
-    deputy.receiveSnapshot({ at: clock.epochMs(), live: new Set() });
+    const deputy = new FallbackResponder('n-1', state, clock, TIMES, 32 * 1024, 100);
+    deputy.receiveSnapshot({ viewConfirmedAt: clock.epochMs(), liveJobs: new Set() });
     await Promise.all(NAMES.map((name) => deputy.answer(report(name, 1))));
-    expect(deputy.hears()).toEqual(NAMES);
+    expect(deputy.answeredMachines()).toEqual(NAMES);
   });
 
   test('a follower that shares reports keeps 8,000 waiting, and knows 30,000', () => {
     const clock = new ProcessClock(new VirtualClock(), 1, 0);
-    const sent: ReportsMessage[] = [];
-    const intake = new ReportIntake({
+    const sent: HeartbeatsMessage[] = [];
+    const intake = new HeartbeatIntake({
       clock,
       timing: TIMES,
       node: 'n-1',
       incarnation: 'life',
-      clocksApartMs: 200,
-      following: () => ({ leader: 'n-0', term: TERM }),
-      send: (_to, message) => message.kind === 'reports' && sent.push(message) > 0,
+      maxClockSkewMs: 200,
+      followedLeader: () => ({ leader: 'n-0', term: TERM }),
+      send: (_to, message) => message.kind === 'heartbeats' && sent.push(message) > 0,
       encodeAnswer: () => '',
       encodeRedirect: (to) => to,
-      answerAlone: () => undefined,
+      answerWithoutLeader: () => undefined,
       route: () => undefined,
     });
-    intake.receive({ ...SNAPSHOT, attention: [], provenAt: clock.epochMs() });
+    intake.receive({ ...SNAPSHOT, attention: [], viewConfirmedAt: clock.epochMs() });
     const taken = (from: Heartbeat): boolean => intake.take(from, () => undefined);
     expect(NAMES.filter((name) => !taken(report(name, 1)))).toEqual([]);
     intake.flush();
-    expect(sent.flatMap(({ reports }) => reports)).toHaveLength(FLEET);
+    expect(sent.flatMap(({ heartbeats }) => heartbeats)).toHaveLength(FLEET);
     const more = Array.from({ length: 22_000 }, (_, i) => `late-${i}`);
     expect(more.filter((name) => !taken(report(name, 1)))).toEqual([]);
-    expect(intake.leaveHome(NAMES[0] ?? '')).toBe(true);
+    expect(intake.forgetWorker(NAMES[0] ?? '')).toBe(true);
   });
 
   test('machines that were given back are not taken on again from a list that lags', () => {
--- a/test/leading.test.ts
+++ b/test/leading.test.ts
@@ -1,7 +1,7 @@
 /** Who leads, and for how long. */
 import { expect, test } from 'vitest';
 import type { StateService } from '../src/adapters/state.js';
-import { Deputy } from '../src/controller/deputy.js';
+import { FallbackResponder } from '../src/controller/fallback-responder.js';
 import { timing as timingOf } from '../src/settings.js';
 import type { Worker } from './standins/cloud.js';
 import { report, task } from './standins/core.js';
@@ -131,19 +131,19 @@
     measure: () => () => ({ steadyMs: 1, processorMs: 1 }),
   };
   const state = { list: () => Promise.resolve('unknown') } as unknown as StateService;
-  const deputy = new Deputy('n-1', state, clock, timing, 2048, 100);
+  const deputy = new FallbackResponder('n-1', state, clock, timing, 2048, 100);
   let seq = 0;
   const asks = () => report('m', ++seq, [task('req-1/0', 1, 'running'), task('req-2/0', 1, 'running')]);
   expect(await deputy.answer(asks())).toBeNull();
-  deputy.receiveSnapshot({ at: 1000, live: new Set(['req-1']) });
-  deputy.receiveSnapshot({ at: 900, live: new Set(['req-2']) });
+  deputy.receiveSnapshot({ viewConfirmedAt: 1000, liveJobs: new Set(['req-1']) });
+  deputy.receiveSnapshot({ viewConfirmedAt: 900, liveJobs: new Set(['req-2']) });
   now = 1000 + timing.authorityWindowMs - 101;
   expect(await deputy.answer(asks())).toMatchObject([{ op: 'stop', job: 'req-2' }]);
   // A late copy is no sign of life, and gets no answer.
   now -= 4000;
   expect(await deputy.answer(report('m', seq - 1))).toBeNull();
   expect(await deputy.answer(report('m', seq))).toBeNull();
-  expect(deputy.hears()).toEqual(['m']);
+  expect(deputy.answeredMachines()).toEqual(['m']);
   now += 4001;
   expect(await deputy.answer(asks())).toBeNull();
 });
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -2,15 +2,15 @@
 import fc from 'fast-check';
 import { describe, expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
-import type { Common } from '../src/controller/common.js';
-import { ReportIntake, type IntakeContext } from '../src/controller/report-intake.js';
-import { SharedReports } from '../src/controller/shared-reports.js';
+import type { ControllerContext } from '../src/controller/context.js';
+import { HeartbeatIntake, type HeartbeatIntakeContext } from '../src/controller/heartbeat-intake.js';
+import { SharedHeartbeats } from '../src/controller/shared-heartbeats.js';
 import { chooseRebalancing, chooseFollower, shouldShare } from '../src/membership/heartbeat-sharing.js';
 import { snapshotIntervalMs } from '../src/membership/evidence-rules.js';
 import { createPolicy } from '../src/policy.js';
 import { rulesFor } from '../src/rules.js';
 import { timing } from '../src/settings.js';
-import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
+import type { AnswersMessage, IntakeMessage, HeartbeatsMessage } from '../src/wire/intake.js';
 import { encodeIntake, StatusReader } from '../src/wire/peers.js';
 import { atWork, CANCEL, DEPUTY_SEED, endsWell } from './standins/at-work.js';
 import { ProcessClock, VirtualClock } from './standins/clock.js';
@@ -24,29 +24,29 @@
 class IntakeBench {
   readonly world = new VirtualClock();
   readonly clock = new ProcessClock(this.world, 1, 0);
-  readonly sent: ReportsMessage[] = [];
+  readonly sent: HeartbeatsMessage[] = [];
   readonly alone: string[] = [];
   readonly routed: string[] = [];
   leader: string | null = 'n-0';
   linked = true;
   number = 0;
-  readonly intake: ReportIntake;
+  readonly intake: HeartbeatIntake;
 
   constructor() {
-    const context: IntakeContext = {
+    const context: HeartbeatIntakeContext = {
       clock: this.clock,
       timing: TIMES,
       node: 'n-1',
       incarnation: 'life',
-      clocksApartMs: 200,
-      following: () => (this.leader === null ? null : { leader: this.leader, term: TERM }),
+      maxClockSkewMs: 200,
+      followedLeader: () => (this.leader === null ? null : { leader: this.leader, term: TERM }),
       send: (_to, message) => {
-        if (this.linked && message.kind === 'reports') this.sent.push(message);
+        if (this.linked && message.kind === 'heartbeats') this.sent.push(message);
         return this.linked;
       },
       encodeAnswer: (term, commands) => JSON.stringify({ term, commands }),
       encodeRedirect: (to) => to,
-      answerAlone: ({ machine }, done) => {
+      answerWithoutLeader: ({ machine }, done) => {
         this.alone.push(machine);
         done(200, 'alone');
       },
@@ -55,7 +55,7 @@
         done(421, '');
       },
     };
-    this.intake = new ReportIntake(context);
+    this.intake = new HeartbeatIntake(context);
   }
 
   message(more: Partial<AnswersMessage> = {}): AnswersMessage {
@@ -65,20 +65,20 @@
       node: 'n-0',
       incarnation: 'leader-life',
       term: TERM,
-      at: this.clock.epochMs(),
+      sentAt: this.clock.epochMs(),
       number: this.number,
       answers: [],
       attention: [],
       isSnapshot: false,
       isSharing: true,
-      provenAt: 0,
-      shed: null,
+      viewConfirmedAt: 0,
+      redirect: null,
       ...more,
     };
   }
 
   snapshot(more: Partial<AnswersMessage> = {}): void {
-    this.intake.receive(this.message({ isSnapshot: true, provenAt: this.clock.epochMs(), ...more }));
+    this.intake.receive(this.message({ isSnapshot: true, viewConfirmedAt: this.clock.epochMs(), ...more }));
   }
 
   /** Takes a report; the result: how it was answered at once, or that it was forwarded. */
@@ -93,8 +93,10 @@
 
   /** The leader's answer to what was forwarded last. */
   answer(commands: AnswersMessage['answers'][number]['commands'] = [], pending = false): void {
-    const reference = this.sent.at(-1)?.reports.at(-1)?.reference ?? 0;
-    this.intake.receive(this.message({ answers: [{ reference, able: true, pending, commands }] }));
+    const reference = this.sent.at(-1)?.heartbeats.at(-1)?.reference ?? 0;
+    this.intake.receive(
+      this.message({ answers: [{ reference, isAccepted: true, needsAttention: pending, commands }] }),
+    );
   }
 
   /** A worker that the leader has answered, with nothing more to tell it. */
@@ -114,7 +116,7 @@
     const bench = await IntakeBench.settled();
     expect(await bench.take(2)).toBe(LOCAL);
     bench.intake.flush();
-    expect(bench.sent.at(-1)?.heartbeats).toMatchObject([{ machine: 'm', agentEpoch: 1, sequence: 2 }]);
+    expect(bench.sent.at(-1)?.keepalives).toMatchObject([{ machine: 'm', agentEpoch: 1, sequence: 2 }]);
   });
 
   const news: readonly [string, (bench: IntakeBench) => Promise<string>][] = [
@@ -166,7 +168,7 @@
     const bench = await IntakeBench.settled();
     const provenAt = bench.clock.epochMs();
     await bench.world.runUntil(TIMES.authorityWindowMs - 200 - 100);
-    bench.snapshot({ provenAt });
+    bench.snapshot({ viewConfirmedAt: provenAt });
     expect(await bench.take(2)).toBe(LOCAL);
     await bench.world.runUntil(bench.world.now + 200);
     expect(await bench.take(3)).toMatch(/^forwarded/);
@@ -183,7 +185,7 @@
 
   test('not on the word of an earlier message that comes after a newer one', async () => {
     const bench = await IntakeBench.settled();
-    const earlier = bench.message({ isSnapshot: true, provenAt: bench.clock.epochMs() });
+    const earlier = bench.message({ isSnapshot: true, viewConfirmedAt: bench.clock.epochMs() });
     bench.snapshot({ attention: ['m'] });
     bench.intake.receive(earlier);
     expect(await bench.take(2)).toMatch(/^forwarded/);
@@ -203,7 +205,7 @@
     await bench.take(2);
     expect(await bench.take(1)).toBe('503 {}');
     bench.intake.flush();
-    expect(bench.sent.flatMap(({ heartbeats }) => heartbeats)).toHaveLength(1);
+    expect(bench.sent.flatMap(({ keepalives }) => keepalives)).toHaveLength(1);
   });
 
   test('and lets the leader hear each machine in full every so often', async () => {
@@ -233,7 +235,7 @@
   const bench = new IntakeBench();
   bench.snapshot();
   await bench.take(1);
-  bench.intake.linkLost('n-0');
+  bench.intake.onLinkLost('n-0');
   expect(bench.routed).toEqual(['m']);
   expect(await bench.take(2)).toBe('not taken');
 });
@@ -246,7 +248,10 @@
   bench.number = 0;
   bench.intake.receive({ ...bench.message({ isSnapshot: true }), node: 'n-2', incarnation: 'other' });
   await bench.world.runUntil(bench.world.now + 2 * TIMES.forwardBatchDelayMs);
-  expect(bench.sent.flatMap(({ reports }) => reports.map((one) => one.report.machine))).toEqual(['m', 'm']);
+  expect(bench.sent.flatMap(({ heartbeats }) => heartbeats.map((one) => one.heartbeat.machine))).toEqual([
+    'm',
+    'm',
+  ]);
 });
 
 describe('a heartbeat', () => {
@@ -341,18 +346,24 @@
   readonly pushed: string[] = [];
   readonly sent: IntakeMessage[] = [];
   taking = true;
-  readonly shared: SharedReports;
+  readonly shared: SharedHeartbeats;
 
   constructor() {
     const settings = testSettings(0);
     const rules = rulesFor(settings, createPolicy(settings, 'shared_reports_from = 1.0'));
     Object.assign(this.core.state, { config: rules });
     const ports = { clock: this.clock, log: { info: () => undefined }, incarnation: 'x' };
-    const owner = { state: this.core.state, push: () => undefined };
-    const common = { settings, timing: TIMES, ports, owner, standing: {} } as unknown as Common;
-    this.shared = new SharedReports(common, {
+    const commands = { state: this.core.state, push: () => undefined };
+    const common = {
+      settings,
+      timing: TIMES,
+      ports,
+      commands,
+      leadershipView: {},
+    } as unknown as ControllerContext;
+    this.shared = new SharedHeartbeats(common, {
       candidates: () => [{ node: 'n-1', zone: 'a' }],
-      isTaking: () => this.taking,
+      isAccepting: () => this.taking,
       send: (_to, message) => this.sent.push(message) > 0,
       push: ({ machine }) => void this.pushed.push(machine),
     });
@@ -360,15 +371,15 @@
     this.core.hear(report('m', 2));
   }
 
-  receive(more: Partial<ReportsMessage>): void {
+  receive(more: Partial<HeartbeatsMessage>): void {
     this.shared.receive({
-      kind: 'reports',
+      kind: 'heartbeats',
       node: 'n-1',
       incarnation: 'y',
       term: TERM,
-      at: this.clock.epochMs(),
-      reports: [{ reference: 1, report: report('m', 3) }],
-      heartbeats: [],
+      sentAt: this.clock.epochMs(),
+      heartbeats: [{ reference: 1, heartbeat: report('m', 3) }],
+      keepalives: [],
       ...more,
     });
   }
@@ -379,28 +390,28 @@
     const bench = new LeaderBench();
     bench.receive({});
     bench.receive({ term: TERM - 1 });
-    bench.receive({ at: bench.clock.epochMs() - 0.6 * TIMES.workerLeaseMs });
+    bench.receive({ sentAt: bench.clock.epochMs() - 0.6 * TIMES.workerLeaseMs });
     expect(bench.pushed).toEqual(['m']);
   });
 
   test('sends a worker to a follower that takes reports, and not at once again', () => {
     const bench = new LeaderBench();
-    bench.shared.tell();
+    bench.shared.sendSnapshots();
     expect(bench.shared.redirect(report('m', 3))).toBe('n-1');
-    bench.shared.tell();
+    bench.shared.sendSnapshots();
     expect(bench.shared.redirect(report('m', 4))).toBeNull();
   });
 
   test('keeps a worker whose followers do not take reports for it', () => {
     const bench = new LeaderBench();
     bench.taking = false;
-    bench.shared.tell();
+    bench.shared.sendSnapshots();
     expect(bench.shared.redirect(report('m', 3))).toBeNull();
   });
 
   test('keeps a worker that is to be told something, or whose exit waits to be written', () => {
     const bench = new LeaderBench();
-    bench.shared.tell();
+    bench.shared.sendSnapshots();
     expect(bench.shared.redirect(report('m', 3, [task('req-1/0', 1, 'exited', 'done')]))).toBeNull();
     bench.core.add(job('req-1', 1, 4, 50));
     expect(bench.shared.redirect(report('m', 3))).toBeNull();
@@ -408,12 +419,12 @@
 
   test('tells a follower at once of what it has to say to the workers that report there', async () => {
     const bench = new LeaderBench();
-    bench.shared.tell();
-    bench.shared.attend(['m']);
+    bench.shared.sendSnapshots();
+    bench.shared.announceAttention(['m']);
     await bench.world.runUntil(10);
     expect(bench.sent).toHaveLength(1);
     bench.receive({});
-    bench.shared.attend(['m']);
+    bench.shared.announceAttention(['m']);
     await bench.world.runUntil(20);
     expect(bench.sent.at(-1)).toMatchObject({ attention: ['m'], isSnapshot: false });
   });
@@ -421,12 +432,12 @@
   test('tells followers of all that it has something to say to, and of what proved its view', () => {
     const bench = new LeaderBench();
     bench.core.add(job('req-1', 1, 4, 50));
-    bench.shared.tell();
+    bench.shared.sendSnapshots();
     expect(bench.sent).toMatchObject([{ isSnapshot: true, isSharing: true, attention: ['m'] }]);
     // One that hands over gives nobody a proof to answer by.
     bench.core.do({ kind: 'transferLeadership' });
-    bench.shared.tell();
-    expect(bench.sent.at(-1)).toMatchObject({ isSnapshot: true, provenAt: 0 });
+    bench.shared.sendSnapshots();
+    expect(bench.sent.at(-1)).toMatchObject({ isSnapshot: true, viewConfirmedAt: 0 });
   });
 });
 
@@ -437,16 +448,16 @@
 });
 
 test('messages about shared reports survive the wire, and are no status to versions before', () => {
-  const envelope = { node: 'n-1', incarnation: 'x', term: 7, at: 1e12 };
+  const envelope = { node: 'n-1', incarnation: 'x', term: 7, sentAt: 1e12 };
   const forwarded = report('m', 9, [task('req-1/0', 2, 'running'), task('req-1/1', 1, 'exited', 'error')], {
     terminationNoticeS: 0,
   });
   const messages: IntakeMessage[] = [
     {
-      kind: 'reports',
+      kind: 'heartbeats',
       ...envelope,
-      reports: [{ reference: 3, report: forwarded }],
-      heartbeats: [{ machine: 'k', agentEpoch: 2, sequence: 5, ageMs: 40 }],
+      heartbeats: [{ reference: 3, heartbeat: forwarded }],
+      keepalives: [{ machine: 'k', agentEpoch: 2, sequence: 5, ageMs: 40 }],
     },
     {
       kind: 'answers',
@@ -455,13 +466,13 @@
       attention: ['m'],
       isSnapshot: true,
       isSharing: true,
-      provenAt: 1e12 - 5,
-      shed: { to: 'n-2', count: 3 },
+      viewConfirmedAt: 1e12 - 5,
+      redirect: { to: 'n-2', count: 3 },
       answers: [
         {
           reference: 3,
-          able: true,
-          pending: false,
+          isAccepted: true,
+          needsAttention: false,
           commands: [
             { op: 'start', job: 'req-2', task: 0, attempt: 1 },
             { op: 'stop', job: 'req-1', task: 0, attempt: 2, graceS: 1.5 },
--- a/test/standins/explore.ts
+++ b/test/standins/explore.ts
@@ -11,7 +11,7 @@
   type ElectionEffect,
   type ElectionEvent,
   type ElectionState,
-  type Kept,
+  type KeyState,
 } from '../../src/membership/election.js';
 import type { LeaderRecord } from '../../src/core/persistence/index.js';
 import { timing } from '../../src/settings.js';
@@ -20,8 +20,8 @@
 const NODES = ['n-0', 'n-1', 'n-2'];
 const TIMES = timing(testSettings(0));
 
-type Asked = Exclude<ElectionEffect, { kind: 'elected' | 'lost' | 'leaderKnown' }>;
-type Transaction = Extract<ElectionEffect, { kind: 'stand' | 'name' }>;
+type Asked = Exclude<ElectionEffect, { kind: 'elected' | 'lost' | 'leaderObserved' }>;
+type Transaction = Extract<ElectionEffect, { kind: 'campaign' | 'nameSuccessor' }>;
 
 interface Node {
   election: ElectionState;
@@ -69,7 +69,7 @@
 
 const copy = (scene: Scene): Scene => ({
   nodes: scene.nodes.map(({ election, asked }) => ({
-    election: { ...election, holding: election.holding === null ? null : { ...election.holding } },
+    election: { ...election, held: election.held === null ? null : { ...election.held } },
     asked: [...asked],
   })),
   store: { ...scene.store, leases: [...scene.store.leases] },
@@ -108,22 +108,22 @@
     const { election } = node;
     for (const effect of electionStep(election, this.#bend(election, event))) {
       if (effect.kind === 'elected') {
-        const { term } = effect.won;
+        const { term } = effect.result;
         const before = scene.elected[term];
         if (before !== undefined && before !== election.incarnation)
           this.broken.push(`two were elected for term ${term}`);
         scene.elected[term] = election.incarnation;
-      } else if (effect.kind !== 'lost' && effect.kind !== 'leaderKnown') node.asked.push(effect);
+      } else if (effect.kind !== 'lost' && effect.kind !== 'leaderObserved') node.asked.push(effect);
     }
   }
 
   /** Some guards are left out by what the machine is told. */
   #bend(election: ElectionState, event: ElectionEvent): ElectionEvent {
-    if (this.mutant === 'takes an unknown outcome for its own' && event.kind === 'stood')
+    if (this.mutant === 'takes an unknown outcome for its own' && event.kind === 'campaigned')
       return event.outcome === 'unknown' ? { ...event, outcome: 'applied', revision: 1 } : event;
-    if (this.mutant === 'goes on after its lease has ended' && event.kind === 'renewed')
+    if (this.mutant === 'goes on after its lease has ended' && event.kind === 'leaseRenewed')
       return { ...event, alive: true };
-    if (this.mutant === 'takes any record of the term for its own' && event.kind === 'checked') {
+    if (this.mutant === 'takes any record of the term for its own' && event.kind === 'campaignVerified') {
       const { leader } = event;
       if (leader !== 'unknown' && leader.value !== null)
         return {
@@ -133,12 +133,12 @@
     }
     if (
       this.mutant === 'goes on after its lease has ended' &&
-      event.kind === 'read' &&
-      election.holding !== null
+      event.kind === 'leaderRead' &&
+      election.held !== null
     )
       return { ...event, leader: 'unknown' };
-    if (this.mutant === 'follows no record' && event.kind === 'read' && event.leader !== 'unknown')
-      return election.holding === null
+    if (this.mutant === 'follows no record' && event.kind === 'leaderRead' && event.leader !== 'unknown')
+      return election.held === null
         ? { ...event, leader: { ...event.leader, value: null, modRevision: 0 } }
         : event;
     return event;
@@ -148,23 +148,23 @@
   #apply({ store }: Scene, txn: Transaction): number | null {
     const leaderRevision = store.leader?.modRevision ?? 0;
     const termRevision = store.term?.modRevision ?? 0;
-    const free = this.mutant === 'stands without the condition on the term' && txn.kind === 'stand';
-    const loose = this.mutant === 'names without the condition on the record' && txn.kind === 'name';
+    const free = this.mutant === 'stands without the condition on the term' && txn.kind === 'campaign';
+    const loose = this.mutant === 'names without the condition on the record' && txn.kind === 'nameSuccessor';
     if (!free && txn.termRevision !== termRevision && !loose) return null;
     if (!free && !loose && txn.leaderRevision !== leaderRevision) return null;
     if (!store.leases.includes(txn.lease)) return null;
     store.revision += 1;
     store.leader = { record: txn.record, modRevision: store.revision, lease: txn.lease };
     store.leaderAt = store.revision;
-    if (txn.kind === 'stand') store.term = { value: txn.record.term, modRevision: store.revision };
+    if (txn.kind === 'campaign') store.term = { value: txn.record.term, modRevision: store.revision };
     return store.revision;
   }
 
-  #leader({ store }: Scene): Kept<LeaderRecord> {
+  #leader({ store }: Scene): KeyState<LeaderRecord> {
     return { value: store.leader?.record ?? null, modRevision: store.leader?.modRevision ?? 0 };
   }
 
-  #term({ store }: Scene): Kept<number> {
+  #term({ store }: Scene): KeyState<number> {
     return { value: store.term?.value ?? null, modRevision: store.term?.modRevision ?? 0 };
   }
 
@@ -184,24 +184,24 @@
     const { store } = scene;
     switch (asked.kind) {
       case 'wait':
-        this.tell(scene, node, { kind: 'time', round: asked.round });
+        this.tell(scene, node, { kind: 'timerFired', round: asked.round });
         break;
-      case 'read':
+      case 'readLeader':
         this.tell(scene, node, {
-          kind: 'read',
+          kind: 'leaderRead',
           round: asked.round,
           leader: lost ? 'unknown' : { ...this.#leader(scene), revision: store.revision },
         });
         break;
-      case 'watch':
-        this.tell(scene, node, { kind: 'watched', round: asked.round, answered: !lost });
+      case 'watchLeader':
+        this.tell(scene, node, { kind: 'leaderWatched', round: asked.round, answered: !lost });
         break;
-      case 'grant': {
+      case 'grantLease': {
         const lease = store.nextLease++;
         store.leases.push(lease);
         const term = this.#term(scene);
         this.tell(scene, node, {
-          kind: 'granted',
+          kind: 'leaseGranted',
           round: asked.round,
           lease: lost ? null : lease,
           term: lost ? 'unknown' : term,
@@ -209,29 +209,29 @@
         });
         break;
       }
-      case 'check':
+      case 'verifyCampaign':
         this.tell(scene, node, {
-          kind: 'checked',
+          kind: 'campaignVerified',
           round: asked.round,
           leader: lost ? 'unknown' : this.#leader(scene),
           term: lost ? 'unknown' : this.#term(scene),
         });
         break;
-      case 'renew':
+      case 'renewLease':
         this.tell(scene, node, {
-          kind: 'renewed',
+          kind: 'leaseRenewed',
           round: asked.round,
           alive: lost ? null : store.leases.includes(asked.lease),
         });
         break;
-      case 'revoke':
+      case 'revokeLease':
         if (!lost) this.endLease(scene, asked.lease);
         break;
-      case 'stand':
-      case 'name': {
+      case 'campaign':
+      case 'nameSuccessor': {
         const revision = this.#apply(scene, asked);
         const outcome = lost ? 'unknown' : revision === null ? 'failed' : 'applied';
-        const kind = asked.kind === 'stand' ? 'stood' : 'named';
+        const kind = asked.kind === 'campaign' ? 'campaigned' : 'successorNamed';
         this.tell(scene, node, { kind, round: asked.round, outcome, revision: revision ?? 0 });
         break;
       }
@@ -241,9 +241,9 @@
   /** Gives a transaction up without an answer; it may be applied at any time later. */
   orphan(scene: Scene, node: Node, at: number): void {
     const [asked] = node.asked.splice(at, 1);
-    if (asked === undefined || (asked.kind !== 'stand' && asked.kind !== 'name')) return;
+    if (asked === undefined || (asked.kind !== 'campaign' && asked.kind !== 'nameSuccessor')) return;
     scene.late.push(asked);
-    const kind = asked.kind === 'stand' ? 'stood' : 'named';
+    const kind = asked.kind === 'campaign' ? 'campaigned' : 'successorNamed';
     this.tell(scene, node, { kind, round: asked.round, outcome: 'unknown', revision: 0 });
   }
 
@@ -263,28 +263,31 @@
       node.asked.forEach((asked, at) => {
         const what = `${election.node} ${asked.kind}`;
         // Nothing changed: the answer to a watch would change nothing either.
-        const idle = asked.kind === 'watch' && asked.after >= scene.store.leaderAt;
+        const idle = asked.kind === 'watchLeader' && asked.after >= scene.store.leaderAt;
         if (!idle) take(what, false, (next) => this.serve(next, of(next), at, false));
-        if (asked.kind !== 'wait' && asked.kind !== 'watch')
+        if (asked.kind !== 'wait' && asked.kind !== 'watchLeader')
           take(`${what} without answer`, true, (next) => this.serve(next, of(next), at, true));
-        if (asked.kind === 'stand' || asked.kind === 'name')
+        if (asked.kind === 'campaign' || asked.kind === 'nameSuccessor')
           take(`${what} held back`, true, (next) => this.orphan(next, of(next), at));
       });
       if (election.phase === 'following')
         take(`${election.node} takes the leader for crashed`, true, (next) =>
-          this.tell(next, of(next), { kind: 'inherit', modRevision: of(next).election.followed }),
+          this.tell(next, of(next), {
+            kind: 'replaceCrashedLeader',
+            modRevision: of(next).election.followedRevision,
+          }),
         );
-      if (election.phase === 'holding') {
+      if (election.phase === 'leading') {
         const to = NODES[(i + 1) % NODES.length] as string;
         take(`${election.node} hands over`, true, (next) =>
-          this.tell(next, of(next), { kind: 'handOver', to }),
+          this.tell(next, of(next), { kind: 'transferLeadership', to }),
         );
-        take(`${election.node} steps down`, true, (next) => this.tell(next, of(next), { kind: 'abandon' }));
+        take(`${election.node} steps down`, true, (next) => this.tell(next, of(next), { kind: 'resign' }));
       }
       take(`${election.node} starts anew`, true, (next) => {
         const born = of(next);
         for (const asked of born.asked)
-          if (asked.kind === 'stand' || asked.kind === 'name') next.late.push(asked);
+          if (asked.kind === 'campaign' || asked.kind === 'nameSuccessor') next.late.push(asked);
         born.election = this.#born(next, election.node);
         born.asked = [];
         this.tell(next, born, { kind: 'start' });
@@ -307,10 +310,10 @@
     const { leader, term } = scene.store;
     if (leader !== null && leader.record.term !== term?.value)
       this.broken.push('the record tells of another term than the one in force');
-    const writers = scene.nodes.filter(({ election }) => election.holding?.won.modRevision === termRevision);
+    const writers = scene.nodes.filter(({ election }) => election.held?.result.modRevision === termRevision);
     if (writers.length > 1) this.broken.push('the writes of two leaders would be applied');
     for (const { election } of writers) {
-      const { won } = election.holding as { won: { term: number } };
+      const { result: won } = election.held as { result: { term: number } };
       if (won.term !== scene.store.term?.value)
         this.broken.push('a leader writes under a term that is not its own');
     }
@@ -323,22 +326,23 @@
   settles(from: Scene): void {
     const scene = copy(from);
     const settled = (): string | null => {
-      const leaders = scene.nodes.filter(({ election }) => election.phase === 'holding');
+      const leaders = scene.nodes.filter(({ election }) => election.phase === 'leading');
       const [one] = leaders;
       if (leaders.length !== 1 || one === undefined) return null;
       const modRevision = scene.store.leader?.modRevision;
       const all = scene.nodes.every(
         ({ election }) =>
-          election === one.election || (election.phase === 'following' && election.followed === modRevision),
+          election === one.election ||
+          (election.phase === 'following' && election.followedRevision === modRevision),
       );
-      return all && one.election.holding?.named === null ? one.election.incarnation : null;
+      return all && one.election.held?.namedSuccessor === null ? one.election.incarnation : null;
     };
     const round = (): void => {
       const renewed = new Set<number>();
       for (const node of scene.nodes) {
-        if (this.mutant === 'hands over for ever' && node.election.phase === 'holding')
+        if (this.mutant === 'hands over for ever' && node.election.phase === 'leading')
           this.tell(scene, node, {
-            kind: 'handOver',
+            kind: 'transferLeadership',
             to: NODES.find((name) => name !== node.election.node) as string,
           });
         // Timers once each; whatever else there is to be answered until nothing is left.
@@ -350,16 +354,16 @@
         for (let steps = 0; steps < 40; steps += 1) {
           const at = node.asked.findIndex(
             (asked) =>
-              asked.kind !== 'wait' && !(asked.kind === 'watch' && asked.after >= scene.store.leaderAt),
+              asked.kind !== 'wait' && !(asked.kind === 'watchLeader' && asked.after >= scene.store.leaderAt),
           );
           if (at < 0) break;
           const asked = node.asked[at];
-          if (asked?.kind === 'renew') renewed.add(asked.lease);
+          if (asked?.kind === 'renewLease') renewed.add(asked.lease);
           this.serve(scene, node, at, false);
         }
       }
       for (const lease of [...scene.store.leases]) {
-        const held = scene.nodes.some(({ election }) => election.holding?.lease === lease);
+        const held = scene.nodes.some(({ election }) => election.held?.lease === lease);
         if (!held && !renewed.has(lease)) this.endLease(scene, lease);
       }
     };
@@ -391,15 +395,15 @@
     if ('lease' in one) leases.add(one.lease);
   }
   for (const { election } of scene.nodes) {
-    stamps.add(election.followed).add(election.leaderRevision);
-    if (election.holding !== null) {
-      stamps.add(election.holding.leaderRevision).add(election.holding.won.modRevision);
-      terms.add(election.holding.won.term);
-      leases.add(election.holding.lease);
+    stamps.add(election.followedRevision).add(election.leaderRevision);
+    if (election.held !== null) {
+      stamps.add(election.held.leaderRevision).add(election.held.result.modRevision);
+      terms.add(election.held.result.term);
+      leases.add(election.held.lease);
     }
-    if (election.standsFor !== null) {
-      stamps.add(election.standsFor.termRevision);
-      terms.add(election.standsFor.term);
+    if (election.campaign !== null) {
+      stamps.add(election.campaign.termRevision);
+      terms.add(election.campaign.term);
     }
   }
   const rank = (numbers: Set<number>): ((n: number) => number) => {
@@ -425,21 +429,21 @@
     scene.nodes.map(({ election: e, asked: all }) => [
       e.incarnation,
       e.phase,
-      e.deferred,
-      modRevision(e.followed),
+      e.hasDeferred,
+      modRevision(e.followedRevision),
       modRevision(e.leaderRevision),
       e.lease === null ? null : lease(e.lease),
-      e.standsFor && [term(e.standsFor.term), modRevision(e.standsFor.termRevision)],
-      e.holding && [
-        lease(e.holding.lease),
-        term(e.holding.won.term),
-        modRevision(e.holding.won.modRevision),
-        e.holding.named,
+      e.campaign && [term(e.campaign.term), modRevision(e.campaign.termRevision)],
+      e.held && [
+        lease(e.held.lease),
+        term(e.held.result.term),
+        modRevision(e.held.result.modRevision),
+        e.held.namedSuccessor,
       ],
       all.map((one) => [
         one.kind,
         // Of its round only counts whether it is one that is waited for.
-        'round' in one ? [e.round, e.renewal, e.sentry].indexOf(one.round) : null,
+        'round' in one ? [e.round, e.renewalRound, e.leaderWatchRound].indexOf(one.round) : null,
         'after' in one ? modRevision(one.after) : null,
         'lease' in one ? lease(one.lease) : null,
         'record' in one ? transaction(one) : null,
@@ -466,7 +470,8 @@
   for (let i = 0; i < 12; i += 1)
     for (const node of first.nodes) {
       const at = node.asked.findIndex(
-        (asked) => asked.kind !== 'wait' && !(asked.kind === 'watch' && asked.after >= first.store.leaderAt),
+        (asked) =>
+          asked.kind !== 'wait' && !(asked.kind === 'watchLeader' && asked.after >= first.store.leaderAt),
       );
       if (at >= 0) explorer.serve(first, node, at, false);
     }
--- a/test/standins/golden-messages.ts
+++ b/test/standins/golden-messages.ts
@@ -39,10 +39,10 @@
   storeContactAgeMs: 12,
   counts: [{ id: 'req-000001', done: 3, running: 4, why: 2 }],
   format: 2,
-  settledAt: 1_000_000_000_012.5,
-  quiet: [{ zone: 'b', ageMs: 1500 }],
-  hears: ['vm-000001'],
-  provenAt: 1_000_000_000_013.5,
+  dependenciesResolvedUntil: 1_000_000_000_012.5,
+  silentZones: [{ zone: 'b', silentMs: 1500 }],
+  relayedMachines: ['vm-000001'],
+  viewConfirmedAt: 1_000_000_000_013.5,
   timerLagMs: 40,
   observations: (['up', 'silent', 'lost', 'refused'] as const).map((linkState, i) => ({
     node: `n-${i + 1}`,
@@ -56,10 +56,10 @@
   probeRound: 3,
   reachable: 1,
   unreachable: 7,
-  takesReports: true,
+  acceptsHeartbeats: true,
 };
 
-const ENVELOPE = { node: 'n-1', incarnation: 'life-2', term: 7, at: 1_000_000_000_000.25 };
+const ENVELOPE = { node: 'n-1', incarnation: 'life-2', term: 7, sentAt: 1_000_000_000_000.25 };
 const TASKS = [
   { job: 'req-000001', task: 0, attempt: 1, stage: 'fetching', exit: null },
   { job: 'req-000001', task: 1, attempt: 2, stage: 'running', exit: null },
@@ -91,30 +91,30 @@
 ] as const;
 const INTAKE: Readonly<Record<string, IntakeMessage>> = {
   'reports and heartbeats': {
-    kind: 'reports',
+    kind: 'heartbeats',
     ...ENVELOPE,
-    reports: [
-      { reference: 1, report: REPORT },
+    heartbeats: [
+      { reference: 1, heartbeat: REPORT },
       {
         reference: 2,
-        report: { ...REPORT, machine: 'vm-000002', terminationNoticeS: 30, spot: false, tasks: [] },
+        heartbeat: { ...REPORT, machine: 'vm-000002', terminationNoticeS: 30, spot: false, tasks: [] },
       },
     ],
-    heartbeats: [{ machine: 'vm-000003', agentEpoch: 1, sequence: 9, ageMs: 120 }],
+    keepalives: [{ machine: 'vm-000003', agentEpoch: 1, sequence: 9, ageMs: 120 }],
   },
   answers: {
     kind: 'answers',
     ...ENVELOPE,
     answers: [
-      { reference: 1, able: true, pending: true, commands: COMMANDS },
-      { reference: 2, able: false, pending: false, commands: [] },
+      { reference: 1, isAccepted: true, needsAttention: true, commands: COMMANDS },
+      { reference: 2, isAccepted: false, needsAttention: false, commands: [] },
     ],
     number: 12,
     attention: ['vm-000004'],
     isSnapshot: false,
     isSharing: true,
-    provenAt: 0,
-    shed: { to: 'n-2', count: 5 },
+    viewConfirmedAt: 0,
+    redirect: { to: 'n-2', count: 5 },
   },
   snapshot: {
     kind: 'answers',
@@ -124,8 +124,8 @@
     attention: ['vm-000001', 'vm-000002'],
     isSnapshot: true,
     isSharing: true,
-    provenAt: 1_000_000_000_000.5,
-    shed: null,
+    viewConfirmedAt: 1_000_000_000_000.5,
+    redirect: null,
   },
 };
 
@@ -134,11 +134,11 @@
   const quiet = {
     isLeader: false,
     counts: [],
-    quiet: [],
-    hears: [],
+    silentZones: [],
+    relayedMachines: [],
     observations: [],
     probeRequests: [],
-    takesReports: false,
+    acceptsHeartbeats: false,
   };
   return [
     `leader's status ${hex(encodeStatus(STATUS))}`,
@@ -176,7 +176,12 @@
     const report = parseReport(body);
     if (report === null) return 'refused';
     return hex(
-      encodeIntake({ kind: 'reports', ...ENVELOPE, heartbeats: [], reports: [{ reference: 1, report }] }),
+      encodeIntake({
+        kind: 'heartbeats',
+        ...ENVELOPE,
+        keepalives: [],
+        heartbeats: [{ reference: 1, heartbeat: report }],
+      }),
     );
   };
   const task = (more: object): object => ({ movement: 'req-000001/3', take: 2, stage: 'running', ...more });
--- a/test/standins/world.ts
+++ b/test/standins/world.ts
@@ -59,7 +59,7 @@
   probeRound: 0,
   reachable: 0,
   unreachable: 0,
-  takesReports: false,
+  acceptsHeartbeats: false,
 };
 
 /** Set to play any test of this world with reports shared among controllers. */
@@ -388,7 +388,7 @@
       incarnation: `life-${this.#incarnations++}`,
     });
     this.#lives.set(name, { sent: new Map(), earlier, node, clock });
-    node.tellPeers = () => this.#tell(name, false);
+    node.broadcastStatus = () => this.#tell(name, false);
     node.sendIntake = (to, message) => this.#sendIntake(name, to, message);
     node.start();
   }
@@ -471,7 +471,7 @@
     if (life === undefined || !life.clock.alive || life.clock.stillUntil > this.clock.now) return;
     // An earlier version says nothing of formats and pipelines.
     const own = life.node.status();
-    const status = life.earlier ? { ...own, format: 0, settledAt: 0, ...UNSEEN } : own;
+    const status = life.earlier ? { ...own, format: 0, dependenciesResolvedUntil: 0, ...UNSEEN } : own;
     this.network.tap?.(from, 'peers', `status ${Buffer.from(encodeStatus(status)).toString('hex')}`);
     for (const [to, other] of this.#lives) {
       if (to === from || this.network.isCut(from, to)) continue;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -50,7 +50,13 @@
 
 test('peers of either version read what the other says', () => {
   const [status] = new StatusReader().push(Buffer.from(production.status, 'base64'));
-  expect(status).toMatchObject({ node: 'n-0', term: 7, isLeader: true, format: 0, settledAt: 0 });
+  expect(status).toMatchObject({
+    node: 'n-0',
+    term: 7,
+    isLeader: true,
+    format: 0,
+    dependenciesResolvedUntil: 0,
+  });
   // Fields as production declares them.
   const earlier = protobuf.Root.fromJSON({
     nested: {
@@ -73,10 +79,10 @@
     storeContactAgeMs: 3,
     counts: [],
     format: 2,
-    settledAt: 1e12,
-    quiet: [],
-    hears: [],
-    provenAt: 0,
+    dependenciesResolvedUntil: 1e12,
+    silentZones: [],
+    relayedMachines: [],
+    viewConfirmedAt: 0,
     ...UNSEEN,
   });
   expect(earlier.toObject(earlier.decodeDelimited(own))).toMatchObject({ node: 'n-1', term: 8 });
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,6 +1,6 @@
 /** What others wrote is never trusted. */
 import { expect, test } from 'vitest';
-import { encodeStatus, MOST_FRAME, StatusReader, type PeerStatus } from '../src/wire/peers.js';
+import { encodeStatus, MAX_FRAME_BYTES, StatusReader, type PeerStatus } from '../src/wire/peers.js';
 import { parseCatalog, parseMachines, parseRented } from '../src/wire/cloud.js';
 import { parseChanges, parsePage, parseRevision } from '../src/wire/state.js';
 import { encodeReply, parseReport, parseTaskName } from '../src/wire/workers.js';
@@ -13,10 +13,10 @@
   storeContactAgeMs: 12,
   counts: [{ id: 'req-1', done: 3, running: 0, why: 2 }],
   format: 2,
-  settledAt: 12.5,
-  quiet: [{ zone: 'b', ageMs: 1500 }],
-  hears: ['vm-1'],
-  provenAt: 13.5,
+  dependenciesResolvedUntil: 12.5,
+  silentZones: [{ zone: 'b', silentMs: 1500 }],
+  relayedMachines: ['vm-1'],
+  viewConfirmedAt: 13.5,
   timerLagMs: 40,
   observations: [{ node: 'n-1', ageMs: 700, linkState: 'refused' }],
   unexpectedReports: 2,
@@ -26,7 +26,7 @@
   probeRound: 3,
   reachable: 1,
   unreachable: 7,
-  takesReports: true,
+  acceptsHeartbeats: true,
 };
 
 test('peer messages survive any cutting of the stream', () => {
@@ -39,7 +39,7 @@
 test('garbage and oversized frames from a peer are refused', () => {
   expect(() => new StatusReader().push(Uint8Array.of(0xff, 0xff, 0xff, 0xff, 0x7f))).toThrow();
   expect(() => new StatusReader().push(Buffer.from([3, 0x07, 0x07, 0x07]))).toThrow();
-  expect(MOST_FRAME).toBeGreaterThan(encodeStatus(status).length);
+  expect(MAX_FRAME_BYTES).toBeGreaterThan(encodeStatus(status).length);
 });
 
 test('malformed replies of the state service and the cloud count as none', () => {
