--- /dev/null
+++ b/src/controller/effect-executor.ts
@@ -0,0 +1,106 @@
+/**
+ * Carries out the effects of the core's steps. Each effect with an outcome comes back to the command loop as a
+ * command of its own; the ports report failures as values, so that no promise here is rejected.
+ */
+import type { Effect, Reply } from '../core/effects.js';
+import type { Heartbeat } from '../core/types.js';
+import type { ControllerContext } from './context.js';
+
+/** Effects that other parts of the controller carry out. */
+export interface EffectHandlers {
+  /** Reads the final outcomes of jobs that others depend on. */
+  resolveDependencies(ids: readonly string[]): void;
+  /** Reads the committed records of jobs and chunks after a write with an unknown outcome. */
+  reconcile(jobs: readonly string[], chunks: readonly string[]): void;
+  /** Tells followers for which machines the leader has something to say. */
+  announceAttention(machines: readonly string[]): void;
+  /** This node leads no more. */
+  steppedDown(reason: string): void;
+}
+
+type EffectOf<Kind extends Effect['kind']> = Extract<Effect, { kind: Kind }>;
+
+/** Executes effects, and hands each reply of the core to whoever waits for it. */
+export class EffectExecutor {
+  readonly #replyHandlers = new Map<number, (reply: Reply) => void>();
+  #nextReply = 1;
+
+  constructor(
+    private readonly context: ControllerContext,
+    private readonly handlers: EffectHandlers,
+  ) {}
+
+  /** Hands a heartbeat to the core, whose reply comes back once. `ageMs`: how long it was on its way. */
+  submitHeartbeat(heartbeat: Heartbeat, ageMs: number, onReply: (reply: Reply) => void): void {
+    const reply = this.#nextReply++;
+    this.#replyHandlers.set(reply, onReply);
+    this.context.commands.push({ kind: 'heartbeat', reply, heartbeat, ageMs });
+  }
+
+  /** Begins to carry out an effect; it doesn't wait for the outcome. */
+  execute(effect: Effect): void {
+    switch (effect.kind) {
+      case 'reply':
+        return this.#deliverReply(effect);
+      case 'commit':
+        return void this.#commit(effect);
+      case 'resolveDependencies':
+        return this.handlers.resolveDependencies(effect.ids);
+      case 'reconcile':
+        return this.handlers.reconcile(effect.jobs, effect.chunks);
+      case 'sendCommands':
+        return void this.#sendCommands(effect);
+      case 'probe':
+        return void this.#probe(effect);
+      case 'provision':
+        return void this.#provision(effect);
+      case 'terminate':
+        return void this.#terminate(effect);
+      case 'saveDemandHistory':
+        // A lost write costs nothing: the history is written again at its next interval.
+        return void this.context.ports.state.commit(effect.transaction);
+      case 'attention':
+        return this.handlers.announceAttention(effect.machines);
+      case 'steppedDown':
+        return this.handlers.steppedDown(effect.reason);
+      case 'log':
+        return this.context.ports.log[effect.level](effect.detail, effect.event);
+    }
+  }
+
+  #deliverReply({ reply, body }: EffectOf<'reply'>): void {
+    const onReply = this.#replyHandlers.get(reply);
+    this.#replyHandlers.delete(reply);
+    onReply?.(body);
+  }
+
+  #commit({ id, transaction }: EffectOf<'commit'>): Promise<void> {
+    return this.context.ports.state
+      .commit(transaction)
+      .then((outcome) => this.context.commands.push({ kind: 'committed', id, outcome }));
+  }
+
+  #sendCommands({ address, token, agentEpoch, commands }: EffectOf<'sendCommands'>): Promise<void> {
+    return this.context.ports.workers.direct(address, token, agentEpoch, commands).then((heartbeat) => {
+      if (heartbeat !== null) this.context.commands.push({ kind: 'directAnswer', heartbeat });
+    });
+  }
+
+  #probe({ address, machine }: EffectOf<'probe'>): Promise<void> {
+    return this.context.ports.workers
+      .isThere(address)
+      .then((isReachable) => this.context.commands.push({ kind: 'probed', machine, isReachable }));
+  }
+
+  #provision({ requestId, type, zone, spot, count }: EffectOf<'provision'>): Promise<void> {
+    return this.context.ports.cloud
+      .rent(requestId, type, zone, spot, count)
+      .then((outcome) => this.context.commands.push({ kind: 'provisioned', requestId, outcome }));
+  }
+
+  #terminate({ machines }: EffectOf<'terminate'>): Promise<void> {
+    return this.context.ports.cloud
+      .giveBack(machines)
+      .then((ok) => this.context.commands.push({ kind: 'terminated', machines, ok }));
+  }
+}
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -3,11 +3,11 @@
 import type { PeerTraffic } from '../adapters/peers.js';
 import { Users } from '../adapters/users.js';
 import { storeContactAgeMs, type ControllerContext, type Ports, type LeadershipView } from './context.js';
-import { FORMAT, LEADER_KEY } from '../core/persistence/index.js';
-import type { Effect, Reply } from '../core/effects.js';
+import { FORMAT, LEADER_KEY, type LeaderRecord } from '../core/persistence/index.js';
 import { createState } from '../core/create-state.js';
 import { FallbackResponder } from './fallback-responder.js';
 import { describeLead } from '../describe.js';
+import { EffectExecutor } from './effect-executor.js';
 import { ElectionDriver } from './election-driver.js';
 import { FollowerRole } from './follower-role.js';
 import { Latencies } from '../latency.js';
@@ -18,7 +18,7 @@
 import { PeerExchange } from './peer-exchange.js';
 import { HeartbeatIntake } from './heartbeat-intake.js';
 import { SharedHeartbeats } from './shared-heartbeats.js';
-import { createElection } from '../membership/election.js';
+import { createElection, type ElectionResult } from '../membership/election.js';
 import type { Resignation } from '../membership/membership.js';
 import type { LinkState } from '../membership/status.js';
 import { rulesFor } from '../rules.js';
@@ -32,7 +32,12 @@
 export type { Ports };
 
 /** Followers are told the whole at every second tick, as controllers tell one another their status. */
-const TICKS_A_SNAPSHOT = 2;
+const TICKS_PER_SNAPSHOT = 2;
+
+const BYTES_PER_KB = 1024;
+/** Ticks that a node which is not preferred as the leader, or is isolated, lets others campaign first. */
+const CAMPAIGN_DELAY_TICKS = 4;
+const ISOLATED_CAMPAIGN_DELAY_TICKS = 8;
 
 export class ControllerNode {
   readonly users: Users;
@@ -40,168 +45,245 @@
   readonly admission: Admission;
   /** What came in that could not be read, by what it should have been. */
   readonly malformed = new Tally();
-  readonly #common: ControllerContext;
-  readonly #peering: PeerExchange;
-  readonly #leading: LeaderRole;
-  readonly #following: FollowerRole;
+  readonly #context: ControllerContext;
+  readonly #peers: PeerExchange;
+  readonly #leaderRole: LeaderRole;
+  readonly #followerRole: FollowerRole;
   readonly #election: ElectionDriver;
   readonly #upgrade: Upgrade;
   readonly #intake: HeartbeatIntake;
-  readonly #shared: SharedHeartbeats;
-  readonly #replies = new Map<number, (reply: Reply) => void>();
+  readonly #sharedHeartbeats: SharedHeartbeats;
+  readonly #executor: EffectExecutor;
   /** Tells the other controllers what has changed; set by whoever has the links. */
   broadcastStatus: () => void = () => undefined;
   /** Sends a message about shared reports, false if it cannot be sent; set by whoever has the links. */
   sendIntake: (to: string, message: IntakeMessage) => boolean = () => false;
   /** What was written to the other controllers; set by whoever has the links. */
   peerTraffic: () => PeerTraffic = () => ({ sentMessages: 0, sentBytes: 0 });
-  readonly #observing: FailureDetector;
-  #nextReply = 1;
+  readonly #failureDetector: FailureDetector;
   #ticks = 0;
   /** Stamp of the leader's record that this node has stood against, and the term it last handed over. */
-  #inherited = 0;
-  #yielding = 0;
+  #replacedRevision = 0;
+  #transferredTerm = 0;
 
   constructor(settings: PlatformSettings, ports: Ports) {
-    const { state, clock, log, incarnation } = ports;
-    const times = timing(settings);
-    const rules = rulesFor(settings, ports.policy);
-    const owner = new CommandLoop(
-      createState(settings.host_name, rules),
-      clock,
-      log,
-      (effect) => this.#carryOut(effect),
+    const commands = new CommandLoop(
+      createState(settings.host_name, rulesFor(settings, ports.policy)),
+      ports.clock,
+      ports.log,
+      (effect) => this.#executor.execute(effect),
       ({ steadyMs, processorMs }) =>
-        this.#observing.membership.processingRate.record(steadyMs, processorMs, clock.monotonicMs()),
+        this.#failureDetector.membership.processingRate.record(
+          steadyMs,
+          processorMs,
+          ports.clock.monotonicMs(),
+        ),
+    );
+    const leadershipView: LeadershipView = {
+      leader: null,
+      leaderRevision: 0,
+      highestTerm: 0,
+      leadingTerm: 0,
+    };
+    this.#context = { settings, timing: timing(settings), ports, commands, leadershipView };
+    const responder = this.#createResponder();
+    this.#executor = this.#createExecutor();
+    this.#failureDetector = this.#createFailureDetector();
+    this.#peers = this.#createPeerExchange(responder);
+    this.#leaderRole = new LeaderRole(this.#context, this.#peers, this.#failureDetector);
+    this.#followerRole = new FollowerRole(
+      this.#context,
+      this.#peers,
+      this.#failureDetector,
+      responder,
+      (machine) => this.#intake.forgetWorker(machine),
     );
-    const standing: LeadershipView = { leader: null, leaderRevision: 0, highestTerm: 0, leadingTerm: 0 };
-    this.#common = { settings, timing: times, ports, commands: owner, leadershipView: standing };
-    const { value_kb, txn_ops, rps } = lastingLimits(settings);
-    const deputy = new FallbackResponder(
+    this.#intake = this.#createIntake();
+    this.#sharedHeartbeats = this.#createSharedHeartbeats();
+    this.#election = this.#createElection();
+    this.#upgrade = this.#createUpgrade();
+    this.admission = this.#createAdmission();
+    this.users = this.#createUsers();
+  }
+
+  get #maxClockSkewMs(): number {
+    return 2 * this.#context.settings.cluster.clock_error_ms;
+  }
+
+  get #maxValueBytes(): number {
+    return lastingLimits(this.#context.settings).value_kb * BYTES_PER_KB;
+  }
+
+  #createResponder(): FallbackResponder {
+    const { settings, ports, timing: times } = this.#context;
+    return new FallbackResponder(
       settings.host_name,
-      state,
-      clock,
+      ports.state,
+      ports.clock,
       times,
-      value_kb * 1024,
-      2 * settings.cluster.clock_error_ms,
+      this.#maxValueBytes,
+      this.#maxClockSkewMs,
     );
-    this.#observing = new FailureDetector(this.#common, {
-      replaceCrashedLeader: () => this.#inherit(),
-      transferLeadership: (to) => void this.#handOver(to),
+  }
+
+  #createExecutor(): EffectExecutor {
+    return new EffectExecutor(this.#context, {
+      resolveDependencies: (ids) => void this.#leaderRole.resolveDependencies(ids),
+      reconcile: (jobs, chunks) => void this.#leaderRole.reconcile(jobs, chunks),
+      announceAttention: (machines) => this.#sharedHeartbeats.announceAttention(machines),
+      steppedDown: (reason) => this.#onSteppedDown(reason),
+    });
+  }
+
+  #createFailureDetector(): FailureDetector {
+    return new FailureDetector(this.#context, {
+      replaceCrashedLeader: () => this.#replaceCrashedLeader(),
+      transferLeadership: (to) => void this.#transferLeadership(to),
       broadcastStatus: () => this.broadcastStatus(),
-      preferredLeaders: () => this.#leading.preferredLeaders,
+      preferredLeaders: () => this.#leaderRole.preferredLeaders,
     });
-    this.#peering = new PeerExchange(
-      this.#common,
-      () => deputy.answeredMachines(),
+  }
+
+  #createPeerExchange(responder: FallbackResponder): PeerExchange {
+    return new PeerExchange(
+      this.#context,
+      () => responder.answeredMachines(),
       () => this.#intake.isActive,
-      (view) => deputy.receiveSnapshot(view),
-      () => this.#observing.localStatus(),
-    );
-    this.#leading = new LeaderRole(this.#common, this.#peering, this.#observing);
-    this.#following = new FollowerRole(this.#common, this.#peering, this.#observing, deputy, (machine) =>
-      this.#intake.forgetWorker(machine),
+      (snapshot) => responder.receiveSnapshot(snapshot),
+      () => this.#failureDetector.localStatus(),
     );
-    this.#intake = new HeartbeatIntake({
-      clock,
+  }
+
+  #createIntake(): HeartbeatIntake {
+    const { settings, ports, timing: times } = this.#context;
+    return new HeartbeatIntake({
+      clock: ports.clock,
       timing: times,
       node: settings.host_name,
-      incarnation,
-      maxClockSkewMs: 2 * settings.cluster.clock_error_ms,
-      followedLeader: () => {
-        const { leader, highestTerm } = standing;
-        const leads = owner.state.leadership !== null;
-        return leads || leader === null || leader === settings.host_name
-          ? null
-          : { leader, term: highestTerm };
-      },
+      incarnation: ports.incarnation,
+      maxClockSkewMs: this.#maxClockSkewMs,
+      followedLeader: () => this.#followedLeader(),
       send: (to, message) => this.sendIntake(to, message),
       encodeAnswer: encodeReply,
       encodeRedirect,
-      answerWithoutLeader: (report, done) => this.#following.answerWithoutLeader(report, done),
-      route: (report, done) => this.#following.answer(report, done),
+      answerWithoutLeader: (heartbeat, respond) => this.#followerRole.answerWithoutLeader(heartbeat, respond),
+      route: (heartbeat, respond) => this.#followerRole.answer(heartbeat, respond),
     });
-    this.#shared = new SharedHeartbeats(this.#common, {
+  }
+
+  /** The leader that this node follows, and its term; null: none is known, or this node leads. */
+  #followedLeader(): { leader: string; term: number } | null {
+    const { commands, leadershipView, settings } = this.#context;
+    const { leader, highestTerm } = leadershipView;
+    if (commands.state.leadership !== null || leader === null || leader === settings.host_name) return null;
+    return { leader, term: highestTerm };
+  }
+
+  #createSharedHeartbeats(): SharedHeartbeats {
+    return new SharedHeartbeats(this.#context, {
       candidates: () => this.#followers(),
-      isAccepting: (node) => this.#peering.isAcceptingHeartbeats(node),
+      isAccepting: (node) => this.#peers.isAcceptingHeartbeats(node),
       send: (to, message) => this.sendIntake(to, message),
-      push: (report, ageMs, answer) =>
-        this.#pushReport(report, ageMs, (reply) =>
+      push: (heartbeat, ageMs, answer) =>
+        this.#executor.submitHeartbeat(heartbeat, ageMs, (reply) =>
           answer({
             isAccepted: reply.kind === 'commands',
-            needsAttention: this.#needsAttention(report.machine),
+            needsAttention: this.#needsAttention(heartbeat.machine),
             commands: reply.kind === 'commands' ? reply.commands : [],
           }),
         ),
     });
-    this.#election = new ElectionDriver(
-      createElection(
-        settings.host_name,
-        incarnation,
-        times,
-        this.#leading.isPreferredLeader ? 0 : 4 * times.tickMs,
-      ),
-      state,
-      clock,
+  }
+
+  #createElection(): ElectionDriver {
+    const { settings, ports, timing: times } = this.#context;
+    const delayMs = this.#leaderRole.isPreferredLeader ? 0 : CAMPAIGN_DELAY_TICKS * times.tickMs;
+    return new ElectionDriver(
+      createElection(settings.host_name, ports.incarnation, times, delayMs),
+      ports.state,
+      ports.clock,
       {
-        onElected: (won) => {
-          this.#observing.membership.clearUnexpectedReports();
-          void this.#leading.takeLeadership(won);
-        },
-        onLost: () => {
-          standing.leadingTerm = 0;
-          owner.push({ kind: 'resign', reason: 'another may lead' });
-        },
-        onLeaderObserved: (leader, modRevision) => {
-          if (leader !== null && leader.term > standing.highestTerm)
-            this.#observing.membership.clearUnexpectedReports();
-          standing.leader = leader?.node ?? null;
-          standing.leaderRevision = modRevision;
-          standing.highestTerm = Math.max(standing.highestTerm, leader?.term ?? 0);
-        },
-      },
-      // Where no better placed node is left, waiting for one cost a second in which leases ran out.
-      () => {
-        // It would lead and hear nobody: elected again while its successor stood still, such a node cost
-        // 1,787 tasks their lease.
-        if (this.#observing.isIsolated) return 8 * times.tickMs;
-        return this.#leading.hasPreferredPeer() ? 4 * times.tickMs : 0;
+        onElected: (result) => this.#onElected(result),
+        onLost: () => this.#onLeadershipLost(),
+        onLeaderObserved: (leader, modRevision) => this.#onLeaderObserved(leader, modRevision),
       },
+      () => this.#campaignDelayMs(),
     );
-    this.#upgrade = new Upgrade({
+  }
+
+  /** How long this node lets others campaign first, in milliseconds. */
+  #campaignDelayMs(): number {
+    const { tickMs } = this.#context.timing;
+    // No worker reaches an isolated node: as the leader it would let their leases expire.
+    if (this.#failureDetector.isIsolated) return ISOLATED_CAMPAIGN_DELAY_TICKS * tickMs;
+    // Where no preferred peer is left, a delay would only bring leases closer to their expiry.
+    return this.#leaderRole.hasPreferredPeer() ? CAMPAIGN_DELAY_TICKS * tickMs : 0;
+  }
+
+  #onElected(result: ElectionResult): void {
+    this.#failureDetector.membership.clearUnexpectedReports();
+    void this.#leaderRole.takeLeadership(result);
+  }
+
+  #onLeadershipLost(): void {
+    this.#context.leadershipView.leadingTerm = 0;
+    this.#context.commands.push({ kind: 'resign', reason: 'another may lead' });
+  }
+
+  #onLeaderObserved(leader: LeaderRecord | null, modRevision: number): void {
+    const { leadershipView } = this.#context;
+    if (leader !== null && leader.term > leadershipView.highestTerm)
+      this.#failureDetector.membership.clearUnexpectedReports();
+    leadershipView.leader = leader?.node ?? null;
+    leadershipView.leaderRevision = modRevision;
+    leadershipView.highestTerm = Math.max(leadershipView.highestTerm, leader?.term ?? 0);
+  }
+
+  #createUpgrade(): Upgrade {
+    const { settings, ports, commands, timing: times } = this.#context;
+    return new Upgrade({
       settings,
-      state,
-      clock,
+      state: ports.state,
+      clock: ports.clock,
       pause: 2 * times.maxHeartbeatIntervalMs,
-      termRevision: () => owner.state.leadership?.modRevision ?? null,
-      hearsEarlier: () => this.#peering.hasPeerOfEarlierFormat(),
+      termRevision: () => commands.state.leadership?.modRevision ?? null,
+      hearsEarlier: () => this.#peers.hasPeerOfEarlierFormat(),
       adopted: (record) => {
-        log.info(record, 'every controller reads the new format');
-        state.keepTo(lastingLimits(settings));
-        owner.push({ kind: 'adoptLayout', layout: lastingLayout(settings, record) });
+        ports.log.info(record, 'every controller reads the new format');
+        ports.state.keepTo(lastingLimits(settings));
+        commands.push({ kind: 'adoptLayout', layout: lastingLayout(settings, record) });
       },
     });
-    // So many as the state service could answer within a quarter of what one request may take.
-    this.admission = new Admission(clock, (settings.cluster.state.rps * times.storeTimeoutMs) / 4000);
-    this.users = new Users({
+  }
+
+  /** Admits as many requests as the store can answer within a quarter of a request's timeout. */
+  #createAdmission(): Admission {
+    const { settings, ports, timing: times } = this.#context;
+    return new Admission(ports.clock, (settings.cluster.state.rps * times.storeTimeoutMs) / 4000);
+  }
+
+  #createUsers(): Users {
+    const { settings, ports, commands, timing: times } = this.#context;
+    const { txn_ops, rps } = lastingLimits(settings);
+    return new Users({
       rps,
-      valueBytes: value_kb * 1024,
+      valueBytes: this.#maxValueBytes,
       conditions: 4 * txn_ops,
       knowsPipelines: async () => (await this.#upgrade.look()) !== null,
-      isSettled: () => this.#peering.areDependenciesResolved(),
-      state,
-      clock,
-      teams: rules.teams,
+      isSettled: () => this.#peers.areDependenciesResolved(),
+      state: ports.state,
+      clock: ports.clock,
+      teams: commands.state.config.teams,
       patience: times.storeTimeoutMs,
-      types: () => owner.state.machineTypes,
-      counts: (id) => this.#peering.countOf(id),
+      types: () => commands.state.machineTypes,
+      counts: (id) => this.#peers.countOf(id),
     });
   }
 
   start(): void {
-    const { settings, ports } = this.#common;
+    const { settings, ports } = this.#context;
     this.#election.dispatch({ kind: 'start' });
-    this.#leading.start();
+    this.#leaderRole.start();
     void this.#keepTicking();
     void this.#keepContact();
     void this.#upgrade.run();
@@ -209,26 +291,26 @@
   }
 
   status(): PeerStatus {
-    return this.#peering.status();
+    return this.#peers.status();
   }
 
   onLink(node: string, link: LinkState): void {
-    this.#observing.onLink(node, link);
+    this.#failureDetector.onLink(node, link);
     if (link !== 'up') this.#intake.onLinkLost(node);
   }
 
   onPeer(status: PeerStatus): void {
     // What a life that is over had to say, held back on the way, is no word of the present one.
-    if (!this.#observing.membership.isCurrentIncarnation(status)) return;
-    this.#peering.onPeer(status);
-    this.#observing.onPeer(status);
+    if (!this.#failureDetector.membership.isCurrentIncarnation(status)) return;
+    this.#peers.onPeer(status);
+    this.#failureDetector.onPeer(status);
   }
 
   /** A message about shared reports from another controller. */
   onIntake(message: IntakeMessage): void {
-    if (!this.#observing.membership.isCurrentIncarnation(message)) return;
-    const { leadershipView, commands } = this.#common;
-    if (message.kind === 'heartbeats') this.#shared.receive(message);
+    if (!this.#failureDetector.membership.isCurrentIncarnation(message)) return;
+    const { leadershipView, commands } = this.#context;
+    if (message.kind === 'heartbeats') this.#sharedHeartbeats.receive(message);
     else if (commands.state.leadership === null && message.term >= leadershipView.highestTerm) {
       leadershipView.highestTerm = message.term;
       leadershipView.leader = message.node;
@@ -238,30 +320,30 @@
 
   /** Followers that may take reports: heard, linked, keeping up. */
   #followers(): { node: string; zone: string }[] {
-    const { clock } = this.#common.ports;
-    const { membership } = this.#observing;
-    return this.#common.settings.others
+    const { clock } = this.#context.ports;
+    const { membership } = this.#failureDetector;
+    return this.#context.settings.others
       .filter(({ host_name }) => membership.isKeepingUp(host_name, clock.monotonicMs()))
       .map(({ host_name, zone }) => ({ node: host_name, zone }));
   }
 
   #needsAttention(name: string): boolean {
-    const { machines, attention } = this.#common.commands.state;
+    const { machines, attention } = this.#context.commands.state;
     const machine = machines.get(name);
     return machine !== undefined && attention.has(machine);
   }
 
   /** Machines that this node knows of as the leader; 0: it does not lead. */
   get machineCount(): number {
-    const { leadership, machines } = this.#common.commands.state;
+    const { leadership, machines } = this.#context.commands.state;
     return leadership === null ? 0 : machines.size;
   }
 
   core(): unknown {
-    return this.#common.commands.state;
+    return this.#context.commands.state;
   }
   ready(): boolean {
-    return this.#peering.isReady();
+    return this.#peers.isReady();
   }
 
   /**
@@ -270,93 +352,93 @@
    * take itself for refused while the leader is served.
    */
   async #keepContact(): Promise<void> {
-    const often = this.#common.timing.storeTimeoutMs / 2;
+    const often = this.#context.timing.storeTimeoutMs / 2;
     for (;;) {
-      await this.#common.ports.clock.sleep(often);
-      if (storeContactAgeMs(this.#common) >= often) await this.#common.ports.state.read(LEADER_KEY);
-      const to = this.#leading.preferredSuccessor();
-      if (to !== null && this.#observing.isEligibleSuccessor(to))
-        void this.#handOver({ to, reason: 'a better placed node is back' });
+      await this.#context.ports.clock.sleep(often);
+      if (storeContactAgeMs(this.#context) >= often) await this.#context.ports.state.read(LEADER_KEY);
+      const to = this.#leaderRole.preferredSuccessor();
+      if (to !== null && this.#failureDetector.isEligibleSuccessor(to))
+        void this.#transferLeadership({ to, reason: 'a better placed node is back' });
     }
   }
 
   async #keepTicking(): Promise<void> {
-    const { clock } = this.#common.ports;
-    const { tickMs, workerLeaseMs } = this.#common.timing;
+    const { clock } = this.#context.ports;
+    const { tickMs, workerLeaseMs } = this.#context.timing;
     let toldAt = clock.monotonicMs();
     for (;;) {
       const from = clock.monotonicMs();
       if (from - toldAt > workerLeaseMs) {
-        this.malformed.tell(this.#common.ports.log, 'malformed');
+        this.malformed.tell(this.#context.ports.log, 'malformed');
         toldAt = from;
       }
       await clock.sleep(tickMs);
-      this.#observing.tick(Math.max(0, clock.monotonicMs() - from - tickMs));
-      const { isStalled, isOverloaded } = this.#observing;
-      this.#common.commands.push({ kind: 'tick', isStalled, isOverloaded });
-      this.#tellShared();
+      this.#failureDetector.tick(Math.max(0, clock.monotonicMs() - from - tickMs));
+      const { isStalled, isOverloaded } = this.#failureDetector;
+      this.#context.commands.push({ kind: 'tick', isStalled, isOverloaded });
+      this.#exchangeHeartbeats();
     }
   }
 
   /** A leader tells its followers what they may answer by; a follower tells its leader what it has answered. */
-  #tellShared(): void {
-    if (this.#common.commands.state.leadership === null) {
+  #exchangeHeartbeats(): void {
+    if (this.#context.commands.state.leadership === null) {
       this.#intake.flush();
       return;
     }
     for (const { heartbeat, respond } of this.#intake.takePending()) this.#answerAsLeader(heartbeat, respond);
     this.#ticks += 1;
-    if (this.#ticks % TICKS_A_SNAPSHOT === 0) this.#shared.sendSnapshots();
+    if (this.#ticks % TICKS_PER_SNAPSHOT === 0) this.#sharedHeartbeats.sendSnapshots();
   }
 
   /** The leader has crashed for all the evidence there is: its record may be replaced now. */
-  #inherit(): void {
-    const { leader, leaderRevision } = this.#common.leadershipView;
-    if (this.#inherited === leaderRevision) return;
-    this.#inherited = leaderRevision;
-    this.#common.ports.log.info({ leader }, 'the leader has crashed, standing early');
+  #replaceCrashedLeader(): void {
+    const { leader, leaderRevision } = this.#context.leadershipView;
+    if (this.#replacedRevision === leaderRevision) return;
+    this.#replacedRevision = leaderRevision;
+    this.#context.ports.log.info({ leader }, 'the leader has crashed, standing early');
     void this.#standEarly(leaderRevision);
   }
 
   /** A node that is not to lead lets one that is come first, if there is one: else it would hand over soon. */
   async #standEarly(modRevision: number): Promise<void> {
-    const { clock } = this.#common.ports;
-    if (this.#leading.hasPreferredPeer()) await clock.sleep(this.#common.timing.tickMs / 2);
+    const { clock } = this.#context.ports;
+    if (this.#leaderRole.hasPreferredPeer()) await clock.sleep(this.#context.timing.tickMs / 2);
     this.#election.dispatch({ kind: 'replaceCrashedLeader', modRevision });
   }
 
   /** Hands the leadership to another node: nothing is begun any more, all is written, the node named. */
-  async #handOver({ to, reason }: Resignation): Promise<void> {
-    const { commands, ports } = this.#common;
+  async #transferLeadership({ to, reason }: Resignation): Promise<void> {
+    const { commands, ports } = this.#context;
     const { leadership } = commands.state;
-    if (leadership === null || this.#yielding === leadership.term) return;
-    this.#yielding = leadership.term;
+    if (leadership === null || this.#transferredTerm === leadership.term) return;
+    this.#transferredTerm = leadership.term;
     ports.log.info({ to, why: reason }, 'hands over');
-    await this.#leading.drainForTransfer();
+    await this.#leaderRole.drainForTransfer();
     if (commands.state.leadership?.term === leadership.term)
       this.#election.dispatch({ kind: 'transferLeadership', to });
   }
 
   /** The status page; a brief one leaves out what takes a walk over jobs and machines. */
   describe(brief = false): object {
-    const { state } = this.#common.commands;
+    const { state } = this.#context.commands;
     const now = {
-      monotonicMs: this.#common.ports.clock.monotonicMs(),
-      epochMs: this.#common.ports.clock.epochMs(),
+      monotonicMs: this.#context.ports.clock.monotonicMs(),
+      epochMs: this.#context.ports.clock.epochMs(),
     };
     return {
-      node: this.#common.settings.host_name,
+      node: this.#context.settings.host_name,
       leader:
-        state.leadership === null ? this.#common.leadershipView.leader : this.#common.settings.host_name,
-      term: this.#peering.term(),
-      stateAgeMs: storeContactAgeMs(this.#common),
+        state.leadership === null ? this.#context.leadershipView.leader : this.#context.settings.host_name,
+      term: this.#peers.term(),
+      stateAgeMs: storeContactAgeMs(this.#context),
       ready: this.ready(),
-      peers: this.#observing.describe(),
+      peers: this.#failureDetector.describe(),
       format: { reads: FORMAT, inForce: this.#upgrade.record?.format ?? 1 },
       latencyMs: this.latencies.describe(),
       peerTraffic: this.peerTraffic(),
       sharedReports: {
-        ...this.#shared.describe(),
+        ...this.#sharedHeartbeats.describe(),
         forwarded: this.#intake.forwarded,
         answered: this.#intake.answered,
       },
@@ -373,106 +455,41 @@
   }
 
   #takeReport(report: Heartbeat, done: (status: number, body: string) => void): void {
-    if (this.#common.commands.state.leadership === null) {
-      this.#observing.workerReached();
-      if (!this.#intake.take(report, done)) this.#following.answer(report, done);
+    if (this.#context.commands.state.leadership === null) {
+      this.#failureDetector.workerReached();
+      if (!this.#intake.take(report, done)) this.#followerRole.answer(report, done);
       return;
     }
-    const follower = this.#shared.redirect(report);
+    const follower = this.#sharedHeartbeats.redirect(report);
     if (follower !== null) {
       done(421, encodeRedirect(follower));
       return;
     }
-    this.#shared.recordDirect(report.machine);
+    this.#sharedHeartbeats.recordDirect(report.machine);
     this.#answerAsLeader(report, done);
   }
 
   #answerAsLeader(report: Heartbeat, done: (status: number, body: string) => void): void {
-    const from = this.#common.ports.clock.monotonicMs();
-    this.#pushReport(report, 0, (reply) => {
-      this.latencies.record('report', this.#common.ports.clock.monotonicMs() - from);
+    const from = this.#context.ports.clock.monotonicMs();
+    this.#executor.submitHeartbeat(report, 0, (reply) => {
+      this.latencies.record('report', this.#context.ports.clock.monotonicMs() - from);
       if (reply.kind === 'commands') {
         done(200, encodeReply(reply.token, reply.commands));
         return;
       }
       // Handed over: whoever leads now is told, and found without trying the others in turn.
-      const { leader } = this.#common.leadershipView;
-      const elsewhere = leader !== null && leader !== this.#common.settings.host_name;
+      const { leader } = this.#context.leadershipView;
+      const elsewhere = leader !== null && leader !== this.#context.settings.host_name;
       done(elsewhere ? 421 : 503, elsewhere ? encodeRedirect(leader) : '{}');
     });
   }
 
-  /** Hands a report to the core, whose reply comes back once. */
-  #pushReport(report: Heartbeat, ageMs: number, onReply: (reply: Reply) => void): void {
-    const reply = this.#nextReply++;
-    this.#replies.set(reply, onReply);
-    this.#common.commands.push({ kind: 'heartbeat', reply, heartbeat: report, ageMs });
-  }
-
-  #carryOut(effect: Effect): void {
-    switch (effect.kind) {
-      case 'reply': {
-        const onReply = this.#replies.get(effect.reply);
-        this.#replies.delete(effect.reply);
-        onReply?.(effect.body);
-        break;
-      }
-      case 'commit':
-        void this.#common.ports.state.commit(effect.transaction).then((outcome) => {
-          this.#common.commands.push({
-            kind: 'committed',
-            id: effect.id,
-            outcome,
-          });
-        });
-        break;
-      case 'resolveDependencies':
-        void this.#leading.resolveDependencies(effect.ids);
-        break;
-      case 'reconcile':
-        void this.#leading.reconcile(effect.jobs, effect.chunks);
-        break;
-      case 'sendCommands':
-        void this.#common.ports.workers
-          .direct(effect.address, effect.token, effect.agentEpoch, effect.commands)
-          .then((report) => {
-            if (report !== null) this.#common.commands.push({ kind: 'directAnswer', heartbeat: report });
-          });
-        break;
-      case 'probe':
-        void this.#common.ports.workers.isThere(effect.address).then((met) => {
-          this.#common.commands.push({ kind: 'probed', machine: effect.machine, isReachable: met });
-        });
-        break;
-      case 'provision':
-        void this.#common.ports.cloud
-          .rent(effect.requestId, effect.type, effect.zone, effect.spot, effect.count)
-          .then((outcome) =>
-            this.#common.commands.push({ kind: 'provisioned', requestId: effect.requestId, outcome }),
-          );
-        break;
-      case 'terminate':
-        void this.#common.ports.cloud.giveBack(effect.machines).then((ok) => {
-          this.#common.commands.push({ kind: 'terminated', machines: effect.machines, ok });
-        });
-        break;
-      case 'saveDemandHistory':
-        void this.#common.ports.state.commit(effect.transaction);
-        break;
-      case 'attention':
-        this.#shared.announceAttention(effect.machines);
-        break;
-      case 'steppedDown':
-        this.#shared.clear();
-        this.#common.ports.log.info({ reason: effect.reason }, 'stepped down');
-        if (this.#common.leadershipView.leader === this.#common.settings.host_name)
-          this.#common.leadershipView.leader = null;
-        this.#common.leadershipView.leadingTerm = 0;
-        this.#election.dispatch({ kind: 'resign' });
-        break;
-      case 'log':
-        this.#common.ports.log[effect.level](effect.detail, effect.event);
-        break;
-    }
+  #onSteppedDown(reason: string): void {
+    const { leadershipView, ports, settings } = this.#context;
+    this.#sharedHeartbeats.clear();
+    ports.log.info({ reason }, 'stepped down');
+    if (leadershipView.leader === settings.host_name) leadershipView.leader = null;
+    leadershipView.leadingTerm = 0;
+    this.#election.dispatch({ kind: 'resign' });
   }
 }
