--- a/src/controller/failure-detector.ts
+++ b/src/controller/failure-detector.ts
@@ -1,7 +1,7 @@
 /**
- * Observing: what this node sees of the others goes into the membership, and what that concludes is
- * carried out: workers' machines are knocked at for a leader, a leader hands over, a crashed one is
- * succeeded.
+ * Failure detection between controllers and towards the machines. What this node sees of its peers goes into the
+ * membership; what follows from that is carried out: machines are probed for a leader that misses heartbeats, a
+ * leader transfers its leadership, a crashed leader is replaced. The status that peers receive is put together here.
  */
 import { Membership, type SuspicionState, type Resignation } from '../membership/membership.js';
 import { MACHINES_UNREACHABLE, MIN_UNEXPECTED_REPORTS } from '../membership/evidence-rules.js';
@@ -9,29 +9,31 @@
 import { storeContactAgeMs, type ControllerContext } from './context.js';
 import type { FailureDetectorStatus } from './peer-exchange.js';
 
-/** A leader asks what others meet at so many machines. */
+/** Machines that are probed in one round, at most. */
 const MAX_PROBED_MACHINES = 8;
 
+/** What the detector has its controller do. */
 export interface FailureDetectorActions {
-  /** The leader that this node follows has crashed: it may be succeeded now. */
+  /** The leader that this node follows has crashed: its record may be replaced before its lease expires. */
   replaceCrashedLeader(): void;
-  /** This node leads and should not. */
+  /** This node leads and another is to lead in its place. */
   transferLeadership(to: Resignation): void;
-  /** The nodes that are to lead rather than others. */
+  /** The nodes that are preferred as leaders. */
   preferredLeaders(): ReadonlySet<string>;
-  /** Something has changed that the others should know at once. */
+  /** The status has changed in a way that peers need at once. */
   broadcastStatus(): void;
 }
 
+/** Keeps the membership up to date, and acts on its verdicts. */
 export class FailureDetector {
   readonly membership: Membership;
-  #asks: readonly string[] = [];
-  #askedAt = -Infinity;
-  /** Latest round in which this node knocked for another. */
-  #answered = 0;
-  #told = 0;
-  /** It handed over because it reached no machine, and has heard no worker since. */
-  #cutOff = false;
+  #probeRequests: readonly string[] = [];
+  #probesRequestedAt = -Infinity;
+  /** Latest round in which this node probed machines for the leader. */
+  #answeredRound = 0;
+  #announcedReports = 0;
+  /** It transferred the leadership since it reached no machine, and no worker has reported to it since. */
+  #isIsolated = false;
 
   constructor(
     private readonly common: ControllerContext,
@@ -49,66 +51,70 @@
     this.membership.receiveStatus(view, this.#now);
     const { leadershipView } = this.common;
     const asked = view.isLeader && view.term >= leadershipView.highestTerm && view.probeRequests.length > 0;
-    if (asked && view.probeRound !== this.#answered) void this.#knockFor(view);
-    this.#conclude();
+    if (asked && view.probeRound !== this.#answeredRound) void this.#probeForLeader(view);
+    this.#assess();
   }
 
   onLink(node: string, link: LinkState): void {
     this.membership.setLinkState(node, link, this.#now);
-    this.#conclude();
+    this.#assess();
     // Whoever waits for a second witness should not wait for the next word.
     if (link === 'refused' && this.membership.consecutiveRefusals(node) === 2) this.actions.broadcastStatus();
   }
 
-  /** Whether it would be a leader that no worker reaches. */
+  /** Whether this node, as the leader, would be one that no worker reaches. */
   get isIsolated(): boolean {
-    return this.#cutOff;
+    return this.#isIsolated;
   }
 
-  /** Some worker has reached this node. */
+  /** A worker has reported to this node. */
   workerReached(): void {
-    this.#cutOff = false;
+    this.#isIsolated = false;
   }
 
-  /** A worker of the present leader came by, sent by nobody. */
+  /** A worker of the present leader has reported here without having been redirected. */
   recordUnexpectedReport(machine: string): void {
     this.membership.recordUnexpectedReport(machine, this.#now);
     const strays = this.membership.unexpectedReports(this.#now);
-    if (strays < MIN_UNEXPECTED_REPORTS) this.#told = 0;
-    if (strays < Math.max(MIN_UNEXPECTED_REPORTS, 2 * this.#told)) return;
-    this.#told = strays;
+    if (strays < MIN_UNEXPECTED_REPORTS) this.#announcedReports = 0;
+    if (strays < Math.max(MIN_UNEXPECTED_REPORTS, 2 * this.#announcedReports)) return;
+    this.#announcedReports = strays;
     this.actions.broadcastStatus();
-    this.#conclude();
+    this.#assess();
   }
 
-  /** At every tick: how late it came. */
+  /** At every tick. `lateMs`: by how much its timer was late, in milliseconds. */
   tick(lateMs: number): void {
     const now = this.#now;
     this.membership.recordTimerLag(lateMs, now);
     const { leadership, health, machines } = this.common.commands.state;
     this.membership.setWorkerHealth(leadership === null ? null : health, machines.size, leadership?.since);
     if (leadership !== null && this.membership.isMissingHeartbeats(now, storeContactAgeMs(this.common)))
-      this.#ask(now, true);
-    else if (leadership !== null && this.membership.isLagging(now)) this.#ask(now, false);
-    else if (this.#asks.length > 0 && now - this.#askedAt > this.common.timing.maxHeartbeatIntervalMs)
-      this.#asks = [];
-    this.#conclude();
+      this.#requestProbes(now, true);
+    else if (leadership !== null && this.membership.isLagging(now)) this.#requestProbes(now, false);
+    else if (
+      this.#probeRequests.length > 0 &&
+      now - this.#probesRequestedAt > this.common.timing.maxHeartbeatIntervalMs
+    )
+      this.#probeRequests = [];
+    this.#assess();
   }
 
-  /** Whether it is behind its timers. */
+  /** Whether this node's timers lag: it has more to do than it can. */
   get isOverloaded(): boolean {
     return this.membership.timerLagMs(this.#now) > this.common.timing.tickMs / 4;
   }
 
+  /** Whether this node stood still and has not worked off its queues: it judges nobody meanwhile. */
   get isStalled(): boolean {
     return this.membership.isStalled(this.#now);
   }
 
-  #conclude(): void {
+  #assess(): void {
     const now = this.#now;
     const age = storeContactAgeMs(this.common);
     const changed = this.membership.assess(now, age);
-    for (const standing of changed) this.#log(standing, now);
+    for (const standing of changed) this.#logSuspicion(standing, now);
     // What one concludes by itself the others may need as a second witness.
     if (changed.some(({ level }) => level !== 'trusted')) this.actions.broadcastStatus();
     const { leadershipView, commands } = this.common;
@@ -117,17 +123,17 @@
       if (leadership.isTransferring === true) return;
       const to = this.membership.chooseSuccessor(now, age, this.actions.preferredLeaders());
       if (to === null) return;
-      this.#cutOff ||= to.reason === MACHINES_UNREACHABLE;
+      this.#isIsolated ||= to.reason === MACHINES_UNREACHABLE;
       this.actions.transferLeadership(to);
     } else if (
       leadershipView.leader !== null &&
-      !this.#cutOff &&
+      !this.#isIsolated &&
       this.membership.mayReplaceEarly(leadershipView.leader, now, age)
     )
       this.actions.replaceCrashedLeader();
   }
 
-  #log({ node, level, evidence, since }: SuspicionState, now: number): void {
+  #logSuspicion({ node, level, evidence, since }: SuspicionState, now: number): void {
     const view = this.membership.statusOf(node);
     const detail = { peer: node, evidence, forMs: Math.round(now - since), lateMs: view?.timerLagMs ?? 0 };
     this.common.ports.log.info(detail, level);
@@ -137,12 +143,12 @@
   isEligibleSuccessor(node: string): boolean {
     const now = this.#now;
     if (this.membership.isEligibleSuccessor(node, now, storeContactAgeMs(this.common))) return true;
-    this.#ask(now, false);
+    this.#requestProbes(now, false);
     return false;
   }
 
   /** A few machines evenly from all of them, or from those that should speak and are not heard. */
-  #sample(now: number, unheard: boolean): string[] {
+  #sampleMachines(now: number, unheard: boolean): string[] {
     const { state } = this.common.commands;
     const from = now - 2 * this.common.timing.tickMs;
     const all = [...state.machines.values()].filter(
@@ -159,29 +165,30 @@
     return picked.flatMap((machine) => (machine === undefined ? [] : [machine.address]));
   }
 
-  /** Asks the others what they meet at a few machines, and looks for itself. */
-  #ask(now: number, unheard: boolean): void {
-    if (now - this.#askedAt < this.common.timing.maxHeartbeatIntervalMs) return;
-    this.#askedAt = now;
-    this.#asks = this.#sample(now, unheard);
-    if (this.#asks.length === 0) return;
+  /** Has the followers probe a few machines, and probes them itself. */
+  #requestProbes(now: number, unheard: boolean): void {
+    if (now - this.#probesRequestedAt < this.common.timing.maxHeartbeatIntervalMs) return;
+    this.#probesRequestedAt = now;
+    this.#probeRequests = this.#sampleMachines(now, unheard);
+    if (this.#probeRequests.length === 0) return;
     const round = this.membership.probeRound.round + 1;
     this.membership.setProbeRound({
       round,
       reachable: 0,
       unreachable: 0,
-      requested: this.#asks.length,
+      requested: this.#probeRequests.length,
       startedAt: now,
     });
     const { health } = this.common.commands.state;
-    if (unheard) this.common.ports.log.info({ asks: this.#asks.length, ...health }, 'hears few workers');
+    if (unheard)
+      this.common.ports.log.info({ asks: this.#probeRequests.length, ...health }, 'hears few workers');
     this.actions.broadcastStatus();
-    void this.#knock(this.#asks, round);
+    void this.#probe(this.#probeRequests, round);
   }
 
-  async #knockFor({ probeRequests, probeRound }: MemberStatus): Promise<void> {
-    this.#answered = probeRound;
-    // A round of the leader's: this node has none of its own meanwhile.
+  async #probeForLeader({ probeRequests, probeRound }: MemberStatus): Promise<void> {
+    this.#answeredRound = probeRound;
+    // The leader's round replaces this node's own: a follower starts none.
     this.membership.setProbeRound({
       round: probeRound,
       reachable: 0,
@@ -189,11 +196,11 @@
       requested: probeRequests.length,
       startedAt: this.#now,
     });
-    await this.#knock(probeRequests, probeRound);
+    await this.#probe(probeRequests, probeRound);
     this.actions.broadcastStatus();
   }
 
-  async #knock(addresses: readonly string[], round: number): Promise<void> {
+  async #probe(addresses: readonly string[], round: number): Promise<void> {
     const found = await Promise.all(
       addresses.slice(0, MAX_PROBED_MACHINES).map((address) => this.common.ports.workers.isThere(address)),
     );
@@ -201,10 +208,10 @@
     const met = found.filter((one) => one === true).length;
     const unmet = found.filter((one) => one === false).length;
     this.membership.setProbeRound({ ...this.membership.probeRound, reachable: met, unreachable: unmet });
-    this.#conclude();
+    this.#assess();
   }
 
-  /** What the others are told. */
+  /** The part of this node's status that tells of failures. */
   localStatus(): FailureDetectorStatus {
     const now = this.#now;
     const { health, leadership } = this.common.commands.state;
@@ -215,7 +222,7 @@
       unexpectedReports: this.membership.unexpectedReports(now),
       reporting: leadership === null ? 0 : (health?.reporting ?? 0),
       expected: leadership === null ? 0 : (health?.expected ?? 0),
-      probeRequests: leadership === null ? [] : this.#asks,
+      probeRequests: leadership === null ? [] : this.#probeRequests,
       probeRound: round,
       reachable,
       unreachable,
--- a/src/controller/fallback-responder.ts
+++ b/src/controller/fallback-responder.ts
@@ -3,7 +3,7 @@
  *
  * While two zones cannot reach each other, workers of the zone without the leader would
  * lose their leases and all their work. A follower beside them may keep them alive: an
- * answer with the leader's token renews the lease, whoever sends it. A deputy never
+ * answer with the leader's token renews the lease, whoever sends it. It never
  * starts anything; it stops what has been cancelled, and answers only while its
  * view of the cancellations is fresh, under the same bound as a leader.
  *
@@ -30,26 +30,30 @@
   readonly liveJobs: ReadonlySet<string>;
 }
 
+/** Answers workers in the place of a leader that they cannot reach. */
 export class FallbackResponder {
   #snapshot: LiveJobsSnapshot | null = null;
 
-  readonly #live = new Set<string>();
+  readonly #liveJobs = new Set<string>();
   /** The newest report of each machine. */
-  readonly #seen = new Map<string, { readonly session: number; readonly seq: number; readonly at: number }>();
-  #provenAt = -Infinity;
-  #usedAt = -Infinity;
-  #following = false;
-  #first: Promise<void> | null = null;
+  readonly #latestHeartbeats = new Map<
+    string,
+    { readonly agentEpoch: number; readonly sequence: number; readonly receivedAt: number }
+  >();
+  #viewConfirmedAt = -Infinity;
+  #lastUsedAt = -Infinity;
+  #isWatching = false;
+  #firstLoad: Promise<void> | null = null;
 
   constructor(
     private readonly node: string,
     private readonly state: StateService,
     private readonly clock: Clock,
     private readonly timing: Timing,
-    /** Its word is split so that it fits values of today and of later. */
+    /** The largest value that the store takes, in bytes: longer lists are split. */
     private readonly valueBytes: number,
-    /** How far the times of day of two machines may be apart. */
-    private readonly clocksApart: number,
+    /** By how much the clocks of two nodes may differ, in milliseconds. */
+    private readonly maxClockSkewMs: number,
   ) {}
 
   /** Takes in what the leader knows; a word that was held back is older than it is new here. */
@@ -58,12 +62,12 @@
   }
 
   /** The jobs that are known to be live, freshly enough to answer by; null: they are not known. */
-  #view(): ReadonlySet<string> | null {
+  #freshLiveJobs(): ReadonlySet<string> | null {
     const { authorityWindowMs } = this.timing;
-    if (this.clock.monotonicMs() < this.#provenAt + authorityWindowMs) return this.#live;
+    if (this.clock.monotonicMs() < this.#viewConfirmedAt + authorityWindowMs) return this.#liveJobs;
     if (
       this.#snapshot === null ||
-      this.clock.epochMs() >= this.#snapshot.viewConfirmedAt + authorityWindowMs - this.clocksApart
+      this.clock.epochMs() >= this.#snapshot.viewConfirmedAt + authorityWindowMs - this.maxClockSkewMs
     )
       return null;
     return this.#snapshot.liveJobs;
@@ -71,18 +75,18 @@
 
   /** What to tell a worker, or null when this node may not answer it. */
   async answer(report: Heartbeat): Promise<WorkerCommand[] | null> {
-    this.#usedAt = this.clock.monotonicMs();
-    if (!this.#following) {
-      this.#following = true;
-      this.#first = this.#load().then(() => {
-        void this.#follow();
-        void this.#tell();
+    this.#lastUsedAt = this.clock.monotonicMs();
+    if (!this.#isWatching) {
+      this.#isWatching = true;
+      this.#firstLoad = this.#load().then(() => {
+        void this.#watchJobs();
+        void this.#announceMachines();
       });
     }
-    await this.#first;
-    const live = this.#view();
+    await this.#firstLoad;
+    const live = this.#freshLiveJobs();
     if (live === null) return null;
-    // A late copy is no sign of life.
+    // A late duplicate does not renew a lease.
     if (!this.#isNewer(report)) return null;
     const commands: WorkerCommand[] = [];
     for (const { job, task, attempt, stage } of report.tasks) {
@@ -94,23 +98,25 @@
   /** Machines that this node has answered lately, in the leader's place. */
   answeredMachines(): string[] {
     const from = this.clock.monotonicMs() - 2 * this.timing.maxHeartbeatIntervalMs;
-    return [...this.#seen].flatMap(([machine, { at }]) => (at > from ? [machine] : []));
+    return [...this.#latestHeartbeats].flatMap(([machine, { receivedAt }]) =>
+      receivedAt > from ? [machine] : [],
+    );
   }
 
   /** Remembers the newest report of a machine; false: this one is not newer than it. */
   #isNewer({ machine, agentEpoch, sequence }: Heartbeat): boolean {
-    const known = this.#seen.get(machine);
+    const known = this.#latestHeartbeats.get(machine);
     if (
       known !== undefined &&
-      (agentEpoch < known.session || (agentEpoch === known.session && sequence <= known.seq))
+      (agentEpoch < known.agentEpoch || (agentEpoch === known.agentEpoch && sequence <= known.sequence))
     )
       return false;
     // Latest last, so that what has long been silent is forgotten first.
-    this.#seen.delete(machine);
-    this.#seen.set(machine, { session: agentEpoch, seq: sequence, at: this.clock.monotonicMs() });
-    for (const oldest of this.#seen.keys()) {
-      if (this.#seen.size <= MAX_TRACKED_MACHINES) break;
-      this.#seen.delete(oldest);
+    this.#latestHeartbeats.delete(machine);
+    this.#latestHeartbeats.set(machine, { agentEpoch, sequence, receivedAt: this.clock.monotonicMs() });
+    for (const oldest of this.#latestHeartbeats.keys()) {
+      if (this.#latestHeartbeats.size <= MAX_TRACKED_MACHINES) break;
+      this.#latestHeartbeats.delete(oldest);
     }
     return true;
   }
@@ -121,45 +127,45 @@
     const sentAt = this.clock.monotonicMs();
     const jobs = await this.state.list(JOB_PREFIX);
     if (jobs === 'unknown') return;
-    this.#live.clear();
-    for (const { key } of jobs.entries) this.#live.add(jobOfKey(key));
+    this.#liveJobs.clear();
+    for (const { key } of jobs.entries) this.#liveJobs.add(jobOfKey(key));
     this.#revision = jobs.revision;
-    this.#provenAt = sentAt;
+    this.#viewConfirmedAt = sentAt;
   }
 
-  async #follow(): Promise<void> {
-    while (this.clock.monotonicMs() - this.#usedAt < this.timing.workerLeaseMs) {
+  async #watchJobs(): Promise<void> {
+    while (this.clock.monotonicMs() - this.#lastUsedAt < this.timing.workerLeaseMs) {
       const sentAt = this.clock.monotonicMs();
       const found =
-        this.#provenAt === -Infinity
+        this.#viewConfirmedAt === -Infinity
           ? 'unread'
           : await this.state.watch(JOB_PREFIX, this.#revision, this.timing.watchTimeoutMs);
       if (found === 'unread' || found.kind === 'tooOld') await this.#load();
       else if (found.kind === 'changes') {
         for (const { key, value } of found.changes) {
-          if (value === undefined) this.#live.delete(jobOfKey(key));
-          else this.#live.add(jobOfKey(key));
+          if (value === undefined) this.#liveJobs.delete(jobOfKey(key));
+          else this.#liveJobs.add(jobOfKey(key));
         }
         this.#revision = found.revision;
-        this.#provenAt = sentAt;
+        this.#viewConfirmedAt = sentAt;
         continue;
       }
       await this.clock.sleep(this.timing.tickMs);
     }
-    this.#following = false;
-    this.#provenAt = -Infinity;
-    this.#live.clear();
-    this.#seen.clear();
+    this.#isWatching = false;
+    this.#viewConfirmedAt = -Infinity;
+    this.#liveJobs.clear();
+    this.#latestHeartbeats.clear();
   }
 
   /**
    * Tells the leader, by way of the state service, whose workers are alive here: at once when
    * there are new ones, for until it knows they are silent to it, and else now and then.
    */
-  async #tell(): Promise<void> {
+  async #announceMachines(): Promise<void> {
     let told = 0;
     let toldAt = -Infinity;
-    while (this.#following) {
+    while (this.#isWatching) {
       const machines = this.answeredMachines();
       const due = this.clock.monotonicMs() - toldAt > 2 * this.timing.maxHeartbeatIntervalMs;
       if (machines.length > 0 && (due || machines.length > told)) {
--- a/src/controller/leader-role.ts
+++ b/src/controller/leader-role.ts
@@ -1,4 +1,4 @@
-/** Leading: what the leaders before have committed is loaded, then the jobs are followed. */
+/** The leader's role: it loads what its predecessors have committed, then watches the jobs and the cloud. */
 import { readJob } from '../adapters/reads.js';
 import type { ControllerContext } from './context.js';
 import type { LoadedChunk, ReconciledRecords } from '../core/effects.js';
@@ -39,7 +39,7 @@
 
 /**
  * Workers that lose their node try the next one, and give each some seconds. When zones
- * part, those of the far zone find a deputy within their lease only if the node after
+ * part, those of the far zone find a fallback responder within their lease only if the node after
  * the leader is in another zone than the leader. Nodes of which this is so are to lead.
  */
 function choosePreferredLeaders(settings: PlatformSettings): Set<string> {
@@ -50,35 +50,37 @@
   return new Set(found.map((node) => node.host_name));
 }
 
+/** What a controller does as the leader, and whether it is a preferred one. */
 export class LeaderRole {
-  readonly #wellPlaced: ReadonlySet<string>;
+  readonly #preferredLeaders: ReadonlySet<string>;
   readonly #startedAt: number;
-  /** When some zone was last quiet. */
-  #quietAt = -Infinity;
+  /** Steady time at which some zone was last silent, in milliseconds. */
+  #silentZoneSeenAt = -Infinity;
 
   constructor(
     private readonly common: ControllerContext,
     private readonly peers: PeerExchange,
     private readonly failureDetector: FailureDetector,
   ) {
-    this.#wellPlaced = choosePreferredLeaders(common.settings);
+    this.#preferredLeaders = choosePreferredLeaders(common.settings);
     this.#startedAt = common.ports.clock.monotonicMs();
   }
 
   /** The nodes that are to lead rather than others. */
   get preferredLeaders(): ReadonlySet<string> {
-    return this.#wellPlaced;
+    return this.#preferredLeaders;
   }
 
   /** Whether this node is one of those that are to lead. */
   get isPreferredLeader(): boolean {
-    return this.#wellPlaced.has(this.common.settings.host_name);
+    return this.#preferredLeaders.has(this.common.settings.host_name);
   }
 
+  /** Starts the loops that refresh what the leader needs to know; they run as long as the process. */
   start(): void {
-    void this.#keepCatalog();
-    void this.#keepList();
-    void this.#keepRelays();
+    void this.#refreshCatalog();
+    void this.#refreshMachines();
+    void this.#refreshRelays();
   }
 
   /** Whether a node that is to lead rather than this one is heard, or may still be after this one's start. */
@@ -89,7 +91,7 @@
     const young = now - this.#startedAt < this.common.timing.maxHeartbeatIntervalMs;
     const heard = (node: string): boolean =>
       membership.linkLostAt(node) === null && (young || membership.hasContact(node, now));
-    return [...this.#wellPlaced].some(heard);
+    return [...this.#preferredLeaders].some(heard);
   }
 
   /** The node that is to lead rather than this one, if it has been back, and served, for a while. */
@@ -101,8 +103,8 @@
     if (now - leadership.since < settled) return null;
     // The next leader would wait anew for machines that are silent, and their tasks with them; and what
     // a zone brings back with it is best taken in by whoever knows what was given up meanwhile.
-    if (this.common.commands.state.silentZones.size > 0) this.#quietAt = now;
-    if (now - this.#quietAt < this.common.timing.workerLeaseMs) return null;
+    if (this.common.commands.state.silentZones.size > 0) this.#silentZoneSeenAt = now;
+    if (now - this.#silentZoneSeenAt < this.common.timing.workerLeaseMs) return null;
     if (
       [...machines.values()].some(
         ({ lastHeartbeatAt, claims }) => lastHeartbeatAt === null && claims.size > 0,
@@ -110,7 +112,7 @@
     )
       return null;
     const { membership } = this.failureDetector;
-    return [...this.#wellPlaced].find((node) => membership.isStable(node, settled, now)) ?? null;
+    return [...this.#preferredLeaders].find((node) => membership.isStable(node, settled, now)) ?? null;
   }
 
   /**
@@ -136,10 +138,10 @@
     this.common.ports.log.info({ term: won.term }, 'elected');
     for (;;) {
       const sentAt = this.common.ports.clock.monotonicMs();
-      const [jobs, runs, memory, format] = await Promise.all([
+      const [jobs, runs, demandHistory, format] = await Promise.all([
         this.common.ports.state.list(JOB_PREFIX),
         this.common.ports.state.list(RUN_PREFIX),
-        this.#readMemory(),
+        this.#readDemandHistory(),
         this.#readFormat(won.modRevision),
       ]);
       if (
@@ -147,7 +149,7 @@
         this.common.leadershipView.highestTerm > won.term
       )
         return;
-      if (jobs === 'unknown' || runs === 'unknown' || memory === 'unknown' || format === 'unknown') {
+      if (jobs === 'unknown' || runs === 'unknown' || demandHistory === 'unknown' || format === 'unknown') {
         await this.common.ports.clock.sleep(this.common.timing.tickMs);
         continue;
       }
@@ -169,24 +171,24 @@
         legacyChunkTasks: format?.wide ?? firstLayout(this.common.settings).tasksPerChunk,
         jobs: decodeJobs(jobs.entries),
         chunks,
-        demandHistory: memory,
+        demandHistory,
         silentZones: this.peers.recentlySilentZones(),
         previousLeaderMayBeAlive: won.previousLeader === 'unknown' && term > 1,
       });
-      await this.#follow(term, jobs.revision);
+      await this.#watchJobs(term, jobs.revision);
       return;
     }
   }
 
   /** What classes have shown, as either version keeps it. */
-  async #readMemory(): Promise<ClassDemandRecord[] | 'unknown'> {
-    const [whole, parts] = await Promise.all([
+  async #readDemandHistory(): Promise<ClassDemandRecord[] | 'unknown'> {
+    const [legacyRecord, parts] = await Promise.all([
       this.common.ports.state.read(DEMAND_KEY),
       this.common.ports.state.list(DEMAND_PREFIX),
     ]);
-    if (whole === 'unknown' || parts === 'unknown') return 'unknown';
+    if (legacyRecord === 'unknown' || parts === 'unknown') return 'unknown';
     // The later ones count where a class stands in several.
-    return [whole.entry?.value, ...parts.entries.map(({ value }) => value)].flatMap(decodeDemand);
+    return [legacyRecord.entry?.value, ...parts.entries.map(({ value }) => value)].flatMap(decodeDemand);
   }
 
   /** The format in force, null if it is not; one whose width has become too large is written anew. */
@@ -208,7 +210,7 @@
   }
 
   /** Watches the jobs while this node leads; each answer proves how fresh its view is. */
-  async #follow(term: number, revision: number): Promise<void> {
+  async #watchJobs(term: number, revision: number): Promise<void> {
     let after = revision;
     while (this.common.leadershipView.leadingTerm === term) {
       const sentAt = this.common.ports.clock.monotonicMs();
@@ -238,7 +240,7 @@
     }
   }
 
-  /** How awaited jobs stand, by the committed records. */
+  /** Reads the final outcomes of jobs that others depend on. */
   async resolveDependencies(ids: readonly string[]): Promise<void> {
     const found = await Promise.all(
       ids.map(async (id) => {
@@ -252,36 +254,37 @@
     this.common.commands.push({ kind: 'dependenciesResolved', found: new Map(found) });
   }
 
+  /** Reads the committed records after a write with an unknown outcome; null is reported if a read fails. */
   async reconcile(ids: readonly string[], keys: readonly string[]): Promise<void> {
     const jobs = new Map<string, { live: boolean; ended: EndedRecord | null }>();
     const chunks = new Map<string, number>();
-    let whole = true;
+    let isComplete = true;
     for (const id of ids) {
       const job = await readJob(this.common.ports.state, id);
-      if (job.kind === 'unknown') whole = false;
+      if (job.kind === 'unknown') isComplete = false;
       else
         jobs.set(id, {
           live: job.kind === 'live' || job.kind === 'damaged',
           ended: job.kind === 'ended' ? job.record : null,
         });
-      if (!whole) break;
+      if (!isComplete) break;
     }
-    for (const key of whole ? keys : []) {
+    for (const key of isComplete ? keys : []) {
       const read = await this.common.ports.state.read(key);
-      if (read === 'unknown') whole = false;
+      if (read === 'unknown') isComplete = false;
       else if (read.entry !== null) chunks.set(key, read.entry.modRevision);
-      if (!whole) break;
+      if (!isComplete) break;
     }
-    if (!whole) await this.common.ports.clock.sleep(this.common.timing.tickMs);
+    if (!isComplete) await this.common.ports.clock.sleep(this.common.timing.tickMs);
     this.common.commands.push({
       kind: 'reconciled',
-      found: whole ? ({ jobs, chunks } satisfies ReconciledRecords) : null,
+      found: isComplete ? ({ jobs, chunks } satisfies ReconciledRecords) : null,
     });
   }
 
-  /** Reads, while some machine is silent, which of them deputies hear. */
-  async #keepRelays(): Promise<void> {
-    // Clocks agree within a bound, and a deputy speaks every other longest report.
+  /** Reads, while some machine is silent, which of them fallback responders answer. */
+  async #refreshRelays(): Promise<void> {
+    // Clocks agree within a bound, and a responder writes at every other longest heartbeat interval.
     const young = 0.5 * this.common.timing.workerLeaseMs + 2 * this.common.settings.cluster.clock_error_ms;
     for (;;) {
       await this.common.ports.clock.sleep(4 * this.common.timing.tickMs);
@@ -308,7 +311,7 @@
     }
   }
 
-  async #keepCatalog(): Promise<void> {
+  async #refreshCatalog(): Promise<void> {
     for (;;) {
       const types = await this.common.ports.cloud.catalog();
       if (types !== null) this.common.commands.push({ kind: 'catalog', types });
@@ -318,7 +321,7 @@
     }
   }
 
-  async #keepList(): Promise<void> {
+  async #refreshMachines(): Promise<void> {
     const pause = Math.max(
       this.common.timing.maxHeartbeatIntervalMs,
       (this.common.settings.cluster.cloud.list_lag_s * 1000) / 4,
--- a/src/controller/peer-exchange.ts
+++ b/src/controller/peer-exchange.ts
@@ -1,4 +1,4 @@
-/** Talking with the other controllers: what they are told, and what of theirs is believed. */
+/** The exchange of status with the other controllers: what they are told, and what of theirs is believed. */
 import type { LiveJobsSnapshot } from './fallback-responder.js';
 import { storeContactAgeMs, type ControllerContext } from './context.js';
 import { FORMAT } from '../core/persistence/index.js';
@@ -7,7 +7,7 @@
 import type { MemberStatus } from '../membership/status.js';
 import type { JobCount, PeerStatus, SilentZone } from '../wire/peers.js';
 
-/** The part of a status that tells of suspicion. */
+/** The part of a status that the failure detector provides. */
 export type FailureDetectorStatus = Pick<
   MemberStatus,
   | 'timerLagMs'
@@ -26,11 +26,12 @@
   readonly receivedAt: number;
 }
 
+/** Puts this node's status together, and keeps what the others have said. */
 export class PeerExchange {
-  readonly #counts = new Map<string, JobCount>();
-  readonly #heard = new Map<string, ReceivedStatus>();
+  readonly #jobCounts = new Map<string, JobCount>();
+  readonly #receivedStatuses = new Map<string, ReceivedStatus>();
   /** Zones of which the leader heard nobody, and the steady time since. */
-  readonly #quiet = new Map<string, number>();
+  readonly #silentZones = new Map<string, number>();
 
   constructor(
     private readonly common: ControllerContext,
@@ -46,7 +47,7 @@
 
   /** Whether a node has said of late that it takes reports for the leader of this term. */
   isAcceptingHeartbeats(node: string): boolean {
-    const heard = this.#heard.get(node);
+    const heard = this.#receivedStatuses.get(node);
     if (heard === undefined || heard.status.term !== this.term()) return false;
     const { clock } = this.common.ports;
     return (
@@ -58,27 +59,28 @@
   /** Whether a peer of an earlier format has been heard of late. */
   hasPeerOfEarlierFormat(): boolean {
     const now = this.common.ports.clock.monotonicMs();
-    return [...this.#heard.values()].some(
+    return [...this.#receivedStatuses.values()].some(
       ({ status, receivedAt }) =>
         status.format < FORMAT && now - receivedAt < this.common.timing.workerLeaseMs,
     );
   }
 
-  /** Whether the leader hears nobody of a zone, as far as this node knows. */
+  /** Whether the leader gets no heartbeat from a zone, as far as this node knows. */
   isZoneSilent(zone: string): boolean {
-    return this.#quiet.has(zone);
+    return this.#silentZones.has(zone);
   }
 
   /** Zones of which leaders of late heard nobody, and the steady time since. */
   recentlySilentZones(): Map<string, number> {
     const from = this.common.ports.clock.monotonicMs() - 3 * this.common.timing.workerLeaseMs;
-    return new Map([...this.#quiet].filter(([, since]) => since > from));
+    return new Map([...this.#silentZones].filter(([, since]) => since > from));
   }
 
+  /** Progress of a job's tasks, as this node or the leader knows it; null: unknown. */
   countOf(id: string): Omit<JobCount, 'id'> | null {
     const job = this.common.commands.state.jobs.get(id);
     if (this.common.commands.state.leadership === null || job === undefined)
-      return this.#counts.get(id) ?? null;
+      return this.#jobCounts.get(id) ?? null;
     const why = whyWaits(this.common.commands.state, job);
     return {
       done: job.doneCount,
@@ -87,6 +89,7 @@
     };
   }
 
+  /** The term this node leads, or else the highest one it knows. */
   term(): number {
     return this.common.commands.state.leadership?.term ?? this.common.leadershipView.highestTerm;
   }
@@ -109,41 +112,42 @@
       storeContactAgeMs: storeContactAgeMs(this.common),
       counts,
       format: FORMAT,
-      dependenciesResolvedUntil: this.#settledAt(),
-      silentZones: this.#quietZones(),
+      dependenciesResolvedUntil: this.#dependenciesResolvedUntil(),
+      silentZones: this.#silentZoneList(),
       relayedMachines: state.leadership === null ? this.relayedMachines() : [],
-      viewConfirmedAt: this.#provenAt(),
+      viewConfirmedAt: this.#viewConfirmedAt(),
       acceptsHeartbeats: this.acceptsHeartbeats(),
       ...this.failureDetectorStatus(),
     };
   }
 
   /** What is known of zones that nobody is heard of: by this node as the leader, or from one. */
-  #quietZones(): SilentZone[] {
+  #silentZoneList(): SilentZone[] {
     const { state } = this.common.commands;
     const now = this.common.ports.clock.monotonicMs();
-    const known = state.leadership === null ? this.#quiet : state.silentZones;
+    const known = state.leadership === null ? this.#silentZones : state.silentZones;
     return [...known].map(([zone, since]) => ({ zone, silentMs: Math.max(0, Math.round(now - since)) }));
   }
 
-  /** Takes over what a peer knows of quiet zones; it grows old by itself once nobody tells of it. */
-  #learnQuiet(status: PeerStatus, now: number): void {
-    if (status.isLeader) this.#quiet.clear();
+  /** Takes over what a peer knows of silent zones; it grows old by itself once nobody tells of it. */
+  #mergeSilentZones(status: PeerStatus, now: number): void {
+    if (status.isLeader) this.#silentZones.clear();
     for (const { zone, silentMs } of status.silentZones) {
       const since = now - silentMs;
-      if (status.isLeader || (this.#quiet.get(zone) ?? -Infinity) < since) this.#quiet.set(zone, since);
+      if (status.isLeader || (this.#silentZones.get(zone) ?? -Infinity) < since)
+        this.#silentZones.set(zone, since);
     }
   }
 
-  /** Time of day up to which cancellations have gone through their pipelines; 0 without leading. */
-  #settledAt(): number {
+  /** Epoch milliseconds up to which cancellations have reached all dependent jobs; 0: this node does not lead. */
+  #dependenciesResolvedUntil(): number {
     const { state } = this.common.commands;
     if (state.leadership === null) return 0;
     return this.common.ports.clock.epochMs() - (this.common.ports.clock.monotonicMs() - resolvedUntil(state));
   }
 
-  /** Time of day of the read that proved this leader's view; 0 without leading. */
-  #provenAt(): number {
+  /** Epoch milliseconds of the read that confirmed this leader's view; 0: this node does not lead. */
+  #viewConfirmedAt(): number {
     const { leadership } = this.common.commands.state;
     const { clock } = this.common.ports;
     return leadership === null ? 0 : clock.epochMs() - (clock.monotonicMs() - leadership.viewConfirmedAt);
@@ -156,22 +160,23 @@
   areDependenciesResolved(): boolean {
     const fresh = this.common.timing.cancelTimeoutMs / 2 - 2 * this.common.settings.cluster.clock_error_ms;
     const now = this.common.ports.clock.epochMs();
-    if (now - this.#settledAt() < fresh) return true;
-    return [...this.#heard.values()].some(
+    if (now - this.#dependenciesResolvedUntil() < fresh) return true;
+    return [...this.#receivedStatuses.values()].some(
       ({ status }) => status.isLeader && now - status.dependenciesResolvedUntil < fresh,
     );
   }
 
+  /** Takes in a peer's status. */
   onPeer(status: PeerStatus): void {
     const now = this.common.ports.clock.monotonicMs();
-    this.#heard.set(status.node, { status, receivedAt: now });
+    this.#receivedStatuses.set(status.node, { status, receivedAt: now });
     if (status.term > this.common.leadershipView.highestTerm) {
       this.common.leadershipView.highestTerm = status.term;
       this.common.commands.push({ kind: 'higherTokenSeen', token: status.term });
     }
     if (status.relayedMachines.length > 0)
       this.common.commands.push({ kind: 'machinesRelayed', machines: status.relayedMachines, ageMs: 0 });
-    if (status.term >= this.common.leadershipView.highestTerm) this.#learnQuiet(status, now);
+    if (status.term >= this.common.leadershipView.highestTerm) this.#mergeSilentZones(status, now);
     if (!status.isLeader || status.term < this.common.leadershipView.highestTerm) return;
     if (this.common.commands.state.leadership === null) this.common.leadershipView.leader = status.node;
     if (status.viewConfirmedAt > 0)
@@ -179,8 +184,8 @@
         viewConfirmedAt: status.viewConfirmedAt,
         liveJobs: new Set(status.counts.map(({ id }) => id)),
       });
-    this.#counts.clear();
-    for (const count of status.counts) this.#counts.set(count.id, count);
+    this.#jobCounts.clear();
+    for (const count of status.counts) this.#jobCounts.set(count.id, count);
   }
 
   /**
@@ -193,8 +198,8 @@
     const stale = 2 * this.common.timing.storeTimeoutMs;
     if (storeContactAgeMs(this.common) < stale) return true;
     const now = this.common.ports.clock.monotonicMs();
-    let heard = this.#heard.size === 0;
-    for (const { status, receivedAt } of this.#heard.values()) {
+    let heard = this.#receivedStatuses.size === 0;
+    for (const { status, receivedAt } of this.#receivedStatuses.values()) {
       if (now - receivedAt < stale / 2 && status.storeContactAgeMs < stale / 2) return false;
       heard ||= now - receivedAt < stale;
     }
--- a/src/membership/election.ts
+++ b/src/membership/election.ts
@@ -2,13 +2,14 @@
  * Leadership, as a state machine without I/O, clock or randomness. One transaction creates the leased
  * `leader` key and raises the lasting `term` key; the term is the token that workers see. Whatever a
  * leader writes is conditional on the revision of `term`, so nothing that an earlier leader sent takes
- * effect once a later one is elected. The lease guards nothing: it only tells when to stand. So a
+ * effect once a later one is elected. The lease protects no data: it only tells when to campaign. So a
  * leader that is known to be gone may be succeeded before it is over, on condition of its record's
  * revision, and so may one that names its successor.
  */
 import type { LeaderRecord } from '../core/persistence/index.js';
 import type { Timing } from '../core/timing.js';
 
+/** A won election. */
 export interface ElectionResult {
   readonly term: number;
   readonly modRevision: number;
@@ -24,11 +25,12 @@
   readonly modRevision: number;
 }
 
-/** The leader's record, and the revision as of which it stood so: a watch from there missedResponses nothing. */
+/** The leader's record, and the revision as of which it stood so: a watch from there misses nothing. */
 export interface LeaderKeyState extends KeyState<LeaderRecord> {
   readonly revision: number;
 }
 
+/** What became of a transaction; `unknown`: it got no answer, and may have been applied. */
 export type TransactionOutcome = 'applied' | 'failed' | 'unknown';
 
 /** What happens to the machine. Answers carry the round they belong to; those of an earlier one are void. */
@@ -63,11 +65,11 @@
       readonly outcome: TransactionOutcome;
       readonly revision: number;
     }
-  /** The owner has stepped down of itself: the lease goes, and the node stands again. */
+  /** The command loop has stepped down: the lease is revoked, and the node campaigns again. */
   | { readonly kind: 'resign' }
   /** The leader of the record with this revision has crashed for all the evidence there is. */
   | { readonly kind: 'replaceCrashedLeader'; readonly modRevision: number }
-  /** This leader is to be followed by another node, which it names in its record. */
+  /** This leader names its successor in its record. */
   | { readonly kind: 'transferLeadership'; readonly to: string };
 
 /** What the machine asks for; answers come back as events of the same round. */
@@ -100,6 +102,7 @@
   | { readonly kind: 'lost' }
   | { readonly kind: 'leaderObserved'; readonly leader: LeaderRecord | null; readonly modRevision: number };
 
+/** What a node knows of the leadership that it holds. */
 interface HeldLeadership {
   readonly lease: number;
   readonly result: ElectionResult;
@@ -115,11 +118,12 @@
   readonly startedAt: number;
 }
 
+/** The state machine's state; it is changed in place. */
 export interface ElectionState {
   readonly node: string;
   readonly incarnation: string;
   readonly timing: Timing;
-  /** How long this node waits before it stands, so that better placed ones that are heard come first. */
+  /** How long this node waits before it campaigns, in milliseconds, so that preferred ones come first. */
   campaignDelayMs: number;
   phase: 'reading' | 'following' | 'granting' | 'campaigning' | 'verifying' | 'leading';
   /** Every question has a round of its own; these are the ones awaited: of the main course, */
@@ -140,6 +144,7 @@
   held: HeldLeadership | null;
 }
 
+/** The state of a node that has not begun yet: the event `start` begins. */
 export function createElection(
   node: string,
   incarnation: string,
@@ -201,8 +206,8 @@
   }
   // An earlier life of this very node is over.
   if (leader?.node === state.node) return requestLease(state, modRevision, true);
-  // Whoever has once waited for others waits again when the leadership is next free: a badly placed
-  // node was elected at every other change of leader, and handed over each time.
+  // The delay applies anew each time the leadership is free, or a node that is not preferred would be elected at
+  // every other change and transfer the leadership again.
   state.hasDeferred = false;
   const known: ElectionEffect = { kind: 'leaderObserved', leader, modRevision };
   if (leader?.successor === state.node) return [known, ...requestLease(state, modRevision, true)];
@@ -240,8 +245,8 @@
 }
 
 /**
- * It leads. Of one whose standing got no answer the lease has run meanwhile, and is renewed at once: a
- * leader elected unseen lost it 0.8 s later, before its first renewal, and nobody led for 3 s more.
+ * This node leads. After an unanswered campaign part of the lease has already run, so it is renewed at once; else
+ * the first renewal comes after the usual interval.
  */
 function becomeLeader(
   state: ElectionState,
@@ -272,10 +277,9 @@
 }
 
 /**
- * Keeps an eye on this leader's own record: it may be succeeded before its lease is over. The watch
- * begins where the record was last seen to stand, not where it was written: the state service keeps
- * only so many changes, and from an older one on each watch ended at once. On a day of 20,000 changes
- * three controllers asked 280,000 times.
+ * Watches this leader's own record: another may replace it before the lease expires. The watch begins at the
+ * revision of the last read, not of the write: the store keeps a bounded history of changes, and a watch from an
+ * older revision would end at once, again and again.
  */
 function watchOwnRecord(state: ElectionState, after: number): ElectionEffect[] {
   return [
@@ -289,7 +293,7 @@
   nextRenewalRound(state);
   nextLeaderWatchRound(state);
   return [
-    // Whoever stands next need not wait for the lease to run out.
+    // The next candidate need not wait for the lease to expire.
     ...(revoke && held !== null ? [{ kind: 'revokeLease', lease: held.lease } as const] : []),
     { kind: 'lost' },
     ...readLeader(state),
--- a/src/membership/evidence-rules.ts
+++ b/src/membership/evidence-rules.ts
@@ -1,17 +1,18 @@
 /**
- * Which evidence allows what. Suspicion takes any one row and does only what can be taken back; a
- * verdict takes every row of its list. docs/suspicion.md tells what each row guards against, and
- * test/membership.test.ts takes each out once.
+ * Which evidence allows which action. Any one rule suffices for suspicion, which is reversible; a verdict needs
+ * every rule of its list. docs/suspicion.md explains what each rule protects against, and
+ * test/membership.test.ts removes each of them once.
  */
 import type { Timing } from '../core/timing.js';
 import type { InterArrivalTracker } from './inter-arrival-tracker.js';
 import type { HealthCounts, LinkState, ProbeRound, MemberStatus } from './status.js';
 
+/** What is known of another controller; times are steady, in milliseconds. */
 export interface Peer {
   readonly node: string;
   status: MemberStatus | null;
   lastStatusAt: number | null;
-  /** Since when this life of it has been heard without a gap. */
+  /** Steady time since which this incarnation has been heard without a gap. */
   contactSince: number;
   readonly arrivals: InterArrivalTracker;
   linkState: LinkState;
@@ -42,6 +43,7 @@
   readonly machineCount: number;
 }
 
+/** What a rule may look at beside the peer in question. */
 export interface EvidenceContext {
   readonly now: number;
   readonly timing: Timing;
@@ -50,6 +52,7 @@
   readonly witnesses: readonly Peer[];
 }
 
+/** One piece of evidence; its name appears in logs and on the status page. */
 export interface EvidenceRule {
   readonly name: string;
   readonly holds: (peer: Peer, context: EvidenceContext) => boolean;
@@ -59,29 +62,29 @@
 const SUSPICION_PHI = 3;
 /** So many refusals in a row are no chance. */
 const MIN_REFUSALS = 2;
-/** So many workers that have left their leader are no chance. */
+/** So many unexpected reports are no coincidence. */
 export const MIN_UNEXPECTED_REPORTS = 3;
-/** Of the knocks at a few machines, so many have to agree. */
+/** Share of a round's probes that have to agree. */
 const MIN_PROBE_AGREEMENT_SHARE = 0.75;
-/** Of fewer machines than this a few may be silent by chance. */
+/** With fewer machines a few silent ones may be a coincidence. */
 const MIN_MACHINES_FOR_SHARE = 3;
-/** A leader that hears a larger share of its workers is not deaf. */
+/** A leader that gets heartbeats from a larger share of its workers is connected. */
 const MIN_REPORTING_SHARE = 0.5;
-/** Of fewer machines none may well have had a reason to speak for a while. */
+/** With fewer machines a short silence of all of them is normal. */
 const MIN_MACHINES_FOR_SILENCE = 8;
 
-/** How often controllers tell their views, in milliseconds. */
+/** How often controllers send their status and the leader its snapshots, in milliseconds. */
 export const snapshotIntervalMs = (timing: Timing): number => 2 * timing.tickMs;
 
 /** Whether a round is young enough to go by. */
 const isRecent = ({ requested, startedAt }: ProbeRound, { now, timing }: EvidenceContext): boolean =>
   requested > 0 && now - startedAt < 2 * timing.maxHeartbeatIntervalMs;
 
-/** Whether this node met hardly anybody in a round. */
+/** Whether this node's probes reached hardly any machine in a round. */
 const cannotReachMachines = (round: ProbeRound, context: EvidenceContext): boolean =>
   isRecent(round, context) && round.unreachable >= MIN_PROBE_AGREEMENT_SHARE * round.requested;
 
-/** Whether a peer met nearly everybody in this node's latest round. */
+/** Whether a peer's probes reached nearly all machines of this node's latest round. */
 const reachesMachines = (view: MemberStatus | null, round: ProbeRound, context: EvidenceContext): boolean =>
   isRecent(round, context) &&
   view?.probeRound === round.round &&
@@ -169,7 +172,7 @@
     holds: ({ status }, { timing }) =>
       status !== null && status.storeContactAgeMs < 2 * timing.storeTimeoutMs,
   },
-  // One that was cut off from the workers was handed back the lead, for its peers heard it well.
+  // Contact between controllers says nothing of a peer's connection to the workers.
   {
     name: 'reaches the machines',
     holds: ({ status }, context) =>
@@ -183,7 +186,7 @@
   },
 ];
 
-/** Why a leader hands over that should not lead again before it has heard a worker. */
+/** The reason of a transfer after which the node does not campaign until a worker has reported to it. */
 export const MACHINES_UNREACHABLE = 'this node cannot reach its machines';
 
 /** A leader hands over to a fit peer: any one of these. */
@@ -194,8 +197,8 @@
       isMissingHeartbeats(context.local, context.timing) &&
       cannotReachMachines(context.local.probeRound, context),
   },
-  // One that is only busy would make its successor as busy, and a takeover's work comes on top: in a
-  // burst three controllers of a twelfth of a core handed the lead round every five seconds.
+  // A leader that is only busy would make its successor as busy, and a failover adds work: the leadership would
+  // go round among overloaded nodes.
   {
     name: 'this node cannot keep up, and computes slower than it did',
     holds: (_, { local, now, timing }) =>
@@ -207,6 +210,7 @@
   },
 ];
 
+/** The rules for each verdict. */
 export interface EvidenceRules {
   readonly suspected: readonly EvidenceRule[];
   readonly crashed: readonly EvidenceRule[];
@@ -214,6 +218,7 @@
   readonly transfer: readonly EvidenceRule[];
 }
 
+/** The rules that are in force. */
 export const EVIDENCE_RULES: EvidenceRules = {
   suspected: SUSPICION_RULES,
   crashed: CRASH_RULES,
--- a/src/membership/inter-arrival-tracker.ts
+++ b/src/membership/inter-arrival-tracker.ts
@@ -13,6 +13,7 @@
 /** What the approximation of the normal distribution's tail still tells apart. */
 const MIN_PROBABILITY = 1e-6;
 
+/** The intervals between a peer's messages, and how unusual the present silence is. */
 export class InterArrivalTracker {
   readonly #gaps: number[] = [];
   #last: number | null = null;
@@ -20,6 +21,7 @@
   /** `usual`: the gap between two words that nothing has held up, in milliseconds. */
   constructor(private readonly usual: number) {}
 
+  /** A message has arrived at this steady time. */
   record(at: number): void {
     if (this.#last !== null) this.#gaps.push(Math.max(0, at - this.#last));
     if (this.#gaps.length > MAX_SAMPLES) this.#gaps.shift();
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,7 +1,7 @@
 /**
- * What one controller makes of the others: evidence kept apart by kind and by who saw it, levels of
- * suspicion, and the verdicts that the table allows. No I/O, clock or randomness: whoever owns it
- * tells it what is seen, with the steady time.
+ * One controller's view of the others: evidence by kind and by witness, levels of suspicion, and the verdicts that
+ * the evidence rules allow. No I/O, clock or randomness: the failure detector passes in what is observed, with the
+ * steady time in milliseconds.
  */
 import type { Timing } from '../core/timing.js';
 import { InterArrivalTracker } from './inter-arrival-tracker.js';
@@ -18,8 +18,10 @@
 } from './evidence-rules.js';
 import type { HealthCounts, LinkState, ProbeRound, Observation, MemberStatus } from './status.js';
 
+/** How far a peer is trusted; only its own status takes `given up` back. */
 export type SuspicionLevel = 'trusted' | 'suspected' | 'given up';
 
+/** A peer's level of suspicion, since when, and on what evidence. */
 export interface SuspicionState {
   readonly node: string;
   readonly level: SuspicionLevel;
@@ -28,21 +30,22 @@
   readonly evidence: string;
 }
 
-/** A leader's hand-over: to whom, and why. */
+/** A leader's transfer of its leadership: to whom, and why. */
 export interface Resignation {
   readonly to: string;
   readonly reason: string;
 }
 
-/** A node that was doubted has to be heard well for longer before anybody hands over to it: at most so many times. */
+/** A peer that was suspected has to be stable for longer before it may lead: at most this many times as long. */
 const MAX_SETTLING_FACTOR = 8;
 
-/** A process that fired so many timers in time has caught up. */
+/** So many punctual timers in a row, and the process has caught up. */
 const MIN_PUNCTUAL_TIMERS = 3;
 
-/** Lives of a peer that are remembered as over. */
+/** Previous incarnations of a peer that are remembered. */
 const MAX_PREVIOUS_INCARNATIONS = 50;
 
+/** Peers, evidence and verdicts of one controller. */
 export class Membership {
   readonly #peers = new Map<string, Peer>();
   readonly #suspicions = new Map<string, SuspicionState>();
@@ -116,6 +119,7 @@
     if (peer.linkState !== 'refused' && peer.linkState !== 'lost') peer.linkLostAt = null;
   }
 
+  /** The connection to a peer has changed its state. */
   setLinkState(node: string, link: LinkState, now: number): void {
     const peer = this.#peers.get(node);
     if (peer === undefined) return;
@@ -147,14 +151,14 @@
     else if (timerLagMs > tickMs) this.#stalledUntil = Math.max(this.#stalledUntil, now + 2 * tickMs);
   }
 
-  /** A worker that has served the present leader came by, sent by nobody. */
+  /** A worker of the present leader has reported here without having been redirected. */
   recordUnexpectedReport(machine: string, now: number): void {
     // Latest last, so that what grows old is found at the front.
     this.#unexpectedReports.delete(machine);
     this.#unexpectedReports.set(machine, now);
   }
 
-  /** Workers that came by of late, sent by nobody. */
+  /** Workers that have recently reported here without having been redirected. */
   unexpectedReports(now: number): number {
     for (const [machine, at] of this.#unexpectedReports) {
       if (now - at <= this.timing.maxHeartbeatIntervalMs) break;
@@ -163,7 +167,7 @@
     return this.#unexpectedReports.size;
   }
 
-  /** Another leads: who strayed from the one before says nothing of it. */
+  /** Another leads: what reports said of its predecessor is void. */
   clearUnexpectedReports(): void {
     this.#unexpectedReports.clear();
   }
@@ -183,6 +187,7 @@
     return this.#probeRound;
   }
 
+  /** How late this node's timers are, in milliseconds; it fades. */
   timerLagMs(now: number): number {
     return Math.round(
       this.#timerLagMs * Math.exp(-Math.max(0, now - this.#timerLagAt) / this.timing.maxHeartbeatIntervalMs),
@@ -194,6 +199,7 @@
     return now < this.#stalledUntil;
   }
 
+  /** What this node observes of each peer. */
   observations(now: number): Observation[] {
     return [...this.#peers.values()].map(({ node, lastStatusAt, linkState }) => ({
       node,
@@ -202,6 +208,7 @@
     }));
   }
 
+  /** The last status of a peer; null: none yet. */
   statusOf(node: string): MemberStatus | null {
     return this.#peers.get(node)?.status ?? null;
   }
@@ -292,10 +299,12 @@
     return Math.max(0, doubts.times - Math.floor((now - doubts.at) / (8 * this.timing.workerLeaseMs)));
   }
 
+  /** The level of every peer. */
   suspicionStates(): SuspicionState[] {
     return [...this.#suspicions.values()];
   }
 
+  /** The level of one peer. */
   levelOf(node: string): SuspicionLevel {
     return this.#suspicions.get(node)?.level ?? 'trusted';
   }
@@ -370,7 +379,7 @@
     best.sort((a, b) => rank(b) - rank(a) || reach(b) - reach(a) || (a.peer.node < b.peer.node ? -1 : 1));
     const first = best[0];
     if (first === undefined) return null;
-    // The first answer to a round of knocks came from one that would hand over again a moment later.
+    // A preferred peer that has not answered the probe round yet is waited for: another would transfer again.
     const awaited = (node: string): boolean =>
       preferred.has(node) &&
       this.hasContact(node, now) &&
--- a/src/membership/processing-rate.ts
+++ b/src/membership/processing-rate.ts
@@ -15,6 +15,7 @@
 const SLOWDOWN_THRESHOLD = 1.5;
 const MIN_SLOW_WINDOWS = 3;
 
+/** Compares the present processing rate with the usual one. */
 export class ProcessingRateMonitor {
   readonly #windows: number[] = [];
   #steadyMs = 0;
@@ -30,6 +31,7 @@
     private readonly share: number,
   ) {}
 
+  /** A batch of work: its steady time and its processor time, in milliseconds. */
   record(steadyMs: number, processorMs: number, now: number): void {
     const { maxHeartbeatIntervalMs } = this.timing;
     if (this.#from === -Infinity) this.#from = now;
@@ -55,6 +57,7 @@
     return this.#latest / Math.max(1 / this.share, median(this.#windows));
   }
 
+  /** Whether this node has computed far slower than usual for several windows. */
   get isSlow(): boolean {
     return this.#slowFor >= MIN_SLOW_WINDOWS;
   }
--- a/src/membership/status.ts
+++ b/src/membership/status.ts
@@ -1,7 +1,7 @@
-/** What controllers see of one another, and tell. */
+/** The status that controllers exchange: what each observes of the others, and the outcome of probes. */
 export type { HealthCounts } from '../core/model.js';
 
-/** What became of the link that this node dials to another. */
+/** The state of the connection that this node opens to another. */
 export type LinkState =
   | 'up'
   /** It was up and broke. */
@@ -11,25 +11,26 @@
   /** Nobody answers at all: a cut, or a host without power. */
   | 'silent';
 
+/** All link states, in the order of their numbers on the wire. */
 export const LINK_STATES: readonly LinkState[] = ['up', 'lost', 'refused', 'silent'];
 
-/** What one controller sees of another. */
+/** What one controller observes of another. */
 export interface Observation {
   readonly node: string;
-  /** Milliseconds since it was last heard. */
+  /** Milliseconds since its last status. */
   readonly ageMs: number;
   readonly linkState: LinkState;
 }
 
-/** What knocks at the same few machines met, from one controller. */
+/** The outcome of one controller's probes of a sample of machines. */
 export interface ProbeCounts {
-  /** Which few: the leader counts its questions. */
+  /** The number of the leader's probe round; each has a sample of its own. */
   readonly round: number;
   readonly reachable: number;
   readonly unreachable: number;
 }
 
-/** The round a leader has asked for: at how many machines, when, and what its own knocks met. */
+/** A probe round: how many machines are probed, since which steady time (ms), and this node's own outcome. */
 export interface ProbeRound extends ProbeCounts {
   readonly requested: number;
   readonly startedAt: number;
@@ -38,7 +39,7 @@
 /** What a controller tells the others of itself and of what it sees. */
 export interface MemberStatus {
   readonly node: string;
-  /** Names a life of it; what a life before said is no word of this one. */
+  /** Unique to one run of the process; messages of an earlier incarnation are void. */
   readonly incarnation: string;
   readonly term: number;
   readonly isLeader: boolean;
@@ -47,15 +48,15 @@
   /** How far behind its own timers are, in milliseconds. */
   readonly timerLagMs: number;
   readonly observations: readonly Observation[];
-  /** Workers of the present leader that have come to it of late, sent by nobody. */
+  /** Workers of the present leader that have recently reported to it without having been redirected. */
   readonly unexpectedReports: number;
-  /** As a leader. */
+  /** As a leader: machines that report, and that should. */
   readonly reporting: number;
   readonly expected: number;
-  /** As a leader: where the others are to knock, for this round. */
+  /** As a leader: addresses of the machines that the others are to probe in this round. */
   readonly probeRequests: readonly string[];
   readonly probeRound: number;
-  /** What its own knocks met in that round. */
+  /** How many machines its own probes have reached, and have not, in that round. */
   readonly reachable: number;
   readonly unreachable: number;
 }
--- a/src/membership/worker-router.ts
+++ b/src/membership/worker-router.ts
@@ -5,6 +5,7 @@
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Timing } from '../core/timing.js';
 
+/** Where a worker's heartbeat is answered. */
 export type WorkerRoute =
   /** To the leader. */
   | 'on'
@@ -31,6 +32,7 @@
   readonly token: number;
 }
 
+/** Decides where a worker that reports to a follower goes, and remembers whom it has redirected. */
 export class WorkerRouter {
   /** When workers were sent on; the oldest are forgotten first. */
   readonly #redirectedAt = new Map<string, number>();
@@ -61,19 +63,18 @@
     const sent = this.#redirectedAt.get(machine);
     // It takes a worker some seconds to try a node that does not answer: back after so long, it
     // has tried the leader in vain, even if this node hears it; as have others of its zone if
-    // the leader calls that quiet. It is answered once and then sent again: kept here until its
-    // lease had passed by, it was silent to a leader that could hear it again, and given back alive.
+    // the leader calls that quiet. It is answered once and then redirected again: kept here
+    // for longer, it would be silent to a leader that may reach it again, and be terminated alive.
     const inVain =
       sent === undefined
         ? reach.isZoneSilent
         : now - sent < workerLeaseMs && now - sent > 1.5 * maxHeartbeatIntervalMs;
     // Nobody listens there: it is followed within a moment, and the next controller may be its
-    // successor already. Sent back to it, workers tried a dead leader by turns. Where nobody else is
-    // left, this node will be: sent away they came back seconds later, some too late for their lease.
+    // successor already. Workers that are sent back would try a dead leader by turns. Where no
+    // other controller is left, this node will lead: sent away, workers might come back too late for their lease.
     const falling = linkLostAt !== null && now - linkLostAt < leaderLeaseMs;
     if (falling && reach.hasOtherContact) return 'away';
-    // Links that are refused say nothing of workers: a healthy leader got none for a minute,
-    // because its peers' links were refused and each follower kept those that came to it.
+    // Links that are refused between controllers say nothing of the workers' connections to the leader.
     const reachable = reach.hasContact || (linkLostAt !== null && reach.isRecordConfirmed);
     if (reachable && !inVain && !falling) {
       if (sent === undefined || now - sent > 1.5 * maxHeartbeatIntervalMs) this.#recordRedirect(machine, now);
