--- a/src/controller/command-loop.ts
+++ b/src/controller/command-loop.ts
@@ -1,4 +1,4 @@
-/** The one owner of a node's scheduling state: a queue of commands, worked off in batches. */
+/** The command loop: it alone changes the scheduling state, by commands that it takes in batches. */
 import { buffer, exhaustMap, Observable, Subject, type Subscription } from 'rxjs';
 import type { Clock, Work } from '../clock.js';
 import type { Command, Effect } from '../core/effects.js';
@@ -6,6 +6,7 @@
 import type { CoreState } from '../core/state.js';
 import type { Log } from '../logging.js';
 
+/** Owns the scheduling state of a controller; effects of each batch go to `executeEffect`. */
 export class CommandLoop {
   readonly #commands = new Subject<Command>();
   readonly #subscription: Subscription;
@@ -15,7 +16,7 @@
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly executeEffect: (effect: Effect) => void,
-    /** Is told how long some of the batches took: those of a tick, for each look at the clocks costs too. */
+    /** Receives the time that batches with a tick took; the others are not measured, since reading clocks costs. */
     private readonly recordWork: (work: Work) => void = () => undefined,
   ) {
     // A batch is all that has come in by the time the input that is ready now is read.
@@ -27,26 +28,28 @@
     });
     this.#subscription = this.#commands
       .pipe(buffer(this.#commands.pipe(exhaustMap(() => nextTurn))))
-      .subscribe((batch) => this.#work(batch));
+      .subscribe((batch) => this.#applyBatch(batch));
   }
 
+  /** Queues a command; it is applied with the next batch. */
   push(command: Command): void {
     this.#commands.next(command);
   }
 
+  /** Takes no more commands. */
   close(): void {
     this.#subscription.unsubscribe();
   }
 
-  #work(batch: readonly Command[]): void {
+  #applyBatch(batch: readonly Command[]): void {
     const now = { monotonicMs: this.clock.monotonicMs(), epochMs: this.clock.epochMs() };
     const end = batch.some(({ kind }) => kind === 'tick') ? this.clock.measure() : null;
     let effects: Effect[];
     try {
       effects = step(this.state, batch, now);
     } catch (error) {
-      // No fault of one batch may end the process. Half-done knowledge is dropped with
-      // the leadership; the state service has the truth.
+      // A fault in one batch must not end the process. State that is half changed is dropped with the
+      // leadership; the store holds the committed state.
       this.log.error(
         { error: String(error), stack: error instanceof Error ? error.stack : '' },
         'step failed',
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a node have in common: its ports, and who leads as far as it knows. */
+/** What the parts of a controller share: settings, ports, the command loop, and who leads. */
 import type { Cloud } from '../adapters/cloud.js';
 import type { StateService } from '../adapters/state.js';
 import type { Workers } from '../adapters/workers.js';
@@ -16,10 +16,11 @@
   readonly clock: Clock;
   readonly log: Log;
   readonly policy: SchedulingPolicy;
-  /** Names this life of the node, and no other. */
+  /** Unique to this run of the process. */
   readonly incarnation: string;
 }
 
+/** Who leads, as far as this node knows; the election and peers' statuses change it in place. */
 export interface LeadershipView {
   /** The node that leads, as far as this one knows, and the revision of the record that says so. */
   leader: string | null;
@@ -29,6 +30,7 @@
   leadingTerm: number;
 }
 
+/** Handed to every part of a controller. */
 export interface ControllerContext {
   readonly settings: PlatformSettings;
   readonly timing: Timing;
@@ -37,7 +39,7 @@
   readonly leadershipView: LeadershipView;
 }
 
-/** Milliseconds since the state service last answered this node. */
+/** Milliseconds since the key-value store last answered this node; 0xffffffff: it never has. */
 export function storeContactAgeMs({ ports: { state, clock } }: ControllerContext): number {
   const contact = state.contactAt();
   return contact === null ? 0xffffffff : Math.max(0, Math.round(clock.monotonicMs() - contact));
--- a/src/controller/election-driver.ts
+++ b/src/controller/election-driver.ts
@@ -1,4 +1,4 @@
-/** Carries out what the election machine asks for, and tells it what came of it. */
+/** Drives the election's state machine: it carries out the effects and feeds their outcomes back as events. */
 import type { StateService } from '../adapters/state.js';
 import type { Clock } from '../clock.js';
 import {
@@ -20,6 +20,7 @@
   type ElectionResult,
 } from '../membership/election.js';
 
+/** Receives the results of elections. */
 export interface ElectionListener {
   onElected(won: ElectionResult): void;
   /** Another node may lead. */
@@ -27,29 +28,31 @@
   onLeaderObserved(leader: LeaderRecord | null, modRevision: number): void;
 }
 
+/** Connects the election's state machine with the store and the clock. */
 export class ElectionDriver {
   constructor(
     private readonly machine: ElectionState,
     private readonly state: StateService,
     private readonly clock: Clock,
-    private readonly events: ElectionListener,
-    /** How long to wait before standing, as of now. */
-    private readonly handicap: () => number,
+    private readonly listener: ElectionListener,
+    /** How long to wait before a campaign, in milliseconds, as of now. */
+    private readonly campaignDelayMs: () => number,
   ) {}
 
+  /** One event into the state machine; its effects are begun at once. */
   dispatch(event: ElectionEvent): void {
-    this.machine.campaignDelayMs = this.handicap();
-    for (const effect of electionStep(this.machine, event)) void this.#carryOut(effect);
+    this.machine.campaignDelayMs = this.campaignDelayMs();
+    for (const effect of electionStep(this.machine, event)) void this.#execute(effect);
   }
 
-  async #carryOut(effect: ElectionEffect): Promise<void> {
+  async #execute(effect: ElectionEffect): Promise<void> {
     switch (effect.kind) {
       case 'wait':
         await this.clock.sleep(effect.ms);
         this.dispatch({ kind: 'timerFired', round: effect.round });
         break;
       case 'readLeader':
-        this.dispatch({ kind: 'leaderRead', round: effect.round, leader: await this.#seen() });
+        this.dispatch({ kind: 'leaderRead', round: effect.round, leader: await this.#readLeaderListed() });
         break;
       case 'watchLeader': {
         const found = await this.state.watch(LEADER_KEY, effect.after, effect.ms);
@@ -59,7 +62,7 @@
       case 'grantLease': {
         const [lease, term] = await Promise.all([
           this.state.grant(this.machine.timing.leaderLeaseMs),
-          this.#term(),
+          this.#readTerm(),
         ]);
         this.dispatch({
           kind: 'leaseGranted',
@@ -86,7 +89,7 @@
         break;
       }
       case 'verifyCampaign': {
-        const [leader, term] = await Promise.all([this.#leader(), this.#term()]);
+        const [leader, term] = await Promise.all([this.#readLeader(), this.#readTerm()]);
         this.dispatch({ kind: 'campaignVerified', round: effect.round, leader, term });
         break;
       }
@@ -113,19 +116,19 @@
         break;
       }
       case 'elected':
-        this.events.onElected(effect.result);
+        this.listener.onElected(effect.result);
         break;
       case 'lost':
-        this.events.onLost();
+        this.listener.onLost();
         break;
       case 'leaderObserved':
-        this.events.onLeaderObserved(effect.leader, effect.modRevision);
+        this.listener.onLeaderObserved(effect.leader, effect.modRevision);
         break;
     }
   }
 
-  /** Listed, for only that tells the revision as of which it is true. */
-  async #seen(): Promise<LeaderKeyState | 'unknown'> {
+  /** Lists the key: only a list tells the revision as of which it holds, where a watch may begin. */
+  async #readLeaderListed(): Promise<LeaderKeyState | 'unknown'> {
     const found = await this.state.list(LEADER_KEY);
     if (found === 'unknown') return 'unknown';
     const entry = found.entries.find(({ key }) => key === LEADER_KEY);
@@ -136,13 +139,13 @@
     };
   }
 
-  async #leader(): Promise<KeyState<LeaderRecord> | 'unknown'> {
+  async #readLeader(): Promise<KeyState<LeaderRecord> | 'unknown'> {
     const read = await this.state.read(LEADER_KEY);
     if (read === 'unknown') return 'unknown';
     return { value: decodeLeader(read.entry?.value), modRevision: read.entry?.modRevision ?? 0 };
   }
 
-  async #term(): Promise<KeyState<number> | 'unknown'> {
+  async #readTerm(): Promise<KeyState<number> | 'unknown'> {
     const read = await this.state.read(TERM_KEY);
     if (read === 'unknown') return 'unknown';
     return { value: decodeTerm(read.entry?.value)?.term ?? null, modRevision: read.entry?.modRevision ?? 0 };
--- a/src/controller/follower-role.ts
+++ b/src/controller/follower-role.ts
@@ -1,4 +1,4 @@
-/** Following: workers are sent to the leader, or answered for one that they cannot reach. */
+/** The follower's role: workers are redirected to the leader, or answered for one that they cannot reach. */
 import type { Heartbeat } from '../core/types.js';
 import { WorkerRouter, type LeaderReachability } from '../membership/worker-router.js';
 import { encodeRedirect, encodeReply } from '../wire/workers.js';
@@ -7,8 +7,9 @@
 import type { FailureDetector } from './failure-detector.js';
 import type { PeerExchange } from './peer-exchange.js';
 
+/** Answers or redirects the workers that report to a follower. */
 export class FollowerRole {
-  readonly #routing: WorkerRouter;
+  readonly #router: WorkerRouter;
 
   constructor(
     private readonly common: ControllerContext,
@@ -18,10 +19,10 @@
     /** Whether a worker has reported here for a leader that shares its reports; it does so no more. */
     private readonly forgetWorker: (machine: string) => boolean,
   ) {
-    this.#routing = new WorkerRouter(common.timing);
+    this.#router = new WorkerRouter(common.timing);
   }
 
-  #reach(zone: string): LeaderReachability {
+  #leaderReachability(zone: string): LeaderReachability {
     const { leadershipView, settings, timing, ports } = this.common;
     const { membership } = this.failureDetector;
     const leader = leadershipView.leader === settings.host_name ? null : leadershipView.leader;
@@ -36,17 +37,17 @@
     };
   }
 
-  /** Sends a worker to the leader, or stands in for a leader that it cannot reach. */
+  /** Redirects a worker to the leader, or answers it for a leader that it cannot reach. */
   answer(report: Heartbeat, done: (status: number, body: string) => void): void {
     const now = this.common.ports.clock.monotonicMs();
-    const reach = this.#reach(report.zone);
+    const reach = this.#leaderReachability(report.zone);
     // One that reported here has left no leader by coming here again; it has if it comes back from there.
     if (
       !this.forgetWorker(report.machine) &&
-      this.#routing.isUnexpected(report.machine, report.token, reach, now)
+      this.#router.isUnexpected(report.machine, report.token, reach, now)
     )
       this.failureDetector.recordUnexpectedReport(report.machine);
-    const route = this.#routing.route(report.machine, report.token, reach, now);
+    const route = this.#router.route(report.machine, report.token, reach, now);
     if (route !== 'here') {
       done(421, encodeRedirect(route === 'on' ? reach.leader : null));
       return;
--- a/src/controller/heartbeat-intake.ts
+++ b/src/controller/heartbeat-intake.ts
@@ -1,7 +1,7 @@
 /**
- * A follower that takes workers' reports for the leader. What carries news is forwarded, and the leader's
- * answer handed back; what repeats an answered report is answered here with the leader's token, and told as a
- * heartbeat. A local answer never carries a command, and is given only within the authority window of the
+ * A follower's intake of workers' heartbeats for the leader. A heartbeat with news is forwarded, and the leader's
+ * answer handed back; one that repeats what was answered is answered here with the leader's fencing token, and
+ * passed on as a keepalive. A local answer never carries a command, and is given only within the authority window of the
  * leader's own proven view, and only for machines to which the leader has nothing to tell.
  */
 import type { Clock } from '../clock.js';
@@ -12,7 +12,7 @@
 import type { Timing } from '../settings.js';
 import type { AnswersMessage, ForwardedHeartbeat, IntakeMessage, RedirectQuota } from '../wire/intake.js';
 
-/** Answers a report: a status and a body of the workers' interface. */
+/** Answers a worker: an HTTP status and a body of the workers' interface. */
 export type RespondToWorker = (status: number, body: string) => void;
 
 /** What the intake needs of the node around it. */
@@ -21,7 +21,7 @@
   readonly timing: Timing;
   readonly node: string;
   readonly incarnation: string;
-  /** How far the times of day of two controllers may be apart, in milliseconds. */
+  /** By how much the clocks of two controllers may differ, in milliseconds. */
   readonly maxClockSkewMs: number;
   /** The leader and term that this node follows; null: none, or this node leads. */
   followedLeader(): { readonly leader: string; readonly term: number } | null;
@@ -86,6 +86,7 @@
 
 const hasExit = (report: Heartbeat): boolean => report.tasks.some(({ stage }) => stage === 'exited');
 
+/** Takes, forwards and answers heartbeats on a follower. */
 export class HeartbeatIntake {
   #view: LeaderView | null = null;
   readonly #known = new Map<string, KnownWorker>();
@@ -100,7 +101,7 @@
 
   constructor(private readonly context: HeartbeatIntakeContext) {}
 
-  /** Whether this node takes reports for the leader that it follows. */
+  /** Whether this node accepts heartbeats for the leader that it follows. */
   get isActive(): boolean {
     return this.#activeView() !== null;
   }
@@ -246,7 +247,7 @@
   #flushSoon(): void {
     if (this.#isFlushScheduled) return;
     this.#isFlushScheduled = true;
-    // Reports of a moment go together: each message costs the leader a pass over its queue.
+    // Heartbeats of one moment go together: each message costs the leader a pass over its queue.
     void this.context.clock.sleep(this.context.timing.forwardBatchDelayMs).then(() => {
       this.#isFlushScheduled = false;
       this.flush();
@@ -308,7 +309,7 @@
       if (waiting === undefined) continue;
       const { machine, agentEpoch, sequence, token } = waiting.heartbeat;
       const known = this.#known.get(machine);
-      // A report that came before its worker had seen the token does not tell the leader the whole.
+      // A heartbeat sent before its worker had seen the token does not reconcile the machine.
       if (known?.agentEpoch === agentEpoch && known.sequence === sequence)
         known.isAnswered = isAccepted && commands.length === 0 && token === message.term;
       if (needsAttention) this.#view?.attention.add(machine);
@@ -341,7 +342,7 @@
     }
     if (!isSame) return false;
     if (number !== view.number + 1) {
-      // What lay in the gap may have been a start or a stop: nothing is answered here until the next snapshot.
+      // The missed message may have announced a start or a stop: nothing is answered here until the next snapshot.
       view.isSharing = false;
     }
     view.number = number;
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -1,4 +1,4 @@
-/** One controller: the owner, and the parts around it that lead, follow, talk with peers and serve users. */
+/** One controller: the command loop, and around it the roles, the election, the exchange with peers and the users' API. */
 import { Admission } from '../adapters/admission.js';
 import type { PeerTraffic } from '../adapters/peers.js';
 import { Users } from '../adapters/users.js';
@@ -31,7 +31,7 @@
 
 export type { Ports };
 
-/** Followers are told the whole at every second tick, as controllers tell one another their status. */
+/** Followers get a snapshot at every second tick, as often as controllers exchange their status. */
 const TICKS_PER_SNAPSHOT = 2;
 
 const BYTES_PER_KB = 1024;
@@ -39,6 +39,7 @@
 const CAMPAIGN_DELAY_TICKS = 4;
 const ISOLATED_CAMPAIGN_DELAY_TICKS = 8;
 
+/** Owns every part of a controller, and connects them; whoever has the links sets the three senders. */
 export class ControllerNode {
   readonly users: Users;
   readonly latencies = new Latencies();
@@ -62,7 +63,7 @@
   peerTraffic: () => PeerTraffic = () => ({ sentMessages: 0, sentBytes: 0 });
   readonly #failureDetector: FailureDetector;
   #ticks = 0;
-  /** Stamp of the leader's record that this node has stood against, and the term it last handed over. */
+  /** Revision of the leader record that this node has campaigned against, and the term it last transferred. */
   #replacedRevision = 0;
   #transferredTerm = 0;
 
@@ -280,6 +281,7 @@
     });
   }
 
+  /** Starts the election and the loops; they run as long as the process. */
   start(): void {
     const { settings, ports } = this.#context;
     this.#election.dispatch({ kind: 'start' });
@@ -290,17 +292,20 @@
     ports.log.info({ node: settings.host_name, incarnation: ports.incarnation }, 'started');
   }
 
+  /** What the other controllers are told. */
   status(): PeerStatus {
     return this.#peers.status();
   }
 
+  /** The connection to another controller has changed its state. */
   onLink(node: string, link: LinkState): void {
     this.#failureDetector.onLink(node, link);
     if (link !== 'up') this.#intake.onLinkLost(node);
   }
 
+  /** Another controller's status. */
   onPeer(status: PeerStatus): void {
-    // What a life that is over had to say, held back on the way, is no word of the present one.
+    // A delayed message of an earlier incarnation says nothing of the present one.
     if (!this.#failureDetector.membership.isCurrentIncarnation(status)) return;
     this.#peers.onPeer(status);
     this.#failureDetector.onPeer(status);
@@ -339,9 +344,11 @@
     return leadership === null ? 0 : machines.size;
   }
 
+  /** The scheduling state, for checks of simulated runs. */
   core(): unknown {
     return this.#context.commands.state;
   }
+  /** Whether the load balancer is to send users here. */
   ready(): boolean {
     return this.#peers.isReady();
   }
@@ -391,23 +398,23 @@
     if (this.#ticks % TICKS_PER_SNAPSHOT === 0) this.#sharedHeartbeats.sendSnapshots();
   }
 
-  /** The leader has crashed for all the evidence there is: its record may be replaced now. */
+  /** All evidence says that the leader has crashed: its record may be replaced before its lease expires. */
   #replaceCrashedLeader(): void {
     const { leader, leaderRevision } = this.#context.leadershipView;
     if (this.#replacedRevision === leaderRevision) return;
     this.#replacedRevision = leaderRevision;
     this.#context.ports.log.info({ leader }, 'the leader has crashed, standing early');
-    void this.#standEarly(leaderRevision);
+    void this.#campaignEarly(leaderRevision);
   }
 
-  /** A node that is not to lead lets one that is come first, if there is one: else it would hand over soon. */
-  async #standEarly(modRevision: number): Promise<void> {
+  /** A node that is not preferred lets a preferred peer come first: else it would transfer the leadership soon. */
+  async #campaignEarly(modRevision: number): Promise<void> {
     const { clock } = this.#context.ports;
     if (this.#leaderRole.hasPreferredPeer()) await clock.sleep(this.#context.timing.tickMs / 2);
     this.#election.dispatch({ kind: 'replaceCrashedLeader', modRevision });
   }
 
-  /** Hands the leadership to another node: nothing is begun any more, all is written, the node named. */
+  /** Transfers the leadership: nothing new is begun, pending writes are committed, then the successor is named. */
   async #transferLeadership({ to, reason }: Resignation): Promise<void> {
     const { commands, ports } = this.#context;
     const { leadership } = commands.state;
@@ -446,6 +453,7 @@
     };
   }
 
+  /** A heartbeat as it came in; a malformed one is answered with status 400. */
   report(body: unknown, done: (status: number, body: string) => void): void {
     const report = parseReport(body);
     if (report === null) {
--- a/src/controller/shared-heartbeats.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's side of shared reports: it answers what followers forward, tells them for which machines it has
- * something to say, and says which workers report to whom.
+ * The leader's side of shared heartbeats: it answers what followers forward, tells them for which machines it has
+ * commands, and decides which workers report to which follower.
  */
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import {
@@ -34,8 +34,8 @@
 
 /** A reply of the core to a forwarded report. */
 export interface CoreAnswer {
-  readonly able: boolean;
-  readonly pending: boolean;
+  readonly isAccepted: boolean;
+  readonly needsAttention: boolean;
   readonly commands: readonly WorkerCommand[];
 }
 
@@ -45,23 +45,24 @@
   attention: string[];
 }
 
-/** What was on its way for a larger share of a worker's lease is no sign of life, and is passed over. */
+/** A message that was on its way for a larger share of a worker's lease does not renew it, and is ignored. */
 const MAX_AGE_SHARE = 0.5;
 /** Commands in one message, for its size is bounded. */
 const MAX_COMMANDS_IN_MESSAGE = 500;
 
+/** Shares the intake of heartbeats with followers, and balances their loads. */
 export class SharedHeartbeats {
   #isSharing = false;
   #movesLeft = 0;
-  #balance: Rebalancing | null = null;
+  #rebalancing: Rebalancing | null = null;
   /** Which follower a machine last reported to, and how many machines each follower has. */
-  readonly #homes = new Map<string, string>();
+  readonly #followerByMachine = new Map<string, string>();
   readonly #counts = new Map<string, number>();
   /** Steady time at which a machine was last sent to a follower. */
-  readonly #sentAt = new Map<string, number>();
+  readonly #redirectedAt = new Map<string, number>();
   #loads: FollowerLoad[] = [];
   readonly #outboxes = new Map<string, Outbox>();
-  #flushing = false;
+  #isFlushScheduled = false;
 
   constructor(
     private readonly common: ControllerContext,
@@ -79,12 +80,12 @@
   /** Forgets everything: this node leads no more. */
   clear(): void {
     this.#isSharing = false;
-    this.#homes.clear();
+    this.#followerByMachine.clear();
     this.#counts.clear();
-    this.#sentAt.clear();
+    this.#redirectedAt.clear();
     this.#outboxes.clear();
     this.#loads = [];
-    this.#balance = null;
+    this.#rebalancing = null;
   }
 
   /** Takes in what a follower forwards. */
@@ -94,40 +95,42 @@
     if (leadership === null || message.term !== leadership.term) return;
     if (ageMs > MAX_AGE_SHARE * this.common.timing.workerLeaseMs) return;
     if (message.keepalives.length > 0) {
-      for (const { machine } of message.keepalives) this.#setHome(machine, message.node);
+      for (const { machine } of message.keepalives) this.#assignFollower(machine, message.node);
       const heartbeats = message.keepalives.map((one) => ({ ...one, ageMs: one.ageMs + ageMs }));
       this.common.commands.push({ kind: 'keepalives', keepalives: heartbeats });
     }
     for (const { reference, heartbeat } of message.heartbeats) {
-      this.#setHome(heartbeat.machine, message.node);
+      this.#assignFollower(heartbeat.machine, message.node);
       this.context.push(heartbeat, ageMs, (answer) => this.#answer(message.node, { reference, ...answer }));
     }
   }
 
   /** A worker has reported to this node itself. */
   recordDirect(machine: string): void {
-    this.#setHome(machine, null);
+    this.#assignFollower(machine, null);
   }
 
   /** Keeps the counts with each change, so that a look at the loads costs nothing by the machine. */
-  #setHome(machine: string, node: string | null): void {
-    const before = this.#homes.get(machine) ?? null;
+  #assignFollower(machine: string, node: string | null): void {
+    const before = this.#followerByMachine.get(machine) ?? null;
     if (before === node) return;
     if (before !== null) this.#counts.set(before, (this.#counts.get(before) ?? 1) - 1);
-    if (node === null) this.#homes.delete(machine);
+    if (node === null) this.#followerByMachine.delete(machine);
     else {
-      this.#homes.set(machine, node);
+      this.#followerByMachine.set(machine, node);
       this.#counts.set(node, (this.#counts.get(node) ?? 0) + 1);
     }
   }
 
   /** Forgets machines that are gone: only once more are remembered than there are. */
-  #forgetGone(): void {
+  #forgetTerminated(): void {
     const { machines } = this.common.commands.state;
-    if (this.#homes.size > machines.size)
-      for (const machine of this.#homes.keys()) if (!machines.has(machine)) this.#setHome(machine, null);
-    if (this.#sentAt.size > machines.size)
-      for (const machine of this.#sentAt.keys()) if (!machines.has(machine)) this.#sentAt.delete(machine);
+    if (this.#followerByMachine.size > machines.size)
+      for (const machine of this.#followerByMachine.keys())
+        if (!machines.has(machine)) this.#assignFollower(machine, null);
+    if (this.#redirectedAt.size > machines.size)
+      for (const machine of this.#redirectedAt.keys())
+        if (!machines.has(machine)) this.#redirectedAt.delete(machine);
   }
 
   /** The follower that a worker is to report to from now on; null: this node answers it. */
@@ -140,10 +143,11 @@
     if (state.attention.has(machine) || report.tasks.some(({ stage }) => stage === 'exited')) return null;
     // One that has come back is kept: where it was sent it was not taken.
     const now = this.common.ports.clock.monotonicMs();
-    if (now - (this.#sentAt.get(report.machine) ?? -Infinity) < this.common.timing.workerLeaseMs) return null;
+    if (now - (this.#redirectedAt.get(report.machine) ?? -Infinity) < this.common.timing.workerLeaseMs)
+      return null;
     const node = chooseFollower(this.#loads, report.zone);
     if (node === null) return null;
-    this.#sentAt.set(report.machine, now);
+    this.#redirectedAt.set(report.machine, now);
     this.#movesLeft -= 1;
     this.#loads = this.#loads.map((one) => (one.node === node ? { ...one, workers: one.workers + 1 } : one));
     return node;
@@ -156,7 +160,7 @@
   announceAttention(machines: readonly string[]): void {
     if (!this.#isSharing) return;
     for (const machine of machines) {
-      const home = this.#homes.get(machine);
+      const home = this.#followerByMachine.get(machine);
       if (home !== undefined) this.#outboxOf(home).attention.push(machine);
     }
     this.#flushSoon();
@@ -176,10 +180,10 @@
   }
 
   #flushSoon(): void {
-    if (this.#flushing) return;
-    this.#flushing = true;
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
     this.common.ports.clock.soon(() => {
-      this.#flushing = false;
+      this.#isFlushScheduled = false;
       for (const [node, outbox] of this.#outboxes) this.#flush(node, outbox);
     });
   }
@@ -209,14 +213,14 @@
       answers: ForwardedAnswer[];
       attention: readonly string[];
       snapshot?: number;
-      shed?: Rebalancing;
+      redirect?: Rebalancing;
     },
   ): void {
     const { leadership } = this.common.commands.state;
     if (leadership === null) return;
     const { settings, ports } = this.common;
     outbox.number += 1;
-    const { snapshot, shed } = content;
+    const { snapshot, redirect } = content;
     this.context.send(node, {
       kind: 'answers',
       node: settings.host_name,
@@ -229,7 +233,7 @@
       isSnapshot: snapshot !== undefined,
       isSharing: this.#isSharing,
       viewConfirmedAt: snapshot ?? 0,
-      redirect: shed === undefined ? null : { to: shed.to, count: shed.count },
+      redirect: redirect === undefined ? null : { to: redirect.to, count: redirect.count },
     });
   }
 
@@ -238,7 +242,7 @@
     const { state } = this.common.commands;
     const { leadership } = state;
     if (leadership === null) return;
-    const nodes = this.#look();
+    const nodes = this.#updateLoads();
     const { clock } = this.common.ports;
     const provenAt = clock.epochMs() - (clock.monotonicMs() - leadership.viewConfirmedAt);
     const attention = [...state.attention].map(({ name }) => name);
@@ -247,13 +251,13 @@
       const outbox = this.#outboxOf(node);
       // What is sent as a whole need not be sent in part as well.
       outbox.attention = [];
-      const shed = this.#balance?.from === node ? this.#balance : undefined;
+      const redirect = this.#rebalancing?.from === node ? this.#rebalancing : undefined;
       const content = { answers: this.#takeAnswers(outbox), attention: isTold ? attention : [] };
       this.#send(node, outbox, {
         ...content,
         // Without a proof nothing may be answered: the lead is handed over.
         snapshot: isTold ? provenAt : 0,
-        ...(shed === undefined ? {} : { shed }),
+        ...(redirect === undefined ? {} : { redirect }),
       });
     }
   }
@@ -262,7 +266,7 @@
    * Whether reports are shared, among whom, and how many workers may be moved until the next look. The result:
    * whom to tell.
    */
-  #look(): ReadonlySet<string> {
+  #updateLoads(): ReadonlySet<string> {
     const { machines, config } = this.common.commands.state;
     const candidates = this.context.candidates();
     const from = config.policy.sharedHeartbeatsMinMachines;
@@ -273,12 +277,12 @@
         { machines: machines.size, from, with: candidates.length },
         'sharing of reports',
       );
-    this.#forgetGone();
+    this.#forgetTerminated();
     // A follower that has not taken this leader's word would send every worker back.
     const taking = this.#isSharing ? candidates.filter(({ node }) => this.context.isAccepting(node)) : [];
     this.#loads = taking.map(({ node, zone }) => ({ node, zone, workers: this.#counts.get(node) ?? 0 }));
     this.#movesLeft = maxMoves(machines.size);
-    this.#balance = this.#isSharing ? chooseRebalancing(this.#loads, this.#movesLeft) : null;
+    this.#rebalancing = this.#isSharing ? chooseRebalancing(this.#loads, this.#movesLeft) : null;
     // When it ends, those that were told of it are told so once.
     return new Set(this.#isSharing || before ? candidates.map(({ node }) => node) : []);
   }
