--- a/src/wire/intake.ts
+++ b/src/wire/intake.ts
@@ -1,5 +1,5 @@
 /**
- * What a leader and the followers that share its reports tell one another: protobuf messages that travel in
+ * What a leader and the followers that share its heartbeats tell one another: protobuf messages that travel in
  * a field of the frames between controllers, which versions before sharing skip.
  */
 import protobuf from 'protobufjs/light.js';
@@ -7,33 +7,33 @@
 import type { ExitReason, Heartbeat, ReportedTask, TaskStage, WorkerCommand } from '../core/types.js';
 
 interface Envelope {
-  /** The sender, its life, and the term that it speaks of. */
+  /** The sender, its incarnation, and the term of the message. */
   readonly node: string;
   readonly incarnation: string;
   readonly term: number;
-  /** Time of day at the sender, in milliseconds: a message that was held back is as old as it is. */
+  /** Epoch milliseconds at the sender: the age of a delayed message counts. */
   readonly sentAt: number;
 }
 
-/** A report that the leader is to answer. */
+/** A heartbeat that the leader is to answer. */
 export interface ForwardedHeartbeat {
   readonly reference: number;
   readonly heartbeat: Heartbeat;
 }
 
-/** From a follower: reports with news, and the heartbeats of machines without. */
+/** From a follower: heartbeats with news, and keepalives of machines without. */
 export interface HeartbeatsMessage extends Envelope {
   readonly kind: 'heartbeats';
   readonly heartbeats: readonly ForwardedHeartbeat[];
   readonly keepalives: readonly Keepalive[];
 }
 
-/** What the leader says to a forwarded report. */
+/** The leader's answer to a forwarded heartbeat. */
 export interface ForwardedAnswer {
   readonly reference: number;
   /** False: the leader may not answer now. */
   readonly isAccepted: boolean;
-  /** More is to be told to the machine: its next report is to be forwarded, too. */
+  /** The leader has more commands for the machine: its next heartbeat is to be forwarded, too. */
   readonly needsAttention: boolean;
   readonly commands: readonly WorkerCommand[];
 }
@@ -44,21 +44,22 @@
   readonly count: number;
 }
 
-/** From the leader. */
+/** From the leader: answers, and the machines that need its attention. */
 export interface AnswersMessage extends Envelope {
   readonly kind: 'answers';
   readonly answers: readonly ForwardedAnswer[];
   /** Counts the leader's messages to this follower: after a gap only a snapshot is of use. */
   readonly number: number;
-  /** Machines whose next report is to be forwarded: all such (a snapshot), or those that were added. */
+  /** Machines whose next heartbeat is to be forwarded: all such (a snapshot), or those that were added. */
   readonly attention: readonly string[];
   readonly isSnapshot: boolean;
-  /** Of a snapshot: whether followers are to take reports, and the time of day of the read that proved it. */
+  /** Of a snapshot: whether followers are to accept heartbeats, and the epoch milliseconds of the read that confirmed the view. */
   readonly isSharing: boolean;
   readonly viewConfirmedAt: number;
   readonly redirect: RedirectQuota | null;
 }
 
+/** Either direction. */
 export type IntakeMessage = HeartbeatsMessage | AnswersMessage;
 
 const STAGES: readonly TaskStage[] = ['fetching', 'running', 'saving', 'exited'];
--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -15,6 +15,7 @@
 import { nameBytes, portionsOf } from './portions.js';
 import { LINK_STATES, type LinkState, type Observation, type MemberStatus } from '../membership/status.js';
 
+/** Progress of a job's tasks, for the job's status page on any controller. */
 export interface JobCount {
   readonly id: string;
   readonly done: number;
@@ -23,29 +24,30 @@
   readonly why: number;
 }
 
-/** What a controller sees of the others, beside all else that it tells them. */
+/** The status message between controllers. */
 export interface PeerStatus extends MemberStatus {
   readonly counts: readonly JobCount[];
   /** The format that it can read; 0: a version that does not say, which reads format 1. */
   readonly format: number;
   /**
-   * Time of day, in milliseconds, up to which every cancellation has gone through its
-   * pipeline, as a leader knows; 0: unknown.
+   * Epoch milliseconds up to which every cancellation has reached all dependent jobs, as a
+   * leader knows; 0: unknown.
    */
   readonly dependenciesResolvedUntil: number;
-  /** Zones of which the leader hears nobody, and for how long; as far as this node knows. */
+  /** Zones from which the leader gets no heartbeat, and for how long, as far as this node knows. */
   readonly silentZones: readonly SilentZone[];
   /** Machines that this node answers in the leader's place. */
   readonly relayedMachines: readonly string[];
   /**
-   * Time of day, in milliseconds, of the read that proved what the leader knows of cancellations;
+   * Epoch milliseconds of the read that confirmed the leader's view of cancellations;
    * 0: none, or the counts do not list every live job.
    */
   readonly viewConfirmedAt: number;
-  /** It takes reports for the leader that it follows; versions before shared reports say nothing. */
+  /** It accepts heartbeats for the leader that it follows; versions before shared heartbeats leave this out. */
   readonly acceptsHeartbeats: boolean;
 }
 
+/** A zone from which no heartbeat comes, and for how long. */
 export interface SilentZone {
   readonly zone: string;
   readonly silentMs: number;
@@ -92,13 +94,13 @@
         isLeader: { type: 'bool', id: 4 },
         storeContactAgeMs: { type: 'uint32', id: 5 },
         counts: { rule: 'repeated', type: 'JobCount', id: 6 },
-        // Versions before pipelines leave these out, and skip them.
+        // Versions before dependencies leave these out, and skip them.
         format: { type: 'uint32', id: 7 },
         dependenciesResolvedUntil: { type: 'double', id: 8 },
         silentZones: { rule: 'repeated', type: 'SilentZone', id: 9 },
         relayedMachines: { rule: 'repeated', type: 'string', id: 10 },
         viewConfirmedAt: { type: 'double', id: 11 },
-        // Versions before suspicion leave these out: such a peer vouches for nobody's end.
+        // Versions before failure detection leave these out: such a peer confirms no crash.
         timerLagMs: { type: 'uint32', id: 12 },
         observations: { rule: 'repeated', type: 'Observation', id: 13 },
         unexpectedReports: { type: 'uint32', id: 14 },
@@ -108,7 +110,7 @@
         probeRound: { type: 'uint32', id: 18 },
         reachable: { type: 'uint32', id: 19 },
         unreachable: { type: 'uint32', id: 20 },
-        // Versions before shared reports leave these out. A frame that carries an intake message names no
+        // Versions before shared heartbeats leave these out. A frame that carries an intake message names no
         // node, so that they pass it over.
         acceptsHeartbeats: { type: 'bool', id: 21 },
         intake: { type: 'Intake', id: 22 },
@@ -122,7 +124,7 @@
 });
 const statusType = root.lookupType('PeerStatus');
 
-/** The largest frame a peer may send. */
+/** The largest frame that a peer may send, in bytes. */
 export const MAX_FRAME_BYTES = 64 * 1024;
 /** Lists up to so long go in one frame if that is not too large. */
 const MAX_COUNTS_IN_FRAME = 1000;
@@ -196,7 +198,7 @@
   }));
 }
 
-/** The frames that carry a message about shared reports, and no status: one, or of a large fleet several. */
+/** The frames that carry a message about shared heartbeats, and no status: one, or of a large fleet several. */
 export function encodeIntake(message: IntakeMessage): Uint8Array {
   if (message.kind === 'answers' && message.attention.length > MAX_ATTENTION_IN_FRAME)
     return encodeSnapshot(message);
@@ -217,7 +219,7 @@
   );
 }
 
-/** Reports are taken in one by one, so that halves of a message are messages by themselves. */
+/** Heartbeats are taken one by one, so that halves of a message are messages by themselves. */
 function encodeHeartbeats(message: HeartbeatsMessage, whole: Uint8Array): Uint8Array {
   const { heartbeats, keepalives } = message;
   if (heartbeats.length + keepalives.length < 2) return whole;
@@ -286,7 +288,7 @@
   readonly #found: PeerStatus[] = [];
 
   constructor(
-    /** Takes the messages about shared reports. */
+    /** Takes the messages about shared heartbeats. */
     private readonly onIntake: (message: IntakeMessage) => void = () => undefined,
   ) {}
 
