--- a/src/controller/election.ts
+++ b/src/controller/election-driver.ts
@@ -1,4 +1,4 @@
-/** Carries out what the election machine asks for, and tells it what came of it. */
+/** Drives the election's state machine: it carries out the effects and feeds their outcomes back as events. */
 import type { StateService } from '../adapters/state.js';
 import type { Clock } from '../clock.js';
 import {
@@ -14,57 +14,66 @@
   type ElectionEffect,
   type ElectionEvent,
   type ElectionState,
-  type Kept,
-  type Outcome,
-  type Seen,
+  type KeyState,
+  type TransactionOutcome,
+  type LeaderKeyState,
   type ElectionResult,
 } from '../membership/election.js';
 
-export interface ElectionEvents {
-  elected(won: ElectionResult): void;
+/** Receives the results of elections. */
+export interface ElectionListener {
+  onElected(won: ElectionResult): void;
   /** Another node may lead. */
-  lost(): void;
-  leaderKnown(leader: LeaderRecord | null, modRevision: number): void;
+  onLost(): void;
+  onLeaderObserved(leader: LeaderRecord | null, modRevision: number): void;
 }
 
-export class Election {
+/** Connects the election's state machine with the store and the clock. */
+export class ElectionDriver {
   constructor(
     private readonly machine: ElectionState,
     private readonly state: StateService,
     private readonly clock: Clock,
-    private readonly events: ElectionEvents,
-    /** How long to wait before standing, as of now. */
-    private readonly handicap: () => number,
+    private readonly listener: ElectionListener,
+    /** How long to wait before a campaign, in milliseconds, as of now. */
+    private readonly campaignDelayMs: () => number,
   ) {}
 
-  tell(event: ElectionEvent): void {
-    this.machine.handicap = this.handicap();
-    for (const effect of electionStep(this.machine, event)) void this.#carryOut(effect);
+  /** One event into the state machine; its effects are begun at once. */
+  dispatch(event: ElectionEvent): void {
+    this.machine.campaignDelayMs = this.campaignDelayMs();
+    for (const effect of electionStep(this.machine, event)) void this.#execute(effect);
   }
 
-  async #carryOut(effect: ElectionEffect): Promise<void> {
+  async #execute(effect: ElectionEffect): Promise<void> {
     switch (effect.kind) {
       case 'wait':
         await this.clock.sleep(effect.ms);
-        this.tell({ kind: 'time', round: effect.round });
+        this.dispatch({ kind: 'timerFired', round: effect.round });
         break;
-      case 'read':
-        this.tell({ kind: 'read', round: effect.round, leader: await this.#seen() });
+      case 'readLeader':
+        this.dispatch({ kind: 'leaderRead', round: effect.round, leader: await this.#readLeaderListed() });
         break;
-      case 'watch': {
+      case 'watchLeader': {
         const found = await this.state.watch(LEADER_KEY, effect.after, effect.ms);
-        this.tell({ kind: 'watched', round: effect.round, answered: found.kind !== 'unknown' });
+        this.dispatch({ kind: 'leaderWatched', round: effect.round, answered: found.kind !== 'unknown' });
         break;
       }
-      case 'grant': {
+      case 'grantLease': {
         const [lease, term] = await Promise.all([
           this.state.grant(this.machine.timing.leaderLeaseMs),
-          this.#term(),
+          this.#readTerm(),
         ]);
-        this.tell({ kind: 'granted', round: effect.round, lease, term, now: this.clock.monotonicMs() });
+        this.dispatch({
+          kind: 'leaseGranted',
+          round: effect.round,
+          lease,
+          term,
+          now: this.clock.monotonicMs(),
+        });
         break;
       }
-      case 'stand': {
+      case 'campaign': {
         const { record, lease, leaderRevision, termRevision } = effect;
         const [outcome, revision] = await this.#commit({
           preconditions: [
@@ -76,21 +85,25 @@
             { put: TERM_KEY, value: { term: record.term } },
           ],
         });
-        this.tell({ kind: 'stood', round: effect.round, outcome, revision });
+        this.dispatch({ kind: 'campaigned', round: effect.round, outcome, revision });
         break;
       }
-      case 'check': {
-        const [leader, term] = await Promise.all([this.#leader(), this.#term()]);
-        this.tell({ kind: 'checked', round: effect.round, leader, term });
+      case 'verifyCampaign': {
+        const [leader, term] = await Promise.all([this.#readLeader(), this.#readTerm()]);
+        this.dispatch({ kind: 'campaignVerified', round: effect.round, leader, term });
         break;
       }
-      case 'renew':
-        this.tell({ kind: 'renewed', round: effect.round, alive: await this.state.renew(effect.lease) });
+      case 'renewLease':
+        this.dispatch({
+          kind: 'leaseRenewed',
+          round: effect.round,
+          alive: await this.state.renew(effect.lease),
+        });
         break;
-      case 'revoke':
+      case 'revokeLease':
         await this.state.revoke(effect.lease);
         break;
-      case 'name': {
+      case 'nameSuccessor': {
         const { record, lease, leaderRevision, termRevision } = effect;
         const [outcome, revision] = await this.#commit({
           preconditions: [
@@ -99,23 +112,23 @@
           ],
           mutations: [{ put: LEADER_KEY, value: record, lease }],
         });
-        this.tell({ kind: 'named', round: effect.round, outcome, revision });
+        this.dispatch({ kind: 'successorNamed', round: effect.round, outcome, revision });
         break;
       }
       case 'elected':
-        this.events.elected(effect.won);
+        this.listener.onElected(effect.result);
         break;
       case 'lost':
-        this.events.lost();
+        this.listener.onLost();
         break;
-      case 'leaderKnown':
-        this.events.leaderKnown(effect.leader, effect.modRevision);
+      case 'leaderObserved':
+        this.listener.onLeaderObserved(effect.leader, effect.modRevision);
         break;
     }
   }
 
-  /** Listed, for only that tells the revision as of which it is true. */
-  async #seen(): Promise<Seen | 'unknown'> {
+  /** Lists the key: only a list tells the revision as of which it holds, where a watch may begin. */
+  async #readLeaderListed(): Promise<LeaderKeyState | 'unknown'> {
     const found = await this.state.list(LEADER_KEY);
     if (found === 'unknown') return 'unknown';
     const entry = found.entries.find(({ key }) => key === LEADER_KEY);
@@ -126,19 +139,19 @@
     };
   }
 
-  async #leader(): Promise<Kept<LeaderRecord> | 'unknown'> {
+  async #readLeader(): Promise<KeyState<LeaderRecord> | 'unknown'> {
     const read = await this.state.read(LEADER_KEY);
     if (read === 'unknown') return 'unknown';
     return { value: decodeLeader(read.entry?.value), modRevision: read.entry?.modRevision ?? 0 };
   }
 
-  async #term(): Promise<Kept<number> | 'unknown'> {
+  async #readTerm(): Promise<KeyState<number> | 'unknown'> {
     const read = await this.state.read(TERM_KEY);
     if (read === 'unknown') return 'unknown';
     return { value: decodeTerm(read.entry?.value)?.term ?? null, modRevision: read.entry?.modRevision ?? 0 };
   }
 
-  async #commit(txn: Transaction): Promise<[Outcome, number]> {
+  async #commit(txn: Transaction): Promise<[TransactionOutcome, number]> {
     const outcome = await this.state.commit(txn);
     if (outcome.kind === 'applied') return ['applied', outcome.revision];
     return [outcome.kind === 'unknown' ? 'unknown' : 'failed', 0];
--- a/src/controller/shared-reports.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -1,19 +1,19 @@
 /**
- * The leader's side of shared reports: it answers what followers forward, tells them for which machines it has
- * something to say, and says which workers report to whom.
+ * The leader's side of shared heartbeats: it answers what followers forward, tells them for which machines it has
+ * commands, and decides which workers report to which follower.
  */
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import {
-  balance,
+  chooseRebalancing,
   chooseFollower,
-  isSharedAt,
-  movesAllowed,
-  type Balance,
+  shouldShare,
+  maxMoves,
+  type Rebalancing,
   type FollowerLoad,
-} from '../membership/sharing.js';
-import type { ForwardedAnswer, IntakeMessage, ReportsMessage } from '../wire/intake.js';
+} from '../membership/heartbeat-sharing.js';
+import type { ForwardedAnswer, IntakeMessage, HeartbeatsMessage } from '../wire/intake.js';
 import { nameBytes, portionLength } from '../wire/portions.js';
-import type { Common } from './common.js';
+import type { ControllerContext } from './context.js';
 
 /** A controller that may take reports, as this one knows it. */
 export interface FollowerCandidate {
@@ -22,11 +22,11 @@
 }
 
 /** What the leader's side needs of the node around it. */
-export interface SharedReportsContext {
+export interface SharedHeartbeatsContext {
   /** Controllers that are heard and keep up. */
   candidates(): readonly FollowerCandidate[];
   /** Whether a follower has said that it takes reports for this leader now. */
-  isTaking(node: string): boolean;
+  isAccepting(node: string): boolean;
   send(to: string, message: IntakeMessage): boolean;
   /** Hands a report to the core; the answer comes back once. */
   push(report: Heartbeat, ageMs: number, answer: (answer: Omit<ForwardedAnswer, 'reference'>) => void): void;
@@ -34,8 +34,8 @@
 
 /** A reply of the core to a forwarded report. */
 export interface CoreAnswer {
-  readonly able: boolean;
-  readonly pending: boolean;
+  readonly isAccepted: boolean;
+  readonly needsAttention: boolean;
   readonly commands: readonly WorkerCommand[];
 }
 
@@ -45,27 +45,28 @@
   attention: string[];
 }
 
-/** What was on its way for a larger share of a worker's lease is no sign of life, and is passed over. */
+/** A message that was on its way for a larger share of a worker's lease does not renew it, and is ignored. */
 const MAX_AGE_SHARE = 0.5;
 /** Commands in one message, for its size is bounded. */
 const MAX_COMMANDS_IN_MESSAGE = 500;
 
-export class SharedReports {
+/** Shares the intake of heartbeats with followers, and balances their loads. */
+export class SharedHeartbeats {
   #isSharing = false;
   #movesLeft = 0;
-  #balance: Balance | null = null;
+  #rebalancing: Rebalancing | null = null;
   /** Which follower a machine last reported to, and how many machines each follower has. */
-  readonly #homes = new Map<string, string>();
+  readonly #followerByMachine = new Map<string, string>();
   readonly #counts = new Map<string, number>();
   /** Steady time at which a machine was last sent to a follower. */
-  readonly #sentAt = new Map<string, number>();
+  readonly #redirectedAt = new Map<string, number>();
   #loads: FollowerLoad[] = [];
   readonly #outboxes = new Map<string, Outbox>();
-  #flushing = false;
+  #isFlushScheduled = false;
 
   constructor(
-    private readonly common: Common,
-    private readonly context: SharedReportsContext,
+    private readonly common: ControllerContext,
+    private readonly context: SharedHeartbeatsContext,
   ) {}
 
   /** Workers by follower, for the status page. */
@@ -79,71 +80,74 @@
   /** Forgets everything: this node leads no more. */
   clear(): void {
     this.#isSharing = false;
-    this.#homes.clear();
+    this.#followerByMachine.clear();
     this.#counts.clear();
-    this.#sentAt.clear();
+    this.#redirectedAt.clear();
     this.#outboxes.clear();
     this.#loads = [];
-    this.#balance = null;
+    this.#rebalancing = null;
   }
 
   /** Takes in what a follower forwards. */
-  receive(message: ReportsMessage): void {
-    const { leadership } = this.common.owner.state;
-    const ageMs = Math.max(0, this.common.ports.clock.epochMs() - message.at);
+  receive(message: HeartbeatsMessage): void {
+    const { leadership } = this.common.commands.state;
+    const ageMs = Math.max(0, this.common.ports.clock.epochMs() - message.sentAt);
     if (leadership === null || message.term !== leadership.term) return;
     if (ageMs > MAX_AGE_SHARE * this.common.timing.workerLeaseMs) return;
-    if (message.heartbeats.length > 0) {
-      for (const { machine } of message.heartbeats) this.#setHome(machine, message.node);
-      const heartbeats = message.heartbeats.map((one) => ({ ...one, ageMs: one.ageMs + ageMs }));
-      this.common.owner.push({ kind: 'keepalives', keepalives: heartbeats });
+    if (message.keepalives.length > 0) {
+      for (const { machine } of message.keepalives) this.#assignFollower(machine, message.node);
+      const heartbeats = message.keepalives.map((one) => ({ ...one, ageMs: one.ageMs + ageMs }));
+      this.common.commands.push({ kind: 'keepalives', keepalives: heartbeats });
     }
-    for (const { reference, report } of message.reports) {
-      this.#setHome(report.machine, message.node);
-      this.context.push(report, ageMs, (answer) => this.#answer(message.node, { reference, ...answer }));
+    for (const { reference, heartbeat } of message.heartbeats) {
+      this.#assignFollower(heartbeat.machine, message.node);
+      this.context.push(heartbeat, ageMs, (answer) => this.#answer(message.node, { reference, ...answer }));
     }
   }
 
   /** A worker has reported to this node itself. */
-  noteDirect(machine: string): void {
-    this.#setHome(machine, null);
+  recordDirect(machine: string): void {
+    this.#assignFollower(machine, null);
   }
 
   /** Keeps the counts with each change, so that a look at the loads costs nothing by the machine. */
-  #setHome(machine: string, node: string | null): void {
-    const before = this.#homes.get(machine) ?? null;
+  #assignFollower(machine: string, node: string | null): void {
+    const before = this.#followerByMachine.get(machine) ?? null;
     if (before === node) return;
     if (before !== null) this.#counts.set(before, (this.#counts.get(before) ?? 1) - 1);
-    if (node === null) this.#homes.delete(machine);
+    if (node === null) this.#followerByMachine.delete(machine);
     else {
-      this.#homes.set(machine, node);
+      this.#followerByMachine.set(machine, node);
       this.#counts.set(node, (this.#counts.get(node) ?? 0) + 1);
     }
   }
 
   /** Forgets machines that are gone: only once more are remembered than there are. */
-  #forgetGone(): void {
-    const { machines } = this.common.owner.state;
-    if (this.#homes.size > machines.size)
-      for (const machine of this.#homes.keys()) if (!machines.has(machine)) this.#setHome(machine, null);
-    if (this.#sentAt.size > machines.size)
-      for (const machine of this.#sentAt.keys()) if (!machines.has(machine)) this.#sentAt.delete(machine);
+  #forgetTerminated(): void {
+    const { machines } = this.common.commands.state;
+    if (this.#followerByMachine.size > machines.size)
+      for (const machine of this.#followerByMachine.keys())
+        if (!machines.has(machine)) this.#assignFollower(machine, null);
+    if (this.#redirectedAt.size > machines.size)
+      for (const machine of this.#redirectedAt.keys())
+        if (!machines.has(machine)) this.#redirectedAt.delete(machine);
   }
 
   /** The follower that a worker is to report to from now on; null: this node answers it. */
   redirect(report: Heartbeat): string | null {
     if (!this.#isSharing || this.#movesLeft <= 0 || this.#loads.length === 0) return null;
-    const { state } = this.common.owner;
+    const { state } = this.common.commands;
     const machine = state.machines.get(report.machine);
     // What is on its way to or from the machine is settled here first.
     if (machine?.isReconciled !== true || report.token !== state.leadership?.term) return null;
     if (state.attention.has(machine) || report.tasks.some(({ stage }) => stage === 'exited')) return null;
     // One that has come back is kept: where it was sent it was not taken.
     const now = this.common.ports.clock.monotonicMs();
-    if (now - (this.#sentAt.get(report.machine) ?? -Infinity) < this.common.timing.workerLeaseMs) return null;
+    if (now - (this.#redirectedAt.get(report.machine) ?? -Infinity) < this.common.timing.workerLeaseMs)
+      return null;
     const node = chooseFollower(this.#loads, report.zone);
     if (node === null) return null;
-    this.#sentAt.set(report.machine, now);
+    this.#redirectedAt.set(report.machine, now);
     this.#movesLeft -= 1;
     this.#loads = this.#loads.map((one) => (one.node === node ? { ...one, workers: one.workers + 1 } : one));
     return node;
@@ -153,10 +157,10 @@
    * Machines to which there has come to be something to say: told at once to the follower that each reports to.
    * What a follower may answer by itself rests on the snapshots, which name them all.
    */
-  attend(machines: readonly string[]): void {
+  announceAttention(machines: readonly string[]): void {
     if (!this.#isSharing) return;
     for (const machine of machines) {
-      const home = this.#homes.get(machine);
+      const home = this.#followerByMachine.get(machine);
       if (home !== undefined) this.#outboxOf(home).attention.push(machine);
     }
     this.#flushSoon();
@@ -176,10 +180,10 @@
   }
 
   #flushSoon(): void {
-    if (this.#flushing) return;
-    this.#flushing = true;
+    if (this.#isFlushScheduled) return;
+    this.#isFlushScheduled = true;
     this.common.ports.clock.soon(() => {
-      this.#flushing = false;
+      this.#isFlushScheduled = false;
       for (const [node, outbox] of this.#outboxes) this.#flush(node, outbox);
     });
   }
@@ -205,35 +209,40 @@
   #send(
     node: string,
     outbox: Outbox,
-    content: { answers: ForwardedAnswer[]; attention: readonly string[]; snapshot?: number; shed?: Balance },
+    content: {
+      answers: ForwardedAnswer[];
+      attention: readonly string[];
+      snapshot?: number;
+      redirect?: Rebalancing;
+    },
   ): void {
-    const { leadership } = this.common.owner.state;
+    const { leadership } = this.common.commands.state;
     if (leadership === null) return;
     const { settings, ports } = this.common;
     outbox.number += 1;
-    const { snapshot, shed } = content;
+    const { snapshot, redirect } = content;
     this.context.send(node, {
       kind: 'answers',
       node: settings.host_name,
       incarnation: ports.incarnation,
       term: leadership.term,
-      at: ports.clock.epochMs(),
+      sentAt: ports.clock.epochMs(),
       number: outbox.number,
       answers: content.answers,
       attention: content.attention,
       isSnapshot: snapshot !== undefined,
       isSharing: this.#isSharing,
-      provenAt: snapshot ?? 0,
-      shed: shed === undefined ? null : { to: shed.to, count: shed.count },
+      viewConfirmedAt: snapshot ?? 0,
+      redirect: redirect === undefined ? null : { to: redirect.to, count: redirect.count },
     });
   }
 
   /** Looks at the loads, and tells each follower the whole of what it may answer by. */
-  tell(): void {
-    const { state } = this.common.owner;
+  sendSnapshots(): void {
+    const { state } = this.common.commands;
     const { leadership } = state;
     if (leadership === null) return;
-    const nodes = this.#look();
+    const nodes = this.#updateLoads();
     const { clock } = this.common.ports;
     const provenAt = clock.epochMs() - (clock.monotonicMs() - leadership.viewConfirmedAt);
     const attention = [...state.attention].map(({ name }) => name);
@@ -242,13 +251,13 @@
       const outbox = this.#outboxOf(node);
       // What is sent as a whole need not be sent in part as well.
       outbox.attention = [];
-      const shed = this.#balance?.from === node ? this.#balance : undefined;
+      const redirect = this.#rebalancing?.from === node ? this.#rebalancing : undefined;
       const content = { answers: this.#takeAnswers(outbox), attention: isTold ? attention : [] };
       this.#send(node, outbox, {
         ...content,
         // Without a proof nothing may be answered: the lead is handed over.
         snapshot: isTold ? provenAt : 0,
-        ...(shed === undefined ? {} : { shed }),
+        ...(redirect === undefined ? {} : { redirect }),
       });
     }
   }
@@ -257,23 +266,23 @@
    * Whether reports are shared, among whom, and how many workers may be moved until the next look. The result:
    * whom to tell.
    */
-  #look(): ReadonlySet<string> {
-    const { machines, config } = this.common.owner.state;
+  #updateLoads(): ReadonlySet<string> {
+    const { machines, config } = this.common.commands.state;
     const candidates = this.context.candidates();
     const from = config.policy.sharedHeartbeatsMinMachines;
     const before = this.#isSharing;
-    this.#isSharing = candidates.length > 0 && isSharedAt(machines.size, from, before);
+    this.#isSharing = candidates.length > 0 && shouldShare(machines.size, from, before);
     if (this.#isSharing !== before)
       this.common.ports.log.info(
         { machines: machines.size, from, with: candidates.length },
         'sharing of reports',
       );
-    this.#forgetGone();
+    this.#forgetTerminated();
     // A follower that has not taken this leader's word would send every worker back.
-    const taking = this.#isSharing ? candidates.filter(({ node }) => this.context.isTaking(node)) : [];
+    const taking = this.#isSharing ? candidates.filter(({ node }) => this.context.isAccepting(node)) : [];
     this.#loads = taking.map(({ node, zone }) => ({ node, zone, workers: this.#counts.get(node) ?? 0 }));
-    this.#movesLeft = movesAllowed(machines.size);
-    this.#balance = this.#isSharing ? balance(this.#loads, this.#movesLeft) : null;
+    this.#movesLeft = maxMoves(machines.size);
+    this.#rebalancing = this.#isSharing ? chooseRebalancing(this.#loads, this.#movesLeft) : null;
     // When it ends, those that were told of it are told so once.
     return new Set(this.#isSharing || before ? candidates.map(({ node }) => node) : []);
   }
--- a/test/standins/world.ts
+++ b/test/standins/world.ts
@@ -3,7 +3,7 @@
 import { ControllerNode } from '../../src/controller/node.js';
 import { createPolicy } from '../../src/policy.js';
 import { lastingLimits, parseSettings, timing, type PlatformSettings } from '../../src/settings.js';
-import type { Link } from '../../src/membership/views.js';
+import type { LinkState } from '../../src/membership/status.js';
 import type { IntakeMessage } from '../../src/wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader } from '../../src/wire/peers.js';
 import { Checker, type OnMachine, type SubmittedJob } from './checker.js';
@@ -50,16 +50,16 @@
 
 /** What a version before suspicion says of the others. */
 export const UNSEEN = {
-  lateMs: 0,
-  sees: [],
-  strays: 0,
-  heard: 0,
+  timerLagMs: 0,
+  observations: [],
+  unexpectedReports: 0,
+  reporting: 0,
   expected: 0,
-  asks: [],
-  round: 0,
-  met: 0,
-  unmet: 0,
-  takesReports: false,
+  probeRequests: [],
+  probeRound: 0,
+  reachable: 0,
+  unreachable: 0,
+  acceptsHeartbeats: false,
 };
 
 /** Set to play any test of this world with reports shared among controllers. */
@@ -362,7 +362,7 @@
 
   /** The nodes that take themselves for leader. */
   leaders(): string[] {
-    return NODES.filter((name) => this.#lives.get(name)?.node.status().leading === true);
+    return NODES.filter((name) => this.#lives.get(name)?.node.status().isLeader === true);
   }
 
   start(i: number): void {
@@ -388,7 +388,7 @@
       incarnation: `life-${this.#incarnations++}`,
     });
     this.#lives.set(name, { sent: new Map(), earlier, node, clock });
-    node.tellPeers = () => this.#tell(name, false);
+    node.broadcastStatus = () => this.#tell(name, false);
     node.sendIntake = (to, message) => this.#sendIntake(name, to, message);
     node.start();
   }
@@ -453,7 +453,7 @@
   }
 
   /** Versions before suspicion look at no links; the benchmark plays them too. */
-  #link({ node }: Life, to: string, link: Link): void {
+  #link({ node }: Life, to: string, link: LinkState): void {
     if ('onLink' in node) node.onLink(to, link);
   }
 
@@ -471,7 +471,7 @@
     if (life === undefined || !life.clock.alive || life.clock.stillUntil > this.clock.now) return;
     // An earlier version says nothing of formats and pipelines.
     const own = life.node.status();
-    const status = life.earlier ? { ...own, format: 0, settledAt: 0, ...UNSEEN } : own;
+    const status = life.earlier ? { ...own, format: 0, dependenciesResolvedUntil: 0, ...UNSEEN } : own;
     this.network.tap?.(from, 'peers', `status ${Buffer.from(encodeStatus(status)).toString('hex')}`);
     for (const [to, other] of this.#lives) {
       if (to === from || this.network.isCut(from, to)) continue;
