--- a/src/controller/election-driver.ts
+++ b/src/controller/election-driver.ts
@@ -8,7 +8,7 @@
   TERM_KEY,
   type LeaderRecord,
 } from '../core/persistence/index.js';
-import type { Transaction } from '../core/types.js';
+import type { Precondition, Transaction } from '../core/types.js';
 import {
   electionStep,
   type ElectionEffect,
@@ -28,6 +28,18 @@
   onLeaderObserved(leader: LeaderRecord | null, modRevision: number): void;
 }
 
+/** The leader record and the term are still as they were read. */
+const leadershipPreconditions = ({
+  leaderRevision,
+  termRevision,
+}: {
+  readonly leaderRevision: number;
+  readonly termRevision: number;
+}): Precondition[] => [
+  { key: LEADER_KEY, modRevision: leaderRevision },
+  { key: TERM_KEY, modRevision: termRevision },
+];
+
 /** Connects the election's state machine with the store and the clock. */
 export class ElectionDriver {
   constructor(
@@ -73,21 +85,9 @@
         });
         break;
       }
-      case 'campaign': {
-        const { record, lease, leaderRevision, termRevision } = effect;
-        const [outcome, revision] = await this.#commit({
-          preconditions: [
-            { key: LEADER_KEY, modRevision: leaderRevision },
-            { key: TERM_KEY, modRevision: termRevision },
-          ],
-          mutations: [
-            { put: LEADER_KEY, value: record, lease },
-            { put: TERM_KEY, value: { term: record.term } },
-          ],
-        });
-        this.dispatch({ kind: 'campaigned', round: effect.round, outcome, revision });
+      case 'campaign':
+        await this.#campaign(effect);
         break;
-      }
       case 'verifyCampaign': {
         const [leader, term] = await Promise.all([this.#readLeader(), this.#readTerm()]);
         this.dispatch({ kind: 'campaignVerified', round: effect.round, leader, term });
@@ -103,18 +103,9 @@
       case 'revokeLease':
         await this.state.revoke(effect.lease);
         break;
-      case 'nameSuccessor': {
-        const { record, lease, leaderRevision, termRevision } = effect;
-        const [outcome, revision] = await this.#commit({
-          preconditions: [
-            { key: LEADER_KEY, modRevision: leaderRevision },
-            { key: TERM_KEY, modRevision: termRevision },
-          ],
-          mutations: [{ put: LEADER_KEY, value: record, lease }],
-        });
-        this.dispatch({ kind: 'successorNamed', round: effect.round, outcome, revision });
+      case 'nameSuccessor':
+        await this.#nameSuccessor(effect);
         break;
-      }
       case 'elected':
         this.listener.onElected(effect.result);
         break;
@@ -127,6 +118,29 @@
     }
   }
 
+  /** Creates or replaces the leader record and raises the term, if nobody else has done so. */
+  async #campaign(effect: Extract<ElectionEffect, { kind: 'campaign' }>): Promise<void> {
+    const { record, lease, round } = effect;
+    const [outcome, revision] = await this.#commit({
+      preconditions: leadershipPreconditions(effect),
+      mutations: [
+        { put: LEADER_KEY, value: record, lease },
+        { put: TERM_KEY, value: { term: record.term } },
+      ],
+    });
+    this.dispatch({ kind: 'campaigned', round, outcome, revision });
+  }
+
+  /** Names the successor in this leader's record, if the record is still this leader's. */
+  async #nameSuccessor(effect: Extract<ElectionEffect, { kind: 'nameSuccessor' }>): Promise<void> {
+    const { record, lease, round } = effect;
+    const [outcome, revision] = await this.#commit({
+      preconditions: leadershipPreconditions(effect),
+      mutations: [{ put: LEADER_KEY, value: record, lease }],
+    });
+    this.dispatch({ kind: 'successorNamed', round, outcome, revision });
+  }
+
   /** Lists the key: only a list tells the revision as of which it holds, where a watch may begin. */
   async #readLeaderListed(): Promise<LeaderKeyState | 'unknown'> {
     const found = await this.state.list(LEADER_KEY);
--- a/src/membership/election.ts
+++ b/src/membership/election.ts
@@ -129,7 +129,7 @@
   /** Every question has a round of its own; these are the ones awaited: of the main course, */
   lastRound: number;
   round: number;
-  /** of the renewals, and of the look at the record while holding. */
+  /** of the renewals, and of the look at the record while leading. */
   renewalRound: number;
   leaderWatchRound: number;
   /** It has waited out its handicap for the leadership that is free now. */
@@ -310,15 +310,30 @@
   ];
 }
 
-function stepAsLeader(state: ElectionState, holding: HeldLeadership, event: ElectionEvent): ElectionEffect[] {
+/** This leader's record as it was read: another one means that the leadership is lost. */
+function onOwnRecordRead(
+  state: ElectionState,
+  held: HeldLeadership,
+  leader: LeaderKeyState | 'unknown',
+): ElectionEffect[] {
+  if (leader === 'unknown')
+    return [{ kind: 'wait', round: nextLeaderWatchRound(state), ms: state.timing.tickMs }];
+  const { value, modRevision, revision } = leader;
+  const isOwn = value?.incarnation === state.incarnation && value.term === held.result.term;
+  if (!isOwn)
+    return [{ kind: 'leaderObserved', leader: value, modRevision }, ...loseLeadership(state, false)];
+  held.leaderRevision = modRevision;
+  return watchOwnRecord(state, revision);
+}
+
+/** An event while this node leads. */
+function stepAsLeader(state: ElectionState, held: HeldLeadership, event: ElectionEvent): ElectionEffect[] {
   switch (event.kind) {
     case 'timerFired':
       if (event.round === state.renewalRound)
-        return [{ kind: 'renewLease', round: state.renewalRound, lease: holding.lease }];
+        return [{ kind: 'renewLease', round: state.renewalRound, lease: held.lease }];
       // The successor that was named has not come: anybody may.
-      return event.round === state.round && holding.namedSuccessor !== null
-        ? loseLeadership(state, true)
-        : [];
+      return event.round === state.round && held.namedSuccessor !== null ? loseLeadership(state, true) : [];
     case 'leaseRenewed': {
       if (event.round !== state.renewalRound) return [];
       if (event.alive === false) return loseLeadership(state, false);
@@ -332,41 +347,32 @@
       return event.answered
         ? [{ kind: 'readLeader', round: nextLeaderWatchRound(state) }]
         : [{ kind: 'wait', round: nextLeaderWatchRound(state), ms: state.timing.tickMs }];
-    case 'leaderRead': {
-      if (event.round !== state.leaderWatchRound) return [];
-      if (event.leader === 'unknown')
-        return [{ kind: 'wait', round: nextLeaderWatchRound(state), ms: state.timing.tickMs }];
-      const { value, modRevision } = event.leader;
-      const ours = value?.incarnation === state.incarnation && value.term === holding.result.term;
-      if (!ours)
-        return [{ kind: 'leaderObserved', leader: value, modRevision }, ...loseLeadership(state, false)];
-      holding.leaderRevision = modRevision;
-      return watchOwnRecord(state, event.leader.revision);
-    }
+    case 'leaderRead':
+      return event.round === state.leaderWatchRound ? onOwnRecordRead(state, held, event.leader) : [];
     case 'resign':
       return loseLeadership(state, true);
     case 'transferLeadership':
-      if (holding.namedSuccessor !== null) return [];
-      holding.namedSuccessor = event.to;
+      if (held.namedSuccessor !== null) return [];
+      held.namedSuccessor = event.to;
       return [
         {
           kind: 'nameSuccessor',
           round: nextRound(state),
-          lease: holding.lease,
+          lease: held.lease,
           record: {
-            term: holding.result.term,
+            term: held.result.term,
             node: state.node,
             incarnation: state.incarnation,
             successor: event.to,
           },
-          leaderRevision: holding.leaderRevision,
-          termRevision: holding.result.modRevision,
+          leaderRevision: held.leaderRevision,
+          termRevision: held.result.modRevision,
         },
       ];
     case 'successorNamed':
       if (event.round !== state.round) return [];
       // Whatever came of it, the successor or anybody has the lead before long.
-      if (event.outcome === 'applied') holding.leaderRevision = event.revision;
+      if (event.outcome === 'applied') held.leaderRevision = event.revision;
       return [{ kind: 'wait', round: state.round, ms: 4 * state.timing.tickMs }];
     default:
       return [];
