--- a/src/adapters/admission.ts
+++ b/src/adapters/admission.ts
@@ -5,15 +5,15 @@
  * the later the more were refused of late, and not all at the same time; and when it asks about the
  * same job again, it goes before those that were not refused.
  */
-import type { Clock } from '../clock.js';
+import type { Clock } from './clock.js';
 
 export type RequestKind = 'submit' | 'withdraw' | 'show';
 
 /** Share of the requests under way that polls may be. */
 const POLL_SHARE = 0.75;
 /** Nobody is told to stay away for longer, in seconds. */
-const LONGEST_AWAY = 10;
-const LEAST = 16;
+const MAX_RETRY_AFTER_S = 10;
+const MIN_IN_FLIGHT = 16;
 /**
  * Jobs of which it is remembered that a question about them was refused; the oldest are forgotten first. A
  * bound on bad input: it stands far above the live jobs of 8,000 machines.
@@ -31,12 +31,12 @@
     /** Requests under way at once, at most. */
     private readonly most: number,
   ) {
-    this.most = Math.max(LEAST, Math.floor(most));
+    this.most = Math.max(MIN_IN_FLIGHT, Math.floor(most));
     this.#since = clock.monotonicMs();
   }
 
   /** Takes a request in (null), or says in how many seconds it may be made again. */
-  enter(kind: RequestKind, job?: string): number | null {
+  admit(kind: RequestKind, job?: string): number | null {
     const preferred = job !== undefined && this.#jobs.has(job);
     const most = kind === 'show' && !preferred ? POLL_SHARE * this.most : this.most;
     if (this.#underWay < most) {
@@ -45,7 +45,7 @@
       return null;
     }
     if (job !== undefined) this.#remember(job);
-    return this.away();
+    return this.retryAfterS();
   }
 
   #remember(job: string): void {
@@ -55,19 +55,19 @@
     if (oldest !== undefined) this.#jobs.delete(oldest);
   }
 
-  leave(): void {
+  release(): void {
     this.#underWay -= 1;
   }
 
   /** When one that cannot be served now is to come back, in seconds. */
-  away(): number {
+  retryAfterS(): number {
     const now = this.clock.monotonicMs();
     if (now - this.#since > 1000) {
       this.#refused = 0;
       this.#since = now;
     }
     this.#refused += 1;
-    const spread = Math.min(LONGEST_AWAY, 1 + Math.floor(this.#refused / this.most));
+    const spread = Math.min(MAX_RETRY_AFTER_S, 1 + Math.floor(this.#refused / this.most));
     return 1 + (this.#refused % spread);
   }
 }
--- a/src/adapters/peers.ts
+++ b/src/adapters/peer-links.ts
@@ -1,10 +1,10 @@
 /** Links between controllers. Each node dials every other and tells it its status. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
-import type { Clock } from '../clock.js';
+import type { Clock } from './clock.js';
 import { snapshotIntervalMs } from '../membership/evidence-rules.js';
 import type { LinkState } from '../membership/status.js';
-import type { Log, Tally } from '../logging.js';
-import { parseAddress, type PlatformSettings, type Timing } from '../settings.js';
+import type { Log, EventCounter } from '../observability/logging.js';
+import { parseAddress, type PlatformSettings, type Timing } from '../config/settings.js';
 import type { IntakeMessage } from '../wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../wire/peers.js';
 
@@ -19,7 +19,7 @@
   readonly sentBytes: number;
 }
 
-export class Peers {
+export class PeerLinks {
   #sentMessages = 0;
   #sentBytes = 0;
   #largestMessageBytes = 0;
@@ -39,7 +39,7 @@
     private readonly onStatus: (status: PeerStatus) => void,
     /** What became of the link to a peer, each time that changes or is tried. */
     private readonly onLink: (node: string, link: LinkState) => void,
-    private readonly malformed: Pick<Tally, 'note'>,
+    private readonly malformed: Pick<EventCounter, 'count'>,
     private readonly onIntake: (message: IntakeMessage) => void,
   ) {
     this.#names = new Set(settings.others.map((other) => other.host_name));
@@ -84,7 +84,7 @@
       try {
         for (const status of reader.push(part)) this.#take(status);
       } catch {
-        this.malformed.note('peer messages');
+        this.malformed.count('peer messages');
         socket.destroy();
       }
     });
@@ -97,7 +97,7 @@
   }
 
   /** Tells every peer at once what has changed, at most so often. */
-  tellNow(): void {
+  broadcastStatus(): void {
     const now = this.clock.monotonicMs();
     if (now - this.#toldAt < this.timing.tickMs / 4) return;
     this.#toldAt = now;
--- a/src/adapters/limiter.ts
+++ b/src/adapters/rate-limiter.ts
@@ -1,8 +1,8 @@
 /** How much may be asked of a service: its rate, and a budget for when it is in trouble. */
-import type { Clock } from '../clock.js';
+import type { Clock } from './clock.js';
 
 /** A bucket of tokens that keeps this node within its share of a service's rate. */
-export class Limiter {
+export class RateLimiter {
   #level: number;
   #at: number;
 
@@ -22,7 +22,7 @@
   }
 
   /** Takes `cost` now, or says false. */
-  tryTake(cost = 1): boolean {
+  tryAcquire(cost = 1): boolean {
     this.#refill();
     if (this.#level < cost) return false;
     this.#level -= cost;
@@ -30,18 +30,18 @@
   }
 
   /** Takes `cost` whatever the level: for what must not wait, at the expense of the rest. */
-  force(cost = 1): void {
+  forceAcquire(cost = 1): void {
     this.#refill();
     this.#level = Math.max(-this.burst, this.#level - cost);
   }
 
   /** Waits for `cost`, at most `withinMs`; false if that is not long enough. */
-  async take(cost: number, withinMs: number): Promise<boolean> {
-    if (this.tryTake(cost)) return true;
+  async acquire(cost: number, withinMs: number): Promise<boolean> {
+    if (this.tryAcquire(cost)) return true;
     const wait = ((cost - this.#level) / this.perSecond) * 1000;
     if (wait > withinMs) return false;
     await this.clock.sleep(Math.ceil(wait));
-    return this.tryTake(cost);
+    return this.tryAcquire(cost);
   }
 }
 
@@ -54,19 +54,19 @@
  * enough to know that it has.
  */
 export class RetryBudget {
-  readonly #retries: Limiter;
+  readonly #retries: RateLimiter;
   #inTrouble = false;
 
   constructor(clock: Clock, rps: number) {
     const perSecond = Math.max(1, RETRY_SHARE * rps);
-    this.#retries = new Limiter(clock, perSecond, perSecond);
+    this.#retries = new RateLimiter(clock, perSecond, perSecond);
   }
 
-  mayAsk(): boolean {
-    return !this.#inTrouble || this.#retries.tryTake();
+  allowsRequest(): boolean {
+    return !this.#inTrouble || this.#retries.tryAcquire();
   }
 
-  note(answered: boolean): void {
+  observeOutcome(answered: boolean): void {
     this.#inTrouble = !answered;
   }
 }
--- a/src/adapters/retransmission.ts
+++ b/src/adapters/retransmission-timer.ts
@@ -14,13 +14,13 @@
     private readonly most: number,
   ) {}
 
-  get timeout(): number {
+  get timeoutMs(): number {
     if (this.#smoothed === null) return this.most;
     const usual = Math.max(this.least, this.#smoothed + 4 * this.#spread);
     return Math.min(this.most, this.#backoff * usual);
   }
 
-  answered(ms: number): void {
+  observeResponse(ms: number): void {
     this.#backoff = 1;
     if (this.#smoothed === null) {
       this.#smoothed = ms;
@@ -32,7 +32,7 @@
   }
 
   /** No answer came in time. */
-  expired(): void {
+  observeTimeout(): void {
     this.#backoff = Math.min(2 * this.#backoff, this.most / this.least);
   }
 }
--- a/src/client.ts
+++ b/src/cli/user-client.ts
@@ -1,7 +1,7 @@
 /** The thin user verbs: one request to a controller, its answer on standard output. */
-import { HttpClient, type Answer } from './adapters/http.js';
-import { parseAddress } from './settings.js';
-import { asObject } from './core/values.js';
+import { HttpClient, type HttpResponse } from '../adapters/http-client.js';
+import { parseAddress } from '../config/settings.js';
+import { asObject } from '../core/values.js';
 
 export interface Output {
   out(line: string): void;
@@ -17,15 +17,15 @@
     private readonly output: Output,
   ) {}
 
-  async #ask(method: string, path: string, body: string | null): Promise<Answer> {
+  async #ask(method: string, path: string, body: string | null): Promise<HttpResponse> {
     const client = new HttpClient(parseAddress(this.server), 1, false);
-    const answer = await client.call(method, path, body, TIMEOUT_MS);
+    const answer = await client.request(method, path, body, TIMEOUT_MS);
     client.close();
     return answer;
   }
 
   /** Prints an answer; the result is the exit code. */
-  #tell(answer: Answer): number {
+  #tell(answer: HttpResponse): number {
     if (answer.status === 0) {
       this.output.err(`rowanferry: no answer from ${this.server}`);
       return 1;
@@ -58,7 +58,7 @@
     }
   }
 
-  async withdraw(id: string): Promise<number> {
+  async cancel(id: string): Promise<number> {
     return this.#tell(await this.#ask('POST', `/v2/runs/${encodeURIComponent(id)}/withdraw`, '{}'));
   }
 
--- a/src/controller/command-loop.ts
+++ b/src/controller/command-loop.ts
@@ -1,10 +1,10 @@
 /** The command loop: it alone changes the scheduling state, by commands that it takes in batches. */
 import { buffer, exhaustMap, Observable, Subject, type Subscription } from 'rxjs';
-import type { Clock, Work } from '../clock.js';
+import type { Clock, WorkDuration } from '../adapters/clock.js';
 import type { Command, Effect } from '../core/effects.js';
 import { step } from '../core/step.js';
 import type { CoreState } from '../core/state.js';
-import type { Log } from '../logging.js';
+import type { Log } from '../observability/logging.js';
 
 /** Owns the scheduling state of a controller; effects of each batch go to `executeEffect`. */
 export class CommandLoop {
@@ -17,11 +17,11 @@
     private readonly log: Log,
     private readonly executeEffect: (effect: Effect) => void,
     /** Receives the time that batches with a tick took; the others are not measured, since reading clocks costs. */
-    private readonly recordWork: (work: Work) => void = () => undefined,
+    private readonly recordWork: (work: WorkDuration) => void = () => undefined,
   ) {
     // A batch is all that has come in by the time the input that is ready now is read.
     const nextTurn = new Observable<void>((subscriber) => {
-      clock.soon(() => {
+      clock.defer(() => {
         subscriber.next();
         subscriber.complete();
       });
@@ -43,7 +43,7 @@
 
   #applyBatch(batch: readonly Command[]): void {
     const now = { monotonicMs: this.clock.monotonicMs(), epochMs: this.clock.epochMs() };
-    const end = batch.some(({ kind }) => kind === 'tick') ? this.clock.measure() : null;
+    const end = batch.some(({ kind }) => kind === 'tick') ? this.clock.startMeasuring() : null;
     let effects: Effect[];
     try {
       effects = step(this.state, batch, now);
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -1,18 +1,18 @@
 /** What the parts of a controller share: settings, ports, the command loop, and who leads. */
 import type { Cloud } from '../adapters/cloud.js';
-import type { StateService } from '../adapters/state.js';
-import type { Workers } from '../adapters/workers.js';
-import type { Clock } from '../clock.js';
+import type { KeyValueStore } from '../adapters/key-value-store.js';
+import type { WorkerClient } from '../adapters/worker-client.js';
+import type { Clock } from '../adapters/clock.js';
 import type { SchedulingPolicy } from '../core/model.js';
-import type { Log } from '../logging.js';
+import type { Log } from '../observability/logging.js';
 import type { CommandLoop } from './command-loop.js';
-import type { PlatformSettings, Timing } from '../settings.js';
+import type { PlatformSettings, Timing } from '../config/settings.js';
 
 /** What a controller needs of the world around it. */
 export interface Ports {
-  readonly state: StateService;
+  readonly state: KeyValueStore;
   readonly cloud: Cloud;
-  readonly workers: Workers;
+  readonly workers: WorkerClient;
   readonly clock: Clock;
   readonly log: Log;
   readonly policy: SchedulingPolicy;
@@ -41,6 +41,6 @@
 
 /** Milliseconds since the key-value store last answered this node; 0xffffffff: it never has. */
 export function storeContactAgeMs({ ports: { state, clock } }: ControllerContext): number {
-  const contact = state.contactAt();
+  const contact = state.lastContactAt();
   return contact === null ? 0xffffffff : Math.max(0, Math.round(clock.monotonicMs() - contact));
 }
--- a/src/controller/effect-executor.ts
+++ b/src/controller/effect-executor.ts
@@ -81,26 +81,26 @@
   }
 
   #sendCommands({ address, token, agentEpoch, commands }: EffectOf<'sendCommands'>): Promise<void> {
-    return this.context.ports.workers.direct(address, token, agentEpoch, commands).then((heartbeat) => {
+    return this.context.ports.workers.sendCommands(address, token, agentEpoch, commands).then((heartbeat) => {
       if (heartbeat !== null) this.context.commands.push({ kind: 'directAnswer', heartbeat });
     });
   }
 
   #probe({ address, machine }: EffectOf<'probe'>): Promise<void> {
     return this.context.ports.workers
-      .isThere(address)
+      .probe(address)
       .then((isReachable) => this.context.commands.push({ kind: 'probed', machine, isReachable }));
   }
 
   #provision({ requestId, type, zone, spot, count }: EffectOf<'provision'>): Promise<void> {
     return this.context.ports.cloud
-      .rent(requestId, type, zone, spot, count)
+      .provision(requestId, type, zone, spot, count)
       .then((outcome) => this.context.commands.push({ kind: 'provisioned', requestId, outcome }));
   }
 
   #terminate({ machines }: EffectOf<'terminate'>): Promise<void> {
     return this.context.ports.cloud
-      .giveBack(machines)
+      .terminate(machines)
       .then((ok) => this.context.commands.push({ kind: 'terminated', machines, ok }));
   }
 }
--- a/src/controller/election-driver.ts
+++ b/src/controller/election-driver.ts
@@ -1,6 +1,6 @@
 /** Drives the election's state machine: it carries out the effects and feeds their outcomes back as events. */
-import type { StateService } from '../adapters/state.js';
-import type { Clock } from '../clock.js';
+import type { KeyValueStore } from '../adapters/key-value-store.js';
+import type { Clock } from '../adapters/clock.js';
 import {
   decodeLeader,
   decodeTerm,
@@ -44,7 +44,7 @@
 export class ElectionDriver {
   constructor(
     private readonly machine: ElectionState,
-    private readonly state: StateService,
+    private readonly state: KeyValueStore,
     private readonly clock: Clock,
     private readonly listener: ElectionListener,
     /** How long to wait before a campaign, in milliseconds, as of now. */
--- a/src/controller/failure-detector.ts
+++ b/src/controller/failure-detector.ts
@@ -202,7 +202,7 @@
 
   async #probe(addresses: readonly string[], round: number): Promise<void> {
     const found = await Promise.all(
-      addresses.slice(0, MAX_PROBED_MACHINES).map((address) => this.common.ports.workers.isThere(address)),
+      addresses.slice(0, MAX_PROBED_MACHINES).map((address) => this.common.ports.workers.probe(address)),
     );
     if (this.membership.probeRound.round !== round) return;
     const met = found.filter((one) => one === true).length;
--- a/src/controller/fallback-responder.ts
+++ b/src/controller/fallback-responder.ts
@@ -11,11 +11,11 @@
  * while nobody is served by the state service has no successor until that is over, and
  * every worker would lose its lease and its work meanwhile.
  */
-import type { StateService } from '../adapters/state.js';
-import type { Clock } from '../clock.js';
+import type { KeyValueStore } from '../adapters/key-value-store.js';
+import type { Clock } from '../adapters/clock.js';
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
-import type { Timing } from '../settings.js';
+import type { Timing } from '../config/settings.js';
 import { relayKey, JOB_PREFIX, jobOfKey, packMachines, type RelayRecord } from '../core/persistence/index.js';
 
 /** The live jobs as a leader knew them, and the time of day of the read that proved it. */
@@ -41,7 +41,7 @@
 
   constructor(
     private readonly node: string,
-    private readonly state: StateService,
+    private readonly state: KeyValueStore,
     private readonly clock: Clock,
     private readonly timing: Timing,
     /** The largest value that the store takes, in bytes: longer lists are split. */
--- a/src/controller/leader-role.ts
+++ b/src/controller/leader-role.ts
@@ -1,5 +1,5 @@
 /** The leader's role: it loads what its predecessors have committed, then watches the jobs and the cloud. */
-import { readJob } from '../adapters/reads.js';
+import { readJob } from '../adapters/job-reader.js';
 import type { ControllerContext } from './context.js';
 import type { LoadedChunk, ReconciledRecords } from '../core/effects.js';
 import {
@@ -24,9 +24,9 @@
 import type { ElectionResult } from '../membership/election.js';
 import type { FailureDetector } from './failure-detector.js';
 import type { PeerExchange } from './peer-exchange.js';
-import type { PlatformSettings } from '../settings.js';
-import { firstLayout, formatRecord, lastingLayout } from '../upgrade.js';
-import type { Entry } from '../wire/state.js';
+import type { PlatformSettings } from '../config/settings.js';
+import { initialLayout, formatRecord, upgradedLayout } from './format-upgrade.js';
+import type { Entry } from '../wire/key-value-store.js';
 
 function decodeJobs(entries: readonly Entry[]): Versioned<JobSpec>[] {
   const jobs: Versioned<JobSpec>[] = [];
@@ -167,8 +167,10 @@
         modRevision,
         viewConfirmedAt: sentAt,
         layout:
-          format === null ? firstLayout(this.common.settings) : lastingLayout(this.common.settings, format),
-        legacyChunkTasks: format?.wide ?? firstLayout(this.common.settings).tasksPerChunk,
+          format === null
+            ? initialLayout(this.common.settings)
+            : upgradedLayout(this.common.settings, format),
+        legacyChunkTasks: format?.wide ?? initialLayout(this.common.settings).tasksPerChunk,
         jobs: decodeJobs(jobs.entries),
         chunks,
         demandHistory,
@@ -329,7 +331,7 @@
     for (;;) {
       if (this.common.commands.state.leadership !== null) {
         const askedAt = this.common.ports.clock.monotonicMs();
-        const machines = await this.common.ports.cloud.machines();
+        const machines = await this.common.ports.cloud.listMachines();
         if (machines !== null) this.common.commands.push({ kind: 'machinesListed', askedAt, machines });
       }
       await this.common.ports.clock.sleep(pause);
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -1,18 +1,18 @@
 /** One controller: the command loop, and around it the roles, the election, the exchange with peers and the users' API. */
 import { Admission } from '../adapters/admission.js';
-import type { PeerTraffic } from '../adapters/peers.js';
-import { Users } from '../adapters/users.js';
+import type { PeerTraffic } from '../adapters/peer-links.js';
+import { UserRequests } from '../adapters/user-requests.js';
 import { storeContactAgeMs, type ControllerContext, type Ports, type LeadershipView } from './context.js';
 import { FORMAT, LEADER_KEY, type LeaderRecord } from '../core/persistence/index.js';
 import { createState } from '../core/create-state.js';
 import { FallbackResponder } from './fallback-responder.js';
-import { describeLead } from '../describe.js';
+import { describeLeaderView } from '../observability/status-page.js';
 import { EffectExecutor } from './effect-executor.js';
 import { ElectionDriver } from './election-driver.js';
 import { FollowerRole } from './follower-role.js';
-import { Latencies } from '../latency.js';
+import { LatencyHistograms } from '../observability/latency.js';
 import { LeaderRole } from './leader-role.js';
-import { Tally } from '../logging.js';
+import { EventCounter } from '../observability/logging.js';
 import { CommandLoop } from './command-loop.js';
 import { FailureDetector } from './failure-detector.js';
 import { PeerExchange } from './peer-exchange.js';
@@ -21,13 +21,13 @@
 import { createElection, type ElectionResult } from '../membership/election.js';
 import type { Resignation } from '../membership/membership.js';
 import type { LinkState } from '../membership/status.js';
-import { rulesFor } from '../rules.js';
-import { lastingLimits, timing, type PlatformSettings } from '../settings.js';
-import { lastingLayout, Upgrade } from '../upgrade.js';
+import { createCoreConfig } from '../config/core-config.js';
+import { strictestLimits, timing, type PlatformSettings } from '../config/settings.js';
+import { upgradedLayout, FormatUpgrade } from './format-upgrade.js';
 import type { Heartbeat } from '../core/types.js';
 import type { IntakeMessage } from '../wire/intake.js';
 import type { PeerStatus } from '../wire/peers.js';
-import { encodeRedirect, encodeReply, parseReport } from '../wire/workers.js';
+import { encodeRedirect, encodeReply, parseHeartbeat } from '../wire/workers.js';
 
 export type { Ports };
 
@@ -41,17 +41,17 @@
 
 /** Owns every part of a controller, and connects them; whoever has the links sets the three senders. */
 export class ControllerNode {
-  readonly users: Users;
-  readonly latencies = new Latencies();
+  readonly users: UserRequests;
+  readonly latencies = new LatencyHistograms();
   readonly admission: Admission;
   /** What came in that could not be read, by what it should have been. */
-  readonly malformed = new Tally();
+  readonly malformed = new EventCounter();
   readonly #context: ControllerContext;
   readonly #peers: PeerExchange;
   readonly #leaderRole: LeaderRole;
   readonly #followerRole: FollowerRole;
   readonly #election: ElectionDriver;
-  readonly #upgrade: Upgrade;
+  readonly #upgrade: FormatUpgrade;
   readonly #intake: HeartbeatIntake;
   readonly #sharedHeartbeats: SharedHeartbeats;
   readonly #executor: EffectExecutor;
@@ -69,16 +69,12 @@
 
   constructor(settings: PlatformSettings, ports: Ports) {
     const commands = new CommandLoop(
-      createState(settings.host_name, rulesFor(settings, ports.policy)),
+      createState(settings.host_name, createCoreConfig(settings, ports.policy)),
       ports.clock,
       ports.log,
       (effect) => this.#executor.execute(effect),
-      ({ steadyMs, processorMs }) =>
-        this.#failureDetector.membership.processingRate.record(
-          steadyMs,
-          processorMs,
-          ports.clock.monotonicMs(),
-        ),
+      ({ elapsedMs: elapsedMs, cpuMs: cpuMs }) =>
+        this.#failureDetector.membership.processingRate.record(elapsedMs, cpuMs, ports.clock.monotonicMs()),
     );
     const leadershipView: LeadershipView = {
       leader: null,
@@ -112,7 +108,7 @@
   }
 
   get #maxValueBytes(): number {
-    return lastingLimits(this.#context.settings).value_kb * BYTES_PER_KB;
+    return strictestLimits(this.#context.settings).value_kb * BYTES_PER_KB;
   }
 
   #createResponder(): FallbackResponder {
@@ -240,19 +236,19 @@
     leadershipView.highestTerm = Math.max(leadershipView.highestTerm, leader?.term ?? 0);
   }
 
-  #createUpgrade(): Upgrade {
+  #createUpgrade(): FormatUpgrade {
     const { settings, ports, commands, timing: times } = this.#context;
-    return new Upgrade({
+    return new FormatUpgrade({
       settings,
-      state: ports.state,
+      store: ports.state,
       clock: ports.clock,
-      pause: 2 * times.maxHeartbeatIntervalMs,
+      pollIntervalMs: 2 * times.maxHeartbeatIntervalMs,
       termRevision: () => commands.state.leadership?.modRevision ?? null,
-      hearsEarlier: () => this.#peers.hasPeerOfEarlierFormat(),
-      adopted: (record) => {
+      hearsEarlierVersion: () => this.#peers.hasPeerOfEarlierFormat(),
+      onAdopted: (record) => {
         ports.log.info(record, 'every controller reads the new format');
-        ports.state.keepTo(lastingLimits(settings));
-        commands.push({ kind: 'adoptLayout', layout: lastingLayout(settings, record) });
+        ports.state.applyLimits(strictestLimits(settings));
+        commands.push({ kind: 'adoptLayout', layout: upgradedLayout(settings, record) });
       },
     });
   }
@@ -263,19 +259,19 @@
     return new Admission(ports.clock, (settings.cluster.state.rps * times.storeTimeoutMs) / 4000);
   }
 
-  #createUsers(): Users {
+  #createUsers(): UserRequests {
     const { settings, ports, commands, timing: times } = this.#context;
-    const { txn_ops, rps } = lastingLimits(settings);
-    return new Users({
-      rps,
-      valueBytes: this.#maxValueBytes,
-      conditions: 4 * txn_ops,
-      knowsPipelines: async () => (await this.#upgrade.look()) !== null,
-      isSettled: () => this.#peers.areDependenciesResolved(),
-      state: ports.state,
+    const { txn_ops, rps } = strictestLimits(settings);
+    return new UserRequests({
+      requestsPerSecond: rps,
+      maxValueBytes: this.#maxValueBytes,
+      maxPreconditions: 4 * txn_ops,
+      supportsDependencies: async () => (await this.#upgrade.refresh()) !== null,
+      hasPropagatedCancellations: () => this.#peers.areDependenciesResolved(),
+      store: ports.state,
       clock: ports.clock,
       teams: commands.state.config.teams,
-      patience: times.storeTimeoutMs,
+      requestTimeoutMs: times.storeTimeoutMs,
       types: () => commands.state.machineTypes,
       counts: (id) => this.#peers.countOf(id),
     });
@@ -376,7 +372,7 @@
     for (;;) {
       const from = clock.monotonicMs();
       if (from - toldAt > workerLeaseMs) {
-        this.malformed.tell(this.#context.ports.log, 'malformed');
+        this.malformed.flush(this.#context.ports.log, 'malformed');
         toldAt = from;
       }
       await clock.sleep(tickMs);
@@ -449,15 +445,15 @@
         forwarded: this.#intake.forwarded,
         answered: this.#intake.answered,
       },
-      ...(brief || state.leadership === null ? {} : { lead: describeLead(state, now) }),
+      ...(brief || state.leadership === null ? {} : { lead: describeLeaderView(state, now) }),
     };
   }
 
   /** A heartbeat as it came in; a malformed one is answered with status 400. */
   report(body: unknown, done: (status: number, body: string) => void): void {
-    const report = parseReport(body);
+    const report = parseHeartbeat(body);
     if (report === null) {
-      this.malformed.note('reports');
+      this.malformed.count('reports');
       done(400, '{"error":"malformed report"}');
     } else this.#takeReport(report, done);
   }
--- a/src/controller/shared-heartbeats.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -182,7 +182,7 @@
   #flushSoon(): void {
     if (this.#isFlushScheduled) return;
     this.#isFlushScheduled = true;
-    this.common.ports.clock.soon(() => {
+    this.common.ports.clock.defer(() => {
       this.#isFlushScheduled = false;
       for (const [node, outbox] of this.#outboxes) this.#flush(node, outbox);
     });
--- a/src/memory.ts
+++ b/src/observability/memory.ts
@@ -3,7 +3,7 @@
  * planned fleet needs; what bounds the process in use is `quota.ram_mb`, which is watched here.
  */
 import { getHeapStatistics } from 'node:v8';
-import type { Clock } from './clock.js';
+import type { Clock } from '../adapters/clock.js';
 import type { Log } from './logging.js';
 
 /** Resident memory of a controller without machines, in MB. */
@@ -56,7 +56,7 @@
   dropCaches(): void;
 }
 
-export class MemoryWatch {
+export class MemoryMonitor {
   #warnedNearAt = -Infinity;
   #warnedSmallAt = -Infinity;
 
--- a/src/describe.ts
+++ b/src/observability/status-page.ts
@@ -1,10 +1,10 @@
 /** The operators' view of a controller: one object, bounded in size. */
-import { freeResources, isFaultyJob, waitingJobs } from './core/placement/index.js';
-import { isReady, waitingTasks } from './core/jobs/index.js';
-import { taskKey, type Machine, type Now } from './core/model.js';
-import type { CoreState } from './core/state.js';
+import { freeResources, isFaultyJob, waitingJobs } from '../core/placement/index.js';
+import { isReady, waitingTasks } from '../core/jobs/index.js';
+import { taskKey, type Machine, type Now } from '../core/model.js';
+import type { CoreState } from '../core/state.js';
 
-const MOST_LISTED = 100;
+const MAX_LISTED_MACHINES = 100;
 
 function stageOf(machine: Machine): string {
   if (machine.terminationReason !== null) return 'leaving';
@@ -44,7 +44,7 @@
 }
 
 /** What only a leader knows: the queue, its head, the machines and what they cost. */
-export function describeLead(state: CoreState, now: Now): object {
+export function describeLeaderView(state: CoreState, now: Now): object {
   const queue = waitingJobs(state, now);
   const { head } = state;
   let perHour = 0;
@@ -87,7 +87,7 @@
     moneyPerHour: Math.round(perHour * 100) / 100,
     jobs: state.jobs.size,
     machines: [...state.machines.values()]
-      .slice(0, MOST_LISTED)
+      .slice(0, MAX_LISTED_MACHINES)
       .map((machine) => describeMachine(state, machine, now)),
     machinesInAll: state.machines.size,
   };
--- a/test/leading.test.ts
+++ b/test/leading.test.ts
@@ -1,8 +1,8 @@
 /** Who leads, and for how long. */
 import { expect, test } from 'vitest';
-import type { StateService } from '../src/adapters/state.js';
+import type { KeyValueStore } from '../src/adapters/key-value-store.js';
 import { FallbackResponder } from '../src/controller/fallback-responder.js';
-import { timing as timingOf } from '../src/settings.js';
+import { timing as timingOf } from '../src/config/settings.js';
 import type { Worker } from './standins/cloud.js';
 import { report, task } from './standins/core.js';
 import { seeded, testSettings, World } from './standins/world.js';
@@ -130,7 +130,7 @@
     soon: () => undefined,
     measure: () => () => ({ steadyMs: 1, processorMs: 1 }),
   };
-  const state = { list: () => Promise.resolve('unknown') } as unknown as StateService;
+  const state = { list: () => Promise.resolve('unknown') } as unknown as KeyValueStore;
   const deputy = new FallbackResponder('n-1', state, clock, timing, 2048, 100);
   let seq = 0;
   const asks = () => report('m', ++seq, [task('req-1/0', 1, 'running'), task('req-2/0', 1, 'running')]);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -5,7 +5,7 @@
 import { WorkerRouter, type LeaderReachability } from '../src/membership/worker-router.js';
 import { EVIDENCE_RULES, snapshotIntervalMs, type EvidenceRules } from '../src/membership/evidence-rules.js';
 import type { MemberStatus } from '../src/membership/status.js';
-import { timing } from '../src/settings.js';
+import { timing } from '../src/config/settings.js';
 import { testSettings, UNSEEN } from './standins/world.js';
 
 const TIMES = timing(testSettings(0));
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -8,9 +8,9 @@
 import { chooseRebalancing, chooseFollower, shouldShare } from '../src/membership/heartbeat-sharing.js';
 import { snapshotIntervalMs } from '../src/membership/evidence-rules.js';
 import type { CoreState } from '../src/core/state.js';
-import { createPolicy } from '../src/policy.js';
-import { rulesFor } from '../src/rules.js';
-import { timing } from '../src/settings.js';
+import { createPolicy } from '../src/config/policy.js';
+import { createCoreConfig } from '../src/config/core-config.js';
+import { timing } from '../src/config/settings.js';
 import type { AnswersMessage, IntakeMessage, HeartbeatsMessage } from '../src/wire/intake.js';
 import { encodeIntake, StatusReader } from '../src/wire/peers.js';
 import { atWork, CANCEL, DEPUTY_SEED, endsWell } from './standins/at-work.js';
@@ -351,7 +351,7 @@
 
   constructor() {
     const settings = testSettings(0);
-    const rules = rulesFor(settings, createPolicy(settings, 'shared_reports_from = 1.0'));
+    const rules = createCoreConfig(settings, createPolicy(settings, 'shared_reports_from = 1.0'));
     Object.assign(this.core.state, { config: rules } satisfies Partial<CoreState>);
     const ports = { clock: this.clock, log: { info: () => undefined }, incarnation: 'x' };
     const commands = { state: this.core.state, push: () => undefined };
--- a/test/standins/clock.ts
+++ b/test/standins/clock.ts
@@ -1,5 +1,5 @@
 /** A clock that moves only when everything due has been done. */
-import type { Clock } from '../../src/clock.js';
+import type { Clock } from '../../src/adapters/clock.js';
 
 interface Due {
   readonly at: number;
@@ -80,11 +80,11 @@
   }
 
   /** Work takes no time here, but for a process that is slow. */
-  measure(): () => { steadyMs: number; processorMs: number } {
+  startMeasuring(): () => { steadyMs: number; processorMs: number } {
     return () => ({ steadyMs: this.lateMs > 0 ? 20 : 5, processorMs: 1 });
   }
 
-  soon(call: () => void): void {
+  defer(call: () => void): void {
     this.world.in(0, () => {
       this.awake(call);
     });
--- a/test/standins/demo.ts
+++ b/test/standins/demo.ts
@@ -5,9 +5,9 @@
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createServer } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { HttpClient } from '../../src/adapters/http.js';
+import { HttpClient } from '../../src/adapters/http-client.js';
 import { asObject, isText } from '../../src/core/values.js';
-import { parseAddress } from '../../src/settings.js';
+import { parseAddress } from '../../src/config/settings.js';
 import { demoJob, settings, startStandins } from './serve.js';
 
 const FOLDER = 'target/demo';
@@ -54,7 +54,7 @@
 async function ask(method: string, path: string, body: string | null): Promise<Record<string, unknown>> {
   const until = Date.now() + GIVE_UP_MS;
   for (let turn = 0; Date.now() < until; turn += 1) {
-    const answer = await clients[turn % clients.length]?.call(method, path, body, 2000);
+    const answer = await clients[turn % clients.length]?.request(method, path, body, 2000);
     const told = asObject(answer?.body);
     if (answer !== undefined && answer.status >= 200 && answer.status < 300 && told !== null) return told;
     await sleep(300);
--- a/test/standins/serve.ts
+++ b/test/standins/serve.ts
@@ -5,10 +5,10 @@
 import express, { type Request, type Response } from 'express';
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { HttpClient } from '../../src/adapters/http.js';
+import { HttpClient } from '../../src/adapters/http-client.js';
 import type { ListedMachine, Mutation } from '../../src/core/types.js';
-import { parseAddress } from '../../src/settings.js';
-import type { Entry } from '../../src/wire/state.js';
+import { parseAddress } from '../../src/config/settings.js';
+import type { Entry } from '../../src/wire/key-value-store.js';
 import { asObject, isText } from '../../src/core/values.js';
 import { Checker } from './checker.js';
 import { VirtualClock } from './clock.js';
@@ -40,7 +40,7 @@
     copy: () => null,
   };
   return new Worker(listed, network, rules, checker, (node, body, reply) => {
-    const call = clients.get(node)?.call('POST', '/v1/report', JSON.stringify(body), 4000);
+    const call = clients.get(node)?.request('POST', '/v1/report', JSON.stringify(body), 4000);
     void call?.then(({ status, body: told }) => {
       if (status !== 0) reply(status, JSON.stringify(told ?? {}));
     });
