--- a/bench/run.mjs
+++ b/bench/run.mjs
@@ -31,12 +31,13 @@
     version,
     `import { createState } from ${from(at('core/create-state.ts', 'core/state.ts'))};
      import { step } from ${from(at('core/step.ts'))};
-     import { rulesFor } from ${from(at('rules.ts', 'node.ts'))};
+     import * as config from ${from(at('rules.ts', 'node.ts'))};
      import { createPolicy } from ${from(at('policy.ts'))};
      import { parseSettings } from ${from(at('settings.ts'))};
      export * as records from ${from(at('core/persistence/records.ts', 'core/records.ts', 'wire/records.ts'))};
      export const core = { createState, step, rules: (raw) => {
-       const settings = parseSettings(raw); return rulesFor(settings, createPolicy(settings)); } };`,
+       const settings = parseSettings(raw);
+       return (config.createCoreConfig ?? config.rulesFor)(settings, createPolicy(settings)); } };`,
   );
   const outfile = join('target', 'bench', `${name}.cjs`);
   await build({
--- a/src/adapters/admission.ts
+++ b/src/adapters/admission.ts
@@ -12,8 +12,8 @@
 /** Share of the requests under way that polls may be. */
 const POLL_SHARE = 0.75;
 /** Nobody is told to stay away for longer, in seconds. */
-const LONGEST_AWAY = 10;
-const LEAST = 16;
+const MAX_RETRY_AFTER_S = 10;
+const MIN_IN_FLIGHT = 16;
 /**
  * Jobs of which it is remembered that a question about them was refused; the oldest are forgotten first. A
  * bound on bad input: it stands far above the live jobs of 8,000 machines.
@@ -21,53 +21,53 @@
 const MAX_REMEMBERED_REFUSALS = 64_000;
 
 export class Admission {
-  #underWay = 0;
-  readonly #jobs = new Set<string>();
+  #inFlight = 0;
+  readonly #refusedJobs = new Set<string>();
   #refused = 0;
-  #since: number;
+  #countedSince: number;
 
   constructor(
     private readonly clock: Clock,
     /** Requests under way at once, at most. */
     private readonly most: number,
   ) {
-    this.most = Math.max(LEAST, Math.floor(most));
-    this.#since = clock.monotonicMs();
+    this.most = Math.max(MIN_IN_FLIGHT, Math.floor(most));
+    this.#countedSince = clock.monotonicMs();
   }
 
   /** Takes a request in (null), or says in how many seconds it may be made again. */
-  enter(kind: RequestKind, job?: string): number | null {
-    const preferred = job !== undefined && this.#jobs.has(job);
+  admit(kind: RequestKind, job?: string): number | null {
+    const preferred = job !== undefined && this.#refusedJobs.has(job);
     const most = kind === 'show' && !preferred ? POLL_SHARE * this.most : this.most;
-    if (this.#underWay < most) {
-      this.#underWay += 1;
-      if (preferred) this.#jobs.delete(job);
+    if (this.#inFlight < most) {
+      this.#inFlight += 1;
+      if (preferred) this.#refusedJobs.delete(job);
       return null;
     }
-    if (job !== undefined) this.#remember(job);
-    return this.away();
+    if (job !== undefined) this.#rememberRefusal(job);
+    return this.retryAfterS();
   }
 
-  #remember(job: string): void {
-    this.#jobs.add(job);
-    if (this.#jobs.size <= MAX_REMEMBERED_REFUSALS) return;
-    const [oldest] = this.#jobs;
-    if (oldest !== undefined) this.#jobs.delete(oldest);
+  #rememberRefusal(job: string): void {
+    this.#refusedJobs.add(job);
+    if (this.#refusedJobs.size <= MAX_REMEMBERED_REFUSALS) return;
+    const [oldest] = this.#refusedJobs;
+    if (oldest !== undefined) this.#refusedJobs.delete(oldest);
   }
 
-  leave(): void {
-    this.#underWay -= 1;
+  release(): void {
+    this.#inFlight -= 1;
   }
 
   /** When one that cannot be served now is to come back, in seconds. */
-  away(): number {
+  retryAfterS(): number {
     const now = this.clock.monotonicMs();
-    if (now - this.#since > 1000) {
+    if (now - this.#countedSince > 1000) {
       this.#refused = 0;
-      this.#since = now;
+      this.#countedSince = now;
     }
     this.#refused += 1;
-    const spread = Math.min(LONGEST_AWAY, 1 + Math.floor(this.#refused / this.most));
+    const spread = Math.min(MAX_RETRY_AFTER_S, 1 + Math.floor(this.#refused / this.most));
     return 1 + (this.#refused % spread);
   }
 }
--- a/src/adapters/cloud.ts
+++ b/src/adapters/cloud.ts
@@ -2,26 +2,38 @@
 import type { Clock } from '../clock.js';
 import type { ListedMachine, MachineType } from '../core/types.js';
 import { parseAddress, type PlatformSettings } from '../settings.js';
-import { encodeRental, encodeReturn, parseCatalog, parseMachines, parseRented } from '../wire/cloud.js';
-import { HttpClient, type Answer } from './http.js';
-import { Limiter, RetryBudget } from './limiter.js';
+import {
+  encodeProvisionRequest,
+  encodeTerminateRequest,
+  parseCatalog,
+  parseMachinePage,
+  parseProvisioned,
+} from '../wire/cloud.js';
+import { HttpClient, type HttpResponse } from './http.js';
+import { RateLimiter, RetryBudget } from './limiter.js';
 
-export type RentalOutcome = readonly string[] | 'refused' | 'malformed' | 'unknown';
+export type ProvisioningResult = readonly string[] | 'refused' | 'malformed' | 'unknown';
 
 export interface Cloud {
   catalog(): Promise<MachineType[] | null>;
-  machines(): Promise<ListedMachine[] | null>;
-  rent(request: string, type: string, zone: string, spot: boolean, count: number): Promise<RentalOutcome>;
-  giveBack(machines: readonly string[]): Promise<boolean>;
+  listMachines(): Promise<ListedMachine[] | null>;
+  provision(
+    request: string,
+    type: string,
+    zone: string,
+    spot: boolean,
+    count: number,
+  ): Promise<ProvisioningResult>;
+  terminate(listMachines: readonly string[]): Promise<boolean>;
 }
 
-const PAGE = 500;
+const PAGE_MACHINES = 500;
 
 export class HttpCloud implements Cloud {
   readonly #client: HttpClient;
-  readonly #rate: Limiter;
+  readonly #requestRate: RateLimiter;
   readonly #retries: RetryBudget;
-  readonly #timeout: number;
+  readonly #timeoutMs: number;
 
   constructor(
     settings: PlatformSettings,
@@ -29,18 +41,18 @@
   ) {
     this.#client = new HttpClient(parseAddress(settings.endpoints.cloud), 6);
     const { rps } = settings.cluster.cloud;
-    this.#rate = new Limiter(clock, 0.7 * rps, rps);
+    this.#requestRate = new RateLimiter(clock, 0.7 * rps, rps);
     this.#retries = new RetryBudget(clock, rps);
-    this.#timeout = 300 * settings.cluster.workers.lease_s;
+    this.#timeoutMs = 300 * settings.cluster.workers.lease_s;
   }
 
-  async #call(method: string, path: string, body: string | null): Promise<Answer> {
-    while (!this.#retries.mayAsk() || !this.#rate.tryTake()) await this.clock.sleep(100);
-    const answer = await this.#client.call(method, path, body, this.#timeout);
+  async #call(method: string, path: string, body: string | null): Promise<HttpResponse> {
+    while (!this.#retries.allowsRequest() || !this.#requestRate.tryAcquire()) await this.clock.sleep(100);
+    const answer = await this.#client.request(method, path, body, this.#timeoutMs);
     // Whoever asks again after trouble asks a second later at the earliest.
     const refused = answer.status === 503 && JSON.stringify(answer.body ?? '').includes('no capacity');
     const answered = answer.status !== 0 && answer.status !== 429 && (answer.status < 500 || refused);
-    this.#retries.note(answered);
+    this.#retries.observeOutcome(answered);
     if (!answered) {
       await this.clock.sleep(1000);
     }
@@ -52,38 +64,42 @@
     return answer.status === 200 ? parseCatalog(answer.body) : null;
   }
 
-  async machines(): Promise<ListedMachine[] | null> {
+  async listMachines(): Promise<ListedMachine[] | null> {
     const all: ListedMachine[] = [];
     for (;;) {
       const last = all.at(-1)?.name;
       const answer = await this.#call(
         'GET',
-        `/machines?${last === undefined ? '' : `after=${last}&`}page=${PAGE}`,
+        `/machines?${last === undefined ? '' : `after=${last}&`}page=${PAGE_MACHINES}`,
         null,
       );
-      const page = answer.status === 200 ? parseMachines(answer.body) : null;
+      const page = answer.status === 200 ? parseMachinePage(answer.body) : null;
       if (page === null) return null;
       all.push(...page.machines);
       if (!page.more || page.machines.length === 0) return all;
     }
   }
 
-  async rent(
+  async provision(
     request: string,
     type: string,
     zone: string,
     spot: boolean,
     count: number,
-  ): Promise<RentalOutcome> {
-    const answer = await this.#call('POST', '/machines', encodeRental(request, type, zone, spot, count));
-    if (answer.status === 200) return parseRented(answer.body) ?? 'unknown';
+  ): Promise<ProvisioningResult> {
+    const answer = await this.#call(
+      'POST',
+      '/machines',
+      encodeProvisionRequest(request, type, zone, spot, count),
+    );
+    if (answer.status === 200) return parseProvisioned(answer.body) ?? 'unknown';
     if (answer.status === 400) return 'malformed';
     const text = JSON.stringify(answer.body ?? '');
     return answer.status === 503 && text.includes('no capacity') ? 'refused' : 'unknown';
   }
 
-  async giveBack(machines: readonly string[]): Promise<boolean> {
-    const answer = await this.#call('POST', '/machines/return', encodeReturn(machines));
+  async terminate(machines: readonly string[]): Promise<boolean> {
+    const answer = await this.#call('POST', '/machines/return', encodeTerminateRequest(machines));
     return answer.status === 200;
   }
 }
--- a/src/adapters/http.ts
+++ b/src/adapters/http.ts
@@ -3,16 +3,16 @@
 import type { Address } from '../settings.js';
 import { parseJson } from '../core/values.js';
 
-export interface Answer {
+export interface HttpResponse {
   /** 0: no answer; the request may have been executed, or may be later. */
   readonly status: number;
   readonly body: unknown;
 }
 
-const NO_ANSWER: Answer = { status: 0, body: undefined };
+const NO_RESPONSE: HttpResponse = { status: 0, body: undefined };
 
 /** The largest answer taken in, where nothing else is said; a longer one counts as no answer. */
-export const DEFAULT_MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+export const DEFAULT_MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 export class HttpClient {
   readonly #agent: Agent;
@@ -22,7 +22,7 @@
     to: Address,
     sockets: number,
     keep = true,
-    private readonly maxAnswerBytes = DEFAULT_MAX_ANSWER_BYTES,
+    private readonly maxAnswerBytes = DEFAULT_MAX_RESPONSE_BYTES,
   ) {
     this.#to = to;
     this.#agent = new Agent({ keepAlive: keep, maxSockets: sockets, maxFreeSockets: sockets });
@@ -32,10 +32,10 @@
     this.#agent.destroy();
   }
 
-  call(method: string, path: string, body: string | null, timeoutMs: number): Promise<Answer> {
+  request(method: string, path: string, body: string | null, timeoutMs: number): Promise<HttpResponse> {
     return new Promise((resolve) => {
       let settled = false;
-      const settle = (answer: Answer): void => {
+      const settle = (answer: HttpResponse): void => {
         if (settled) return;
         settled = true;
         clearTimeout(timer);
@@ -59,18 +59,18 @@
             const source = Buffer.concat(parts).toString('utf8');
             settle({ status: response.statusCode ?? 0, body: source === '' ? undefined : parseJson(source) });
           });
-          response.on('error', () => settle(NO_ANSWER));
-          response.on('close', () => settle(NO_ANSWER));
+          response.on('error', () => settle(NO_RESPONSE));
+          response.on('close', () => settle(NO_RESPONSE));
         },
       );
       // An answer that has come while this process stood still is read before it is given up.
       const timer = setTimeout(() => {
         setImmediate(() => {
-          settle(NO_ANSWER);
+          settle(NO_RESPONSE);
           request.destroy();
         });
       }, timeoutMs);
-      request.on('error', () => settle(NO_ANSWER));
+      request.on('error', () => settle(NO_RESPONSE));
       request.end(body ?? undefined);
     });
   }
--- a/src/adapters/limiter.ts
+++ b/src/adapters/limiter.ts
@@ -2,46 +2,46 @@
 import type { Clock } from '../clock.js';
 
 /** A bucket of tokens that keeps this node within its share of a service's rate. */
-export class Limiter {
-  #level: number;
-  #at: number;
+export class RateLimiter {
+  #tokens: number;
+  #refilledAt: number;
 
   constructor(
     private readonly clock: Clock,
     private readonly perSecond: number,
     private readonly burst: number,
   ) {
-    this.#level = burst;
-    this.#at = clock.monotonicMs();
+    this.#tokens = burst;
+    this.#refilledAt = clock.monotonicMs();
   }
 
   #refill(): void {
     const now = this.clock.monotonicMs();
-    this.#level = Math.min(this.burst, this.#level + ((now - this.#at) / 1000) * this.perSecond);
-    this.#at = now;
+    this.#tokens = Math.min(this.burst, this.#tokens + ((now - this.#refilledAt) / 1000) * this.perSecond);
+    this.#refilledAt = now;
   }
 
   /** Takes `cost` now, or says false. */
-  tryTake(cost = 1): boolean {
+  tryAcquire(cost = 1): boolean {
     this.#refill();
-    if (this.#level < cost) return false;
-    this.#level -= cost;
+    if (this.#tokens < cost) return false;
+    this.#tokens -= cost;
     return true;
   }
 
   /** Takes `cost` whatever the level: for what must not wait, at the expense of the rest. */
-  force(cost = 1): void {
+  forceAcquire(cost = 1): void {
     this.#refill();
-    this.#level = Math.max(-this.burst, this.#level - cost);
+    this.#tokens = Math.max(-this.burst, this.#tokens - cost);
   }
 
   /** Waits for `cost`, at most `withinMs`; false if that is not long enough. */
-  async take(cost: number, withinMs: number): Promise<boolean> {
-    if (this.tryTake(cost)) return true;
-    const wait = ((cost - this.#level) / this.perSecond) * 1000;
+  async acquire(cost: number, withinMs: number): Promise<boolean> {
+    if (this.tryAcquire(cost)) return true;
+    const wait = ((cost - this.#tokens) / this.perSecond) * 1000;
     if (wait > withinMs) return false;
     await this.clock.sleep(Math.ceil(wait));
-    return this.tryTake(cost);
+    return this.tryAcquire(cost);
   }
 }
 
@@ -54,19 +54,19 @@
  * enough to know that it has.
  */
 export class RetryBudget {
-  readonly #retries: Limiter;
-  #inTrouble = false;
+  readonly #retries: RateLimiter;
+  #isFailing = false;
 
   constructor(clock: Clock, rps: number) {
     const perSecond = Math.max(1, RETRY_SHARE * rps);
-    this.#retries = new Limiter(clock, perSecond, perSecond);
+    this.#retries = new RateLimiter(clock, perSecond, perSecond);
   }
 
-  mayAsk(): boolean {
-    return !this.#inTrouble || this.#retries.tryTake();
+  allowsRequest(): boolean {
+    return !this.#isFailing || this.#retries.tryAcquire();
   }
 
-  note(answered: boolean): void {
-    this.#inTrouble = !answered;
+  observeOutcome(answered: boolean): void {
+    this.#isFailing = !answered;
   }
 }
--- a/src/adapters/peers.ts
+++ b/src/adapters/peers.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../clock.js';
 import { toldEvery } from '../membership/table.js';
 import type { Link } from '../membership/views.js';
-import type { Log, Tally } from '../logging.js';
+import type { Log, EventCounter } from '../logging.js';
 import { parseAddress, type PlatformSettings, type Timing } from '../settings.js';
 import type { IntakeMessage } from '../wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../wire/peers.js';
@@ -19,7 +19,7 @@
   readonly sentBytes: number;
 }
 
-export class Peers {
+export class PeerLinks {
   #sentMessages = 0;
   #sentBytes = 0;
   #largestMessageBytes = 0;
@@ -27,8 +27,8 @@
   readonly #accepted = new Set<Socket>();
   readonly #names: ReadonlySet<string>;
   /** The links that this node dialled and that are up, by the node at their other end. */
-  readonly #open = new Map<string, Socket>();
-  #toldAt = -Infinity;
+  readonly #openLinks = new Map<string, Socket>();
+  #lastBroadcastAt = -Infinity;
 
   constructor(
     private readonly settings: PlatformSettings,
@@ -39,7 +39,7 @@
     private readonly onStatus: (status: PeerStatus) => void,
     /** What became of the link to a peer, each time that changes or is tried. */
     private readonly onLink: (node: string, link: Link) => void,
-    private readonly malformed: Pick<Tally, 'note'>,
+    private readonly malformed: Pick<EventCounter, 'count'>,
     private readonly onIntake: (message: IntakeMessage) => void,
   ) {
     this.#names = new Set(settings.others.map((other) => other.host_name));
@@ -82,9 +82,9 @@
     socket.setTimeout(4 * this.timing.workerLeaseMs, () => socket.destroy());
     socket.on('data', (part) => {
       try {
-        for (const status of reader.push(part)) this.#take(status);
+        for (const status of reader.push(part)) this.#receiveStatus(status);
       } catch {
-        this.malformed.note('peer messages');
+        this.malformed.count('peer messages');
         socket.destroy();
       }
     });
@@ -92,22 +92,22 @@
     socket.on('close', () => this.#accepted.delete(socket));
   }
 
-  #take(status: PeerStatus): void {
+  #receiveStatus(status: PeerStatus): void {
     if (this.#names.has(status.node)) this.onStatus(status);
   }
 
   /** Tells every peer at once what has changed, at most so often. */
-  tellNow(): void {
+  broadcastStatus(): void {
     const now = this.clock.monotonicMs();
-    if (now - this.#toldAt < this.timing.tickMs / 4) return;
-    this.#toldAt = now;
-    for (const socket of this.#open.values())
+    if (now - this.#lastBroadcastAt < this.timing.tickMs / 4) return;
+    this.#lastBroadcastAt = now;
+    for (const socket of this.#openLinks.values())
       if (socket.writableLength === 0) this.#write(socket, encodeStatus(this.status()));
   }
 
   /** Sends a message about shared reports; false: there is no link, or it does not take what is sent. */
   sendIntake(to: string, message: IntakeMessage): boolean {
-    const socket = this.#open.get(to);
+    const socket = this.#openLinks.get(to);
     if (socket === undefined || socket.writableLength > this.#maxUnsentBytes) return false;
     this.#write(socket, encodeIntake(message));
     return true;
@@ -117,7 +117,7 @@
     const { host, port } = parseAddress(address);
     let refusals = 0;
     for (;;) {
-      const how = await this.#link(node, connect({ host, port, noDelay: true }));
+      const how = await this.#holdLink(node, connect({ host, port, noDelay: true }));
       refusals = how === 'refused' ? refusals + 1 : 0;
       // A link that broke is tried again at once: whether it is refused then tells a crash from a cut.
       if (how === 'lost') continue;
@@ -126,14 +126,14 @@
   }
 
   /** Tells the status at every second tick, until the link breaks or stops taking it; how it ended. */
-  async #link(node: string, socket: Socket): Promise<Link> {
+  async #holdLink(node: string, socket: Socket): Promise<Link> {
     let open = true;
     let connected = false;
     let ended: Link = 'silent';
     socket.on('connect', () => {
       connected = true;
       ended = 'lost';
-      this.#open.set(node, socket);
+      this.#openLinks.set(node, socket);
       this.onLink(node, 'up');
     });
     socket.on('error', ({ code }: NodeJS.ErrnoException) => {
@@ -143,7 +143,7 @@
     const closed = new Promise<void>((resolve) => {
       socket.on('close', () => {
         open = false;
-        if (this.#open.get(node) === socket) this.#open.delete(node);
+        if (this.#openLinks.get(node) === socket) this.#openLinks.delete(node);
         this.onLink(node, ended);
         resolve();
       });
--- a/src/adapters/reads.ts
+++ b/src/adapters/reads.ts
@@ -7,10 +7,10 @@
 import type { Clock } from '../clock.js';
 import { decodeEnded, decodeJob, endedKey, JOB_PREFIX, jobKey, jobOfKey } from '../core/persistence/index.js';
 import type { EndedRecord, JobSpec } from '../core/types.js';
-import type { Change } from '../wire/state.js';
-import type { StateService } from './state.js';
+import type { KeyChange } from '../wire/state.js';
+import type { KeyValueStore } from './state.js';
 
-export type FoundJob =
+export type JobLookup =
   | { readonly kind: 'live'; readonly spec: JobSpec; readonly modRevision: number }
   /** It was accepted and has not ended, and its description cannot be read. */
   | { readonly kind: 'damaged'; readonly modRevision: number }
@@ -18,29 +18,29 @@
   | { readonly kind: 'none' }
   | { readonly kind: 'unknown' };
 
-const UNKNOWN: FoundJob = { kind: 'unknown' };
+const UNKNOWN: JobLookup = { kind: 'unknown' };
 /** Ended jobs that are remembered at least; with more live jobs, twice their number is. */
 const MIN_REMEMBERED_ENDED = 5000;
 /** Jobs of one round that may have to be read one by one; the others wait for the next. */
-const MOST_READ = 32;
+const MAX_SINGLE_READS = 32;
 /** Share of the state service's requests that a node's rounds may take. */
 const ROUND_SHARE = 0.05;
 
-const foundLive = (value: unknown, modRevision: number): FoundJob => {
+const decodeLiveJob = (value: unknown, modRevision: number): JobLookup => {
   const spec = decodeJob(value);
   return spec === null ? { kind: 'damaged', modRevision } : { kind: 'live', spec, modRevision };
 };
 
 /** A job as the state service has it now, by itself. */
-export async function readJob(state: StateService, id: string): Promise<FoundJob> {
+export async function readJob(state: KeyValueStore, id: string): Promise<JobLookup> {
   // In this order: a job moves from one key to the other, and never back.
   const live = await state.read(jobKey(id));
   if (live === 'unknown') return UNKNOWN;
-  if (live.entry !== null) return foundLive(live.entry.value, live.entry.modRevision);
+  if (live.entry !== null) return decodeLiveJob(live.entry.value, live.entry.modRevision);
   return readEnded(state, id);
 }
 
-async function readEnded(state: StateService, id: string): Promise<FoundJob> {
+async function readEnded(state: KeyValueStore, id: string): Promise<JobLookup> {
   const ended = await state.read(endedKey(id));
   if (ended === 'unknown') return UNKNOWN;
   if (ended.entry === null) return { kind: 'none' };
@@ -48,42 +48,42 @@
   return record === null ? UNKNOWN : { kind: 'ended', record };
 }
 
-interface Question {
+interface PendingLookup {
   readonly id: string;
-  readonly answer: (found: FoundJob) => void;
+  readonly resolve: (found: JobLookup) => void;
 }
 
-export class JobReads {
+export class JobReader {
   /** Ended jobs never change again, so what is known of them needs no read. */
   readonly #ended = new Map<string, EndedRecord>();
-  readonly #live = new Map<string, FoundJob>();
+  readonly #live = new Map<string, JobLookup>();
   /** The mirror is whole as of this revision; null: it has to be loaded. */
   #revision: number | null = null;
-  #questions: Question[] = [];
-  #running = false;
-  readonly #pace: number;
+  #pending: PendingLookup[] = [];
+  #isRunning = false;
+  readonly #roundIntervalMs: number;
 
   constructor(
-    private readonly state: StateService,
+    private readonly state: KeyValueStore,
     private readonly clock: Clock,
     rps: number,
     /** Conditions that a transaction may have. */
     private readonly conditions: number,
   ) {
-    this.#pace = 1000 / (ROUND_SHARE * rps);
+    this.#roundIntervalMs = 1000 / (ROUND_SHARE * rps);
   }
 
-  knowsEnded(id: string): boolean {
+  hasEnded(id: string): boolean {
     return this.#ended.has(id);
   }
 
   /** A job that was live as of the latest round, which may have been long ago. */
-  lastLive(id: string): FoundJob | undefined {
+  cachedLiveJob(id: string): JobLookup | undefined {
     return this.#live.get(id);
   }
 
   /** A committed end. */
-  keep(id: string, record: EndedRecord): void {
+  rememberEnded(id: string, record: EndedRecord): void {
     this.#ended.set(id, record);
     if (this.#ended.size <= Math.max(MIN_REMEMBERED_ENDED, 2 * this.#live.size)) return;
     const [oldest] = this.#ended.keys();
@@ -94,85 +94,85 @@
   dropCaches(): void {
     this.#ended.clear();
     // A round under way works on the mirror.
-    if (this.#running) return;
+    if (this.#isRunning) return;
     this.#live.clear();
     this.#revision = null;
   }
 
   /** A job as the state service had it at some moment after this was asked. */
-  find(id: string): Promise<FoundJob> {
+  find(id: string): Promise<JobLookup> {
     const record = this.#ended.get(id);
     if (record !== undefined) return Promise.resolve({ kind: 'ended', record });
     return new Promise((answer) => {
-      this.#questions.push({ id, answer });
-      if (!this.#running) void this.#run();
+      this.#pending.push({ id, resolve: answer });
+      if (!this.#isRunning) void this.#runRounds();
     });
   }
 
-  async #run(): Promise<void> {
-    this.#running = true;
+  async #runRounds(): Promise<void> {
+    this.#isRunning = true;
     // All that has come in by now shares the first round.
-    await new Promise<void>((resolve) => this.clock.soon(resolve));
-    while (this.#questions.length > 0) {
+    await new Promise<void>((resolve) => this.clock.defer(resolve));
+    while (this.#pending.length > 0) {
       const from = this.clock.monotonicMs();
-      const asked = this.#questions;
-      this.#questions = [];
-      await this.#round(asked);
-      const left = this.#pace - (this.clock.monotonicMs() - from);
-      if (this.#questions.length === 0 || left <= 0) continue;
+      const asked = this.#pending;
+      this.#pending = [];
+      await this.#runRound(asked);
+      const left = this.#roundIntervalMs - (this.clock.monotonicMs() - from);
+      if (this.#pending.length === 0 || left <= 0) continue;
       await this.clock.sleep(Math.ceil(left));
     }
-    this.#running = false;
+    this.#isRunning = false;
   }
 
   /** Answers all of these by the state as of now or later. */
-  async #round(asked: readonly Question[]): Promise<void> {
+  async #runRound(asked: readonly PendingLookup[]): Promise<void> {
     const seen = new Set(asked.map(({ id }) => id).filter((id) => this.#live.has(id)));
     if (!(await this.#refresh())) {
-      for (const { answer } of asked) answer(UNKNOWN);
+      for (const { resolve } of asked) resolve(UNKNOWN);
       return;
     }
-    const gone = new Map<string, Question[]>();
+    const gone = new Map<string, PendingLookup[]>();
     for (const question of asked) {
       // Told of its end meanwhile, by the answer to a withdrawal, nobody here is told less.
       const record = this.#ended.get(question.id);
-      const found: FoundJob | undefined =
+      const found: JobLookup | undefined =
         record === undefined ? this.#live.get(question.id) : { kind: 'ended', record };
-      if (found !== undefined) question.answer(found);
+      if (found !== undefined) question.resolve(found);
       else gone.set(question.id, [...(gone.get(question.id) ?? []), question]);
     }
-    const none = await this.#absent([...gone.keys()].filter((id) => !seen.has(id)));
+    const none = await this.#findMissing([...gone.keys()].filter((id) => !seen.has(id)));
     let reads = 0;
-    const putOff: Question[] = [];
+    const putOff: PendingLookup[] = [];
     const answered = Promise.all(
       [...gone].map(async ([id, questions]) => {
         const record = this.#ended.get(id);
-        if (record === undefined && !none.has(id) && ++reads > MOST_READ) {
+        if (record === undefined && !none.has(id) && ++reads > MAX_SINGLE_READS) {
           putOff.push(...questions);
           return;
         }
-        const found: FoundJob =
+        const found: JobLookup =
           record !== undefined
             ? { kind: 'ended', record }
             : none.has(id)
               ? { kind: 'none' }
               : await readEnded(this.state, id);
-        if (found.kind === 'ended') this.keep(id, found.record);
-        for (const { answer } of questions) answer(found);
+        if (found.kind === 'ended') this.rememberEnded(id, found.record);
+        for (const { resolve } of questions) resolve(found);
       }),
     );
     // Before those that came in meanwhile: under a storm of others they would be put off for ever.
-    this.#questions.unshift(...putOff);
+    this.#pending.unshift(...putOff);
     await answered;
   }
 
   /** Brings the mirror up to the present; false: the state service does not answer. */
   async #refresh(): Promise<boolean> {
     if (this.#revision !== null) {
-      const found = await this.state.changes(JOB_PREFIX, this.#revision);
+      const found = await this.state.changesSince(JOB_PREFIX, this.#revision);
       if (found.kind === 'unknown') return false;
       if (found.kind === 'changes') {
-        for (const change of found.changes) this.#take(change);
+        for (const change of found.changes) this.#applyChange(change);
         this.#revision = found.revision;
         return true;
       }
@@ -182,21 +182,21 @@
     if (jobs === 'unknown') return false;
     this.#live.clear();
     for (const { key, value, modRevision } of jobs.entries)
-      this.#live.set(jobOfKey(key), foundLive(value, modRevision));
+      this.#live.set(jobOfKey(key), decodeLiveJob(value, modRevision));
     this.#revision = jobs.revision;
     return true;
   }
 
-  #take({ key, value, modRevision }: Change): void {
+  #applyChange({ key, value, modRevision }: KeyChange): void {
     if (value === undefined) this.#live.delete(jobOfKey(key));
-    else this.#live.set(jobOfKey(key), foundLive(value, modRevision));
+    else this.#live.set(jobOfKey(key), decodeLiveJob(value, modRevision));
   }
 
   /**
    * Which of these, known not to be live, have not ended either: nobody ever submitted them. One
    * transaction that only compares asks for many; when any of them exists, each is read by itself.
    */
-  async #absent(ids: readonly string[]): Promise<Set<string>> {
+  async #findMissing(ids: readonly string[]): Promise<Set<string>> {
     const none = new Set<string>();
     if (ids.length < 2) return none;
     for (let from = 0; from < ids.length; from += this.conditions) {
--- a/src/adapters/retransmission.ts
+++ b/src/adapters/retransmission.ts
@@ -4,8 +4,8 @@
  * come. A service that answers in milliseconds is not waited for as long as one that is slow.
  */
 export class RetransmissionTimer {
-  #smoothed: number | null = null;
-  #spread = 0;
+  #smoothedMs: number | null = null;
+  #deviationMs = 0;
   #backoff = 1;
 
   /** Never shorter, and never longer, than so many milliseconds; as long as that before the first answer. */
@@ -14,25 +14,25 @@
     private readonly most: number,
   ) {}
 
-  get timeout(): number {
-    if (this.#smoothed === null) return this.most;
-    const usual = Math.max(this.least, this.#smoothed + 4 * this.#spread);
+  get timeoutMs(): number {
+    if (this.#smoothedMs === null) return this.most;
+    const usual = Math.max(this.least, this.#smoothedMs + 4 * this.#deviationMs);
     return Math.min(this.most, this.#backoff * usual);
   }
 
-  answered(ms: number): void {
+  observeResponse(ms: number): void {
     this.#backoff = 1;
-    if (this.#smoothed === null) {
-      this.#smoothed = ms;
-      this.#spread = ms / 2;
+    if (this.#smoothedMs === null) {
+      this.#smoothedMs = ms;
+      this.#deviationMs = ms / 2;
       return;
     }
-    this.#spread += (Math.abs(this.#smoothed - ms) - this.#spread) / 4;
-    this.#smoothed += (ms - this.#smoothed) / 8;
+    this.#deviationMs += (Math.abs(this.#smoothedMs - ms) - this.#deviationMs) / 4;
+    this.#smoothedMs += (ms - this.#smoothedMs) / 8;
   }
 
   /** No answer came in time. */
-  expired(): void {
+  observeTimeout(): void {
     this.#backoff = Math.min(2 * this.#backoff, this.most / this.least);
   }
 }
--- a/src/adapters/state.ts
+++ b/src/adapters/state.ts
@@ -1,25 +1,25 @@
 /** The state service. */
 import type { Clock } from '../clock.js';
-import { parseAddress, timing, type PlatformSettings, type StateLimits, type Timing } from '../settings.js';
+import { parseAddress, timing, type PlatformSettings, type StoreLimits, type Timing } from '../settings.js';
 import {
-  encodeLife,
+  encodeLeaseRequest,
   encodeTransaction,
   parseChanges,
-  parseFailed,
+  parseFailedKeys,
   parseLease,
   parsePage,
   parseRevision,
   parseValue,
-  type Change,
+  type KeyChange,
   type Entry,
 } from '../wire/state.js';
 import type { Transaction } from '../core/types.js';
-import { DEFAULT_MAX_ANSWER_BYTES, HttpClient, type Answer } from './http.js';
-import { Limiter, RetryBudget } from './limiter.js';
+import { DEFAULT_MAX_RESPONSE_BYTES, HttpClient, type HttpResponse } from './http.js';
+import { RateLimiter, RetryBudget } from './limiter.js';
 import { RetransmissionTimer } from './retransmission.js';
 
-export type Read = { readonly entry: Entry | null } | 'unknown';
-export type Commit =
+export type ReadResult = { readonly entry: Entry | null } | 'unknown';
+export type CommitResult =
   | { readonly kind: 'applied'; readonly revision: number }
   | { readonly kind: 'failed'; readonly keys: readonly string[] }
   /** Certainly not executed. */
@@ -27,63 +27,63 @@
   /** It will never be executed as it is: a lease that has ended, or a limit. */
   | { readonly kind: 'rejected' }
   | { readonly kind: 'unknown' };
-export type Watch =
-  | { readonly kind: 'changes'; readonly changes: readonly Change[]; readonly revision: number }
+export type WatchResult =
+  | { readonly kind: 'changes'; readonly changes: readonly KeyChange[]; readonly revision: number }
   | { readonly kind: 'tooOld' }
   | { readonly kind: 'unknown' };
 
 /** What the rest of the service needs of the state service. */
-export interface StateService {
-  read(key: string): Promise<Read>;
+export interface KeyValueStore {
+  read(key: string): Promise<ReadResult>;
   list(prefix: string): Promise<{ entries: Entry[]; revision: number } | 'unknown'>;
-  commit(txn: Transaction): Promise<Commit>;
-  watch(prefix: string, after: number, waitMs: number): Promise<Watch>;
+  commit(txn: Transaction): Promise<CommitResult>;
+  watch(prefix: string, after: number, waitMs: number): Promise<WatchResult>;
   /** What has changed since, at once; counted like a read, and not preferred to others. */
-  changes(prefix: string, after: number): Promise<Watch>;
+  changesSince(prefix: string, after: number): Promise<WatchResult>;
   grant(lifeMs: number): Promise<number | null>;
   /** True: renewed; false: it has ended; null: no answer. */
   renew(lease: number): Promise<boolean | null>;
   /** Ends a lease at once. */
   revoke(lease: number): Promise<void>;
   /** Steady time at which the latest answered request was sent; null before the first. */
-  contactAt(): number | null;
+  lastContactAt(): number | null;
   /** From now on keeps to these limits. */
-  keepTo(limits: StateLimits): void;
+  applyLimits(limits: StoreLimits): void;
 }
 
 /** A node may use more than its part of the changes, as the load is rarely even; not all of them. */
 const WRITE_SHARE = 0.8;
 
-const PAGE = 500;
+const PAGE_ENTRIES = 500;
 /** Bytes of an entry beside its value: its key, its revision and the punctuation. */
 const ENTRY_OVERHEAD_BYTES = 1024;
 
 /** The largest answer that the state service may give: a page of entries as large as they may be. */
-const maxAnswerBytes = ({ value_kb }: StateLimits): number =>
-  Math.max(DEFAULT_MAX_ANSWER_BYTES, PAGE * (value_kb * 1024 + ENTRY_OVERHEAD_BYTES));
+const maxAnswerBytes = ({ value_kb }: StoreLimits): number =>
+  Math.max(DEFAULT_MAX_RESPONSE_BYTES, PAGE_ENTRIES * (value_kb * 1024 + ENTRY_OVERHEAD_BYTES));
 
 /** A page that is not served is asked for so many times before the whole list is given up. */
-const PAGE_TRIES = 5;
+const MAX_PAGE_ATTEMPTS = 5;
 
 const watchPath = (prefix: string, after: number, waitMs: number): string =>
   `/watch?prefix=${encodeURIComponent(prefix)}&after=${after}&waitMs=${Math.round(waitMs)}`;
 
-function watchOf({ status, body }: Answer): Watch {
+function parseWatchResult({ status, body }: HttpResponse): WatchResult {
   if (status === 410) return { kind: 'tooOld' };
   const found = status === 200 ? parseChanges(body) : null;
   return found === null ? { kind: 'unknown' } : { kind: 'changes', ...found };
 }
 
-export class HttpStateService implements StateService {
+export class HttpKeyValueStore implements KeyValueStore {
   readonly #client: HttpClient;
-  readonly #watches: HttpClient;
-  #requests: Limiter;
-  #writes: Limiter;
+  readonly #watchClient: HttpClient;
+  #requestRate: RateLimiter;
+  #writeRate: RateLimiter;
   readonly #retries: RetryBudget;
   readonly #timing: Timing;
   /** When the outcome of a transaction counts as unknown: its writer looks it up, the sooner the better. */
-  readonly #commits: RetransmissionTimer;
-  #contactAt: number | null = null;
+  readonly #commitTimer: RetransmissionTimer;
+  #lastContactAt: number | null = null;
 
   constructor(
     settings: PlatformSettings,
@@ -92,29 +92,29 @@
     const to = parseAddress(settings.endpoints.state);
     const { sockets } = settings.cluster.quota;
     this.#timing = timing(settings);
-    this.#commits = new RetransmissionTimer(this.#timing.renewIntervalMs, this.#timing.storeTimeoutMs);
+    this.#commitTimer = new RetransmissionTimer(this.#timing.renewIntervalMs, this.#timing.storeTimeoutMs);
     const most = maxAnswerBytes(settings.cluster.state);
     this.#client = new HttpClient(to, Math.max(4, Math.floor(sockets / 25)), true, most);
-    this.#watches = new HttpClient(to, 8, true, most);
-    [this.#requests, this.#writes] = this.#limiters(settings.cluster.state);
+    this.#watchClient = new HttpClient(to, 8, true, most);
+    [this.#requestRate, this.#writeRate] = this.#createLimiters(settings.cluster.state);
     this.#retries = new RetryBudget(clock, settings.cluster.state.rps);
   }
 
-  #limiters({ rps, write_rps, txn_ops }: StateLimits): [Limiter, Limiter] {
+  #createLimiters({ rps, write_rps, txn_ops }: StoreLimits): [RateLimiter, RateLimiter] {
     const writes = WRITE_SHARE * write_rps;
     // The load is rarely even among the nodes, so each may use more than its part.
     return [
-      new Limiter(this.clock, 0.5 * rps, 0.3 * rps),
-      new Limiter(this.clock, writes, Math.max(writes, txn_ops)),
+      new RateLimiter(this.clock, 0.5 * rps, 0.3 * rps),
+      new RateLimiter(this.clock, writes, Math.max(writes, txn_ops)),
     ];
   }
 
-  keepTo(limits: StateLimits): void {
-    [this.#requests, this.#writes] = this.#limiters(limits);
+  applyLimits(limits: StoreLimits): void {
+    [this.#requestRate, this.#writeRate] = this.#createLimiters(limits);
   }
 
-  contactAt(): number | null {
-    return this.#contactAt;
+  lastContactAt(): number | null {
+    return this.#lastContactAt;
   }
 
   async #call(
@@ -123,30 +123,31 @@
     body: string | null,
     urgent = false,
     timer?: RetransmissionTimer,
-  ): Promise<Answer> {
+  ): Promise<HttpResponse> {
     const { storeTimeoutMs } = this.#timing;
-    if (urgent) this.#requests.force();
-    else if (!this.#retries.mayAsk()) return { status: 503, body: undefined };
-    else if (!(await this.#requests.take(1, storeTimeoutMs / 2))) return { status: 429, body: undefined };
+    if (urgent) this.#requestRate.forceAcquire();
+    else if (!this.#retries.allowsRequest()) return { status: 503, body: undefined };
+    else if (!(await this.#requestRate.acquire(1, storeTimeoutMs / 2)))
+      return { status: 429, body: undefined };
     const sentAt = this.clock.monotonicMs();
-    const timeout = timer?.timeout ?? storeTimeoutMs;
-    const answer = await this.#client.call(method, path, body, timeout);
-    this.#note(answer, sentAt);
+    const timeout = timer?.timeoutMs ?? storeTimeoutMs;
+    const answer = await this.#client.request(method, path, body, timeout);
+    this.#observeAnswer(answer, sentAt);
     const took = this.clock.monotonicMs() - sentAt;
-    if (answer.status !== 0) timer?.answered(took);
-    else if (took >= timeout) timer?.expired();
+    if (answer.status !== 0) timer?.observeResponse(took);
+    else if (took >= timeout) timer?.observeTimeout();
     return answer;
   }
 
-  #note(answer: Answer, sentAt: number): void {
+  #observeAnswer(answer: HttpResponse, sentAt: number): void {
     const answered = answer.status !== 0 && answer.status < 500 && answer.status !== 429;
-    this.#retries.note(answered);
+    this.#retries.observeOutcome(answered);
     if (answered) {
-      this.#contactAt = Math.max(this.#contactAt ?? sentAt, sentAt);
+      this.#lastContactAt = Math.max(this.#lastContactAt ?? sentAt, sentAt);
     }
   }
 
-  async read(key: string): Promise<Read> {
+  async read(key: string): Promise<ReadResult> {
     const answer = await this.#call('GET', `/keys/${key}`, null);
     if (answer.status === 404 && parseRevision(answer.body) !== null) return { entry: null };
     const entry = answer.status === 200 ? parseValue(answer.body) : null;
@@ -159,12 +160,12 @@
     let tries = 0;
     for (;;) {
       const after = entries.at(-1)?.key;
-      const query = `prefix=${encodeURIComponent(prefix)}${after === undefined ? '' : `&after=${encodeURIComponent(after)}`}&page=${PAGE}`;
+      const query = `prefix=${encodeURIComponent(prefix)}${after === undefined ? '' : `&after=${encodeURIComponent(after)}`}&page=${PAGE_ENTRIES}`;
       const answer = await this.#call('GET', `/keys?${query}`, null);
       const page = answer.status === 200 ? parsePage(answer.body) : null;
       if (page === null) {
         // Begun anew each time, a list of many pages never ended at the few requests that a small node has.
-        if (revision === null || ++tries >= PAGE_TRIES) return 'unknown';
+        if (revision === null || ++tries >= MAX_PAGE_ATTEMPTS) return 'unknown';
         await this.clock.sleep(this.#timing.tickMs);
         continue;
       }
@@ -176,16 +177,16 @@
     }
   }
 
-  async commit(txn: Transaction): Promise<Commit> {
-    if (!(await this.#writes.take(txn.mutations.length, this.#timing.storeTimeoutMs / 2)))
+  async commit(txn: Transaction): Promise<CommitResult> {
+    if (!(await this.#writeRate.acquire(txn.mutations.length, this.#timing.storeTimeoutMs / 2)))
       return { kind: 'refused' };
-    const answer = await this.#call('POST', '/commit', encodeTransaction(txn), false, this.#commits);
+    const answer = await this.#call('POST', '/commit', encodeTransaction(txn), false, this.#commitTimer);
     const revision = parseRevision(answer.body);
     switch (answer.status) {
       case 200:
         return revision === null ? { kind: 'unknown' } : { kind: 'applied', revision };
       case 409: {
-        const keys = parseFailed(answer.body);
+        const keys = parseFailedKeys(answer.body);
         return keys === null ? { kind: 'unknown' } : { kind: 'failed', keys };
       }
       case 400:
@@ -198,25 +199,25 @@
     }
   }
 
-  async watch(prefix: string, after: number, waitMs: number): Promise<Watch> {
-    this.#requests.force();
+  async watch(prefix: string, after: number, waitMs: number): Promise<WatchResult> {
+    this.#requestRate.forceAcquire();
     const sentAt = this.clock.monotonicMs();
-    const answer = await this.#watches.call(
+    const answer = await this.#watchClient.request(
       'GET',
       watchPath(prefix, after, waitMs),
       null,
       waitMs + this.#timing.storeTimeoutMs,
     );
-    this.#note(answer, sentAt);
-    return watchOf(answer);
+    this.#observeAnswer(answer, sentAt);
+    return parseWatchResult(answer);
   }
 
-  async changes(prefix: string, after: number): Promise<Watch> {
-    return watchOf(await this.#call('GET', watchPath(prefix, after, 0), null));
+  async changesSince(prefix: string, after: number): Promise<WatchResult> {
+    return parseWatchResult(await this.#call('GET', watchPath(prefix, after, 0), null));
   }
 
   async grant(lifeMs: number): Promise<number | null> {
-    const answer = await this.#call('POST', '/leases', encodeLife(lifeMs), true);
+    const answer = await this.#call('POST', '/leases', encodeLeaseRequest(lifeMs), true);
     return answer.status === 200 ? parseLease(answer.body) : null;
   }
 
--- a/src/adapters/users.ts
+++ b/src/adapters/users.ts
@@ -5,59 +5,59 @@
 import type { Precondition, EndedRecord, JobSpec, MachineType, Mutation } from '../core/types.js';
 import { endedKey, jobBytes, jobKey } from '../core/persistence/index.js';
 import { encodeJobView, JOB_ID, parseSubmission, type JobView } from '../wire/users.js';
-import { JobReads, type FoundJob } from './reads.js';
-import type { StateService } from './state.js';
+import { JobReader, type JobLookup } from './reads.js';
+import type { KeyValueStore } from './state.js';
 
-export interface UserAnswer {
+export interface UserResponse {
   readonly status: number;
   readonly body: object;
 }
 
-const RETRY: UserAnswer = { status: 503, body: { error: 'cannot decide now, try again' } };
-const NOT_FOUND: UserAnswer = { status: 404, body: { error: 'no such job' } };
+const RETRY_LATER: UserResponse = { status: 503, body: { error: 'cannot decide now, try again' } };
+const NOT_FOUND: UserResponse = { status: 404, body: { error: 'no such job' } };
 
 /** How a new job is entered. */
-interface Entry {
-  readonly when: readonly Precondition[];
-  readonly write: Mutation;
+interface PlannedSubmission {
+  readonly preconditions: readonly Precondition[];
+  readonly mutation: Mutation;
   readonly stage: 'pending' | 'withdrawn';
 }
 
-export interface UsersContext {
-  readonly state: StateService;
+export interface UserRequestsContext {
+  readonly state: KeyValueStore;
   readonly clock: Clock;
   readonly teams: ReadonlyMap<string, TeamQuota>;
   /** How long one request may take in all, in milliseconds. */
-  readonly patience: number;
+  readonly requestTimeoutMs: number;
   /** Requests a second that the state service takes, now and later. */
-  readonly rps: number;
+  readonly requestsPerSecond: number;
   /** Bytes that a description may take, now and later. */
-  readonly valueBytes: number;
+  readonly maxValueBytes: number;
   /** Conditions that a transaction may have, now and later. */
-  readonly conditions: number;
+  readonly maxPreconditions: number;
   /** Whether every controller is known to understand pipelines. */
-  knowsPipelines(): Promise<boolean>;
+  supportsDependencies(): Promise<boolean>;
   /** Whether a leader has freshly vouched that every cancellation has gone through its pipeline. */
-  isSettled(): boolean;
+  hasPropagatedCancellations(): boolean;
   types(): ReadonlyMap<string, MachineType>;
   counts(id: string): { readonly done: number; readonly running: number; readonly why: number } | null;
 }
 
-export class Users {
-  readonly #reads: JobReads;
+export class UserRequests {
+  readonly #reader: JobReader;
 
-  constructor(private readonly context: UsersContext) {
-    const { state, clock, rps, conditions } = context;
-    this.#reads = new JobReads(state, clock, rps, conditions);
+  constructor(private readonly context: UserRequestsContext) {
+    const { state, clock, requestsPerSecond, maxPreconditions } = context;
+    this.#reader = new JobReader(state, clock, requestsPerSecond, maxPreconditions);
   }
 
   /** Drops what can be read again. */
   dropCaches(): void {
-    this.#reads.dropCaches();
+    this.#reader.dropCaches();
   }
 
   /** Why a sound description can never run, or null if it can. */
-  #impossible(spec: JobSpec): string | null {
+  #infeasibilityReason(spec: JobSpec): string | null {
     const limits = this.context.teams.get(spec.team);
     if (limits === undefined) return `crew ${spec.team} is unknown`;
     let fitting = false;
@@ -78,12 +78,12 @@
     return null;
   }
 
-  #find(id: string): Promise<FoundJob> {
-    return this.#reads.find(id);
+  #lookUp(id: string): Promise<JobLookup> {
+    return this.#reader.find(id);
   }
 
-  #view(id: string, found: FoundJob): UserAnswer {
-    if (found.kind === 'unknown') return RETRY;
+  #renderJob(id: string, found: JobLookup): UserResponse {
+    if (found.kind === 'unknown') return RETRY_LATER;
     if (found.kind === 'none') return NOT_FOUND;
     let view: JobView;
     // Accepted, and not ended: that much is certain, and a job that nobody can ask about is a forgotten one.
@@ -91,72 +91,76 @@
     if (found.kind === 'ended') view = { id, stage: found.record.stage, done: found.record.done, running: 0 };
     else {
       const { done, running, why } = this.context.counts(id) ?? { done: 0, running: 0, why: 0 };
-      view = { id, stage: running > 0 ? 'running' : 'pending', done, running, why: REASONS[why - 1] };
+      view = { id, stage: running > 0 ? 'running' : 'pending', done, running, waitReason: REASONS[why - 1] };
       const started = running + done > 0;
       const awaits = started
         ? []
-        : (found.spec.awaits ?? []).filter((other) => !this.#reads.knowsEnded(other));
+        : (found.spec.awaits ?? []).filter((other) => !this.#reader.hasEnded(other));
       view = { ...view, awaits };
     }
     return { status: 200, body: encodeJobView(view) };
   }
 
-  async submit(body: unknown): Promise<UserAnswer> {
+  async submit(body: unknown): Promise<UserResponse> {
     const parsed = parseSubmission(body, Math.round(this.context.clock.epochMs()));
     if (!parsed.ok) return { status: 400, body: { error: parsed.reason } };
     const spec = parsed.value;
     const { id } = spec;
-    if (this.#reads.knowsEnded(id)) return this.#tell(id, await this.#find(id));
-    if (this.context.types().size === 0) return RETRY;
-    const reason = this.#impossible(spec);
+    if (this.#reader.hasEnded(id)) return this.#respond(id, await this.#lookUp(id));
+    if (this.context.types().size === 0) return RETRY_LATER;
+    const reason = this.#infeasibilityReason(spec);
     if (reason !== null) {
       // One that was accepted once stays accepted, whatever is sent under its name.
-      const found = await this.#find(id);
-      return found.kind === 'none' ? { status: 422, body: { error: reason } } : this.#tell(id, found);
+      const found = await this.#lookUp(id);
+      return found.kind === 'none' ? { status: 422, body: { error: reason } } : this.#respond(id, found);
     }
     // A repeat: that it is known takes a question, and nothing of what may be written a second.
-    if (this.#reads.lastLive(id) !== undefined) {
-      const found = await this.#find(id);
-      if (found.kind !== 'none') return this.#tell(id, found);
+    if (this.#reader.cachedLiveJob(id) !== undefined) {
+      const found = await this.#lookUp(id);
+      if (found.kind !== 'none') return this.#respond(id, found);
     }
     const own = [jobKey(id), endedKey(id)];
-    const until = this.context.clock.monotonicMs() + this.context.patience;
+    const until = this.context.clock.monotonicMs() + this.context.requestTimeoutMs;
     do {
-      const entry = await this.#entry(spec);
+      const entry = await this.#planSubmission(spec);
       if ('status' in entry) return entry;
       const outcome = await this.context.state.commit({
-        preconditions: [...own.map((key) => ({ key, modRevision: 0 })), ...entry.when],
-        mutations: [entry.write],
+        preconditions: [...own.map((key) => ({ key, modRevision: 0 })), ...entry.preconditions],
+        mutations: [entry.mutation],
       });
       if (outcome.kind === 'applied') return { status: 201, body: encodeJobView({ id, stage: entry.stage }) };
       // What it awaits has ended meanwhile: that is looked at anew.
       if (outcome.kind === 'failed' && !outcome.keys.some((key) => own.includes(key))) continue;
-      if (outcome.kind === 'failed') return this.#tell(id, await this.#find(id));
-      if (outcome.kind !== 'unknown') return RETRY;
-      const found = await this.#find(id);
-      if (found.kind !== 'none' && found.kind !== 'unknown') return this.#tell(id, found);
+      if (outcome.kind === 'failed') return this.#respond(id, await this.#lookUp(id));
+      if (outcome.kind !== 'unknown') return RETRY_LATER;
+      const found = await this.#lookUp(id);
+      if (found.kind !== 'none' && found.kind !== 'unknown') return this.#respond(id, found);
     } while (this.context.clock.monotonicMs() < until);
-    return RETRY;
+    return RETRY_LATER;
   }
 
   /** What to write for a new job, or the answer that it gets instead. */
-  async #entry(spec: JobSpec): Promise<UserAnswer | Entry> {
+  async #planSubmission(spec: JobSpec): Promise<UserResponse | PlannedSubmission> {
     const { id, awaits = [] } = spec;
-    const most = Math.floor(this.context.valueBytes);
+    const most = Math.floor(this.context.maxValueBytes);
     // One that was accepted once stays accepted, whatever is sent under its name.
-    const refuse = async (status: number, error: string): Promise<UserAnswer> => {
-      const found = await this.#find(id);
-      return found.kind === 'none' ? { status, body: { error } } : this.#tell(id, found);
+    const refuse = async (status: number, error: string): Promise<UserResponse> => {
+      const found = await this.#lookUp(id);
+      return found.kind === 'none' ? { status, body: { error } } : this.#respond(id, found);
     };
     if (jobBytes(spec) > most)
       return refuse(400, `the description takes more than ${most} bytes: awaits or a name is too long`);
-    const live: Entry = { when: [], write: { put: jobKey(id), value: spec }, stage: 'pending' };
+    const live: PlannedSubmission = {
+      preconditions: [],
+      mutation: { put: jobKey(id), value: spec },
+      stage: 'pending',
+    };
     if (awaits.length === 0) return live;
     // A program of before would start it at once.
-    if (!(await this.context.knowsPipelines())) return RETRY;
+    if (!(await this.context.supportsDependencies())) return RETRY_LATER;
     if (awaits.includes(id)) return refuse(422, 'a job cannot await itself');
-    const found = await Promise.all(awaits.map((other) => this.#find(other)));
-    if (found.some(({ kind }) => kind === 'unknown' || kind === 'damaged')) return RETRY;
+    const found = await Promise.all(awaits.map((other) => this.#lookUp(other)));
+    if (found.some(({ kind }) => kind === 'unknown' || kind === 'damaged')) return RETRY_LATER;
     const missing = awaits.find((_, i) => found[i]?.kind === 'none');
     if (missing !== undefined) return refuse(422, `awaits ${missing}, which was never accepted`);
     const endless = found.find((other) => other.kind === 'live' && other.spec.form === 'service');
@@ -168,26 +172,30 @@
         const job = found[i];
         return job?.kind === 'live' ? [{ key: jobKey(other), modRevision: job.modRevision }] : [];
       });
-      return { ...live, when: when.slice(0, this.context.conditions - 2) };
+      return { ...live, preconditions: when.slice(0, this.context.maxPreconditions - 2) };
     }
     const at = Math.round(this.context.clock.epochMs());
     const record: EndedRecord = { stage: 'withdrawn', tasks: spec.tasks, done: 0, at };
-    return { when: [], write: { put: endedKey(id), value: record }, stage: 'withdrawn' };
+    return { preconditions: [], mutation: { put: endedKey(id), value: record }, stage: 'withdrawn' };
   }
 
-  async show(id: string): Promise<UserAnswer> {
+  async show(id: string): Promise<UserResponse> {
     if (!JOB_ID.test(id)) return NOT_FOUND;
-    return this.#tell(id, await this.#find(id));
+    return this.#respond(id, await this.#lookUp(id));
   }
 
   /** What a user is told of a job: of one that waits, only with word of what it needs. */
-  async #tell(id: string, found: FoundJob): Promise<UserAnswer> {
-    if (found.kind !== 'live' || (found.spec.awaits ?? []).length === 0 || this.context.isSettled())
-      return this.#view(id, found);
+  async #respond(id: string, found: JobLookup): Promise<UserResponse> {
+    if (
+      found.kind !== 'live' ||
+      (found.spec.awaits ?? []).length === 0 ||
+      this.context.hasPropagatedCancellations()
+    )
+      return this.#renderJob(id, found);
     // Nobody vouches that what it needs still can be done: that is read here, and acted on.
-    const doomed = await this.#isDoomed(found.spec);
-    if (doomed === 'unknown') return RETRY;
-    return doomed ? this.withdraw(id) : this.#view(id, found);
+    const doomed = await this.#hasCancelledDependency(found.spec);
+    if (doomed === 'unknown') return RETRY_LATER;
+    return doomed ? this.cancel(id) : this.#renderJob(id, found);
   }
 
   /**
@@ -195,11 +203,11 @@
    * mirror up to this question, so that what is live in it needs no other; what has ended is read once.
    * Looked through one by one, a pipeline of more than 50 jobs had no answer while no leader vouched.
    */
-  async #isDoomed(spec: JobSpec): Promise<boolean | 'unknown'> {
+  async #hasCancelledDependency(spec: JobSpec): Promise<boolean | 'unknown'> {
     const seen = new Set<string>();
     let next = spec.awaits ?? [];
     while (next.length > 0) {
-      const found = await Promise.all(next.map((id) => this.#find(id)));
+      const found = await Promise.all(next.map((id) => this.#lookUp(id)));
       if (found.some((one) => one.kind === 'ended' && one.record.stage === 'withdrawn')) return true;
       if (found.some(({ kind }) => kind === 'unknown')) return 'unknown';
       const live = found.filter((one) => one.kind === 'live');
@@ -208,7 +216,7 @@
         for (const id of one.spec.awaits ?? []) {
           if (seen.has(id)) continue;
           seen.add(id);
-          const known = this.#reads.lastLive(id);
+          const known = this.#reader.cachedLiveJob(id);
           if (known?.kind === 'live') live.push(known);
           else beyond.add(id);
         }
@@ -218,12 +226,12 @@
     return false;
   }
 
-  async withdraw(id: string): Promise<UserAnswer> {
+  async cancel(id: string): Promise<UserResponse> {
     if (!JOB_ID.test(id)) return NOT_FOUND;
-    const until = this.context.clock.monotonicMs() + this.context.patience;
+    const until = this.context.clock.monotonicMs() + this.context.requestTimeoutMs;
     do {
-      const found = await this.#find(id);
-      if (found.kind !== 'live' && found.kind !== 'damaged') return this.#view(id, found);
+      const found = await this.#lookUp(id);
+      if (found.kind !== 'live' && found.kind !== 'damaged') return this.#renderJob(id, found);
       const tasks = found.kind === 'live' ? found.spec.tasks : 0;
       const at = Math.round(this.context.clock.epochMs());
       const record: EndedRecord = { stage: 'withdrawn', tasks, done: this.context.counts(id)?.done ?? 0, at };
@@ -232,14 +240,14 @@
         mutations: [{ remove: jobKey(id) }, { put: endedKey(id), value: record }],
       });
       if (outcome.kind === 'applied') {
-        this.#reads.keep(id, record);
+        this.#reader.rememberEnded(id, record);
         return { status: 200, body: encodeJobView({ id, stage: 'withdrawn' }) };
       }
-      if (outcome.kind !== 'failed' && outcome.kind !== 'unknown') return RETRY;
+      if (outcome.kind !== 'failed' && outcome.kind !== 'unknown') return RETRY_LATER;
       // It may have been carried out, and only its answer lost: its user is not sent away for that.
-      const after = await this.#find(id);
-      if (after.kind === 'ended') return this.#view(id, after);
+      const after = await this.#lookUp(id);
+      if (after.kind === 'ended') return this.#renderJob(id, after);
     } while (this.context.clock.monotonicMs() < until);
-    return RETRY;
+    return RETRY_LATER;
   }
 }
--- a/src/adapters/workers.ts
+++ b/src/adapters/workers.ts
@@ -2,25 +2,29 @@
 import { connect } from 'node:net';
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import { parseAddress } from '../settings.js';
-import { encodeDirect, parseReport } from '../wire/workers.js';
+import { encodeDirectCommands, parseHeartbeat } from '../wire/workers.js';
 import { HttpClient } from './http.js';
 
-export interface Workers {
-  direct(
+export interface WorkerClient {
+  sendCommands(
     address: string,
     token: number,
     session: number,
     commands: readonly WorkerCommand[],
   ): Promise<Heartbeat | null>;
   /** Whether the address takes a connection; null: not to be told from here. */
-  isThere(address: string): Promise<boolean | null>;
+  probe(address: string): Promise<boolean | null>;
 }
 
 /** Errors that speak of the other side, not of this one. */
-const NOBODY: ReadonlySet<string | undefined> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ETIMEDOUT']);
+const UNREACHABLE_ERRORS: ReadonlySet<string | undefined> = new Set([
+  'ECONNREFUSED',
+  'EHOSTUNREACH',
+  'ETIMEDOUT',
+]);
 
-export class HttpWorkers implements Workers {
-  #knocks = 0;
+export class HttpWorkerClient implements WorkerClient {
+  #probes = 0;
 
   constructor(
     private readonly timeoutMs: number,
@@ -29,9 +33,9 @@
     private readonly mostKnocks: number,
   ) {}
 
-  isThere(address: string): Promise<boolean | null> {
-    if (this.#knocks >= this.mostKnocks) return Promise.resolve(null);
-    this.#knocks += 1;
+  probe(address: string): Promise<boolean | null> {
+    if (this.#probes >= this.mostKnocks) return Promise.resolve(null);
+    this.#probes += 1;
     return new Promise((resolve) => {
       const socket = connect(parseAddress(address));
       let met: boolean | null = false;
@@ -42,17 +46,17 @@
         socket.destroy();
       });
       socket.on('error', ({ code }: NodeJS.ErrnoException) => {
-        if (met === false && !NOBODY.has(code)) met = null;
+        if (met === false && !UNREACHABLE_ERRORS.has(code)) met = null;
       });
       socket.on('close', () => {
         clearTimeout(timer);
-        this.#knocks -= 1;
+        this.#probes -= 1;
         resolve(met);
       });
     });
   }
 
-  async direct(
+  async sendCommands(
     address: string,
     token: number,
     session: number,
@@ -61,8 +65,13 @@
     // A start sent this way could be executed minutes late.
     const safe = commands.filter((command) => command.op !== 'start');
     const client = new HttpClient(parseAddress(address), 1, false);
-    const answer = await client.call('POST', '/do', encodeDirect(token, session, safe), this.timeoutMs);
+    const answer = await client.request(
+      'POST',
+      '/do',
+      encodeDirectCommands(token, session, safe),
+      this.timeoutMs,
+    );
     client.close();
-    return answer.status === 200 || answer.status === 409 ? parseReport(answer.body) : null;
+    return answer.status === 200 || answer.status === 409 ? parseHeartbeat(answer.body) : null;
   }
 }
--- a/src/cli.ts
+++ b/src/cli.ts
@@ -3,7 +3,7 @@
 import { Client, type Output } from './client.js';
 import { createLog } from './logging.js';
 import { memoryQuotaFault } from './memory.js';
-import { createPolicy, PolicyError, readPolicy, tellFault } from './policy.js';
+import { createPolicy, PolicyError, readPolicy, formatFault } from './policy.js';
 import { startService } from './service.js';
 import { parseSettings, readDocument, readText, SettingsError, settingsFaults } from './settings.js';
 
@@ -37,7 +37,7 @@
   const faults = settingsFaults(document).map((fault) => `${file}: ${fault}`);
   if (faults.length === 0 && policyFile !== undefined) {
     const policy = readPolicy(readText(policyFile), parseSettings(document));
-    faults.push(...policy.faults.map((fault) => `${policyFile}:${tellFault(fault)}`));
+    faults.push(...policy.faults.map((fault) => `${policyFile}:${formatFault(fault)}`));
   }
   if (faults.length === 0 && machines !== undefined) {
     const fault = memoryQuotaFault(parseSettings(document).cluster.quota.ram_mb, machines);
@@ -108,7 +108,7 @@
   });
   const withdraw = withServer(command('withdraw <id>', 'cancel a job'));
   withdraw.action(async (id: string) => {
-    code = await client(withdraw).withdraw(id);
+    code = await client(withdraw).cancel(id);
   });
   const status = withServer(command('status', "show a controller's view of the service"));
   status.action(async () => {
--- a/src/client.ts
+++ b/src/client.ts
@@ -1,5 +1,5 @@
 /** The thin user verbs: one request to a controller, its answer on standard output. */
-import { HttpClient, type Answer } from './adapters/http.js';
+import { HttpClient, type HttpResponse } from './adapters/http.js';
 import { parseAddress } from './settings.js';
 import { asObject } from './core/values.js';
 
@@ -17,15 +17,15 @@
     private readonly output: Output,
   ) {}
 
-  async #ask(method: string, path: string, body: string | null): Promise<Answer> {
+  async #request(method: string, path: string, body: string | null): Promise<HttpResponse> {
     const client = new HttpClient(parseAddress(this.server), 1, false);
-    const answer = await client.call(method, path, body, TIMEOUT_MS);
+    const answer = await client.request(method, path, body, TIMEOUT_MS);
     client.close();
     return answer;
   }
 
   /** Prints an answer; the result is the exit code. */
-  #tell(answer: Answer): number {
+  #print(answer: HttpResponse): number {
     if (answer.status === 0) {
       this.output.err(`rowanferry: no answer from ${this.server}`);
       return 1;
@@ -40,17 +40,17 @@
   }
 
   async submit(job: unknown): Promise<number> {
-    return this.#tell(await this.#ask('POST', '/v2/runs', JSON.stringify(job)));
+    return this.#print(await this.#request('POST', '/v2/runs', JSON.stringify(job)));
   }
 
   async show(id: string, follow: boolean): Promise<number> {
     const path = `/v2/runs/${encodeURIComponent(id)}`;
     let last = '';
     for (;;) {
-      const answer = await this.#ask('GET', path, null);
+      const answer = await this.#request('GET', path, null);
       const stage = asObject(answer.body)?.['stage'];
       const over = stage === 'done' || stage === 'withdrawn';
-      if (!follow || over || (answer.status !== 200 && answer.status !== 503)) return this.#tell(answer);
+      if (!follow || over || (answer.status !== 200 && answer.status !== 503)) return this.#print(answer);
       const line = JSON.stringify(answer.body);
       if (line !== last && answer.status === 200) this.output.out(line);
       last = line;
@@ -58,13 +58,13 @@
     }
   }
 
-  async withdraw(id: string): Promise<number> {
-    return this.#tell(await this.#ask('POST', `/v2/runs/${encodeURIComponent(id)}/withdraw`, '{}'));
+  async cancel(id: string): Promise<number> {
+    return this.#print(await this.#request('POST', `/v2/runs/${encodeURIComponent(id)}/withdraw`, '{}'));
   }
 
   async status(): Promise<number> {
-    const answer = await this.#ask('GET', '/status', null);
-    if (answer.status !== 200) return this.#tell(answer);
+    const answer = await this.#request('GET', '/status', null);
+    if (answer.status !== 200) return this.#print(answer);
     this.output.out(JSON.stringify(answer.body, null, 2));
     return 0;
   }
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -6,15 +6,15 @@
   epochMs(): number;
   sleep(ms: number): Promise<void>;
   /** Calls back once what is ready now has been dealt with. */
-  soon(call: () => void): void;
+  defer(call: () => void): void;
   /** Begins to measure work; the call that ends it tells how long it took. */
-  measure(): () => Work;
+  startMeasuring(): () => WorkDuration;
 }
 
 /** Steady time and processor time of a piece of work, in milliseconds. */
-export interface Work {
-  readonly steadyMs: number;
-  readonly processorMs: number;
+export interface WorkDuration {
+  readonly elapsedMs: number;
+  readonly cpuMs: number;
 }
 
 export const systemClock: Clock = {
@@ -24,15 +24,15 @@
     new Promise((resolve) => {
       setTimeout(resolve, ms);
     }),
-  soon: (call) => {
+  defer: (call) => {
     setImmediate(call);
   },
-  measure: () => {
+  startMeasuring: () => {
     const from = performance.now();
     const used = process.cpuUsage();
     return () => {
       const { user, system } = process.cpuUsage(used);
-      return { steadyMs: performance.now() - from, processorMs: (user + system) / 1000 };
+      return { elapsedMs: performance.now() - from, cpuMs: (user + system) / 1000 };
     };
   },
 };
--- a/src/controller/common.ts
+++ b/src/controller/common.ts
@@ -1,7 +1,7 @@
 /** What the parts of a node have in common: its ports, and who leads as far as it knows. */
 import type { Cloud } from '../adapters/cloud.js';
-import type { StateService } from '../adapters/state.js';
-import type { Workers } from '../adapters/workers.js';
+import type { KeyValueStore } from '../adapters/state.js';
+import type { WorkerClient } from '../adapters/workers.js';
 import type { Clock } from '../clock.js';
 import type { SchedulingPolicy } from '../core/model.js';
 import type { Log } from '../logging.js';
@@ -10,9 +10,9 @@
 
 /** What a controller needs of the world around it. */
 export interface Ports {
-  readonly state: StateService;
+  readonly state: KeyValueStore;
   readonly cloud: Cloud;
-  readonly workers: Workers;
+  readonly workers: WorkerClient;
   readonly clock: Clock;
   readonly log: Log;
   readonly policy: SchedulingPolicy;
@@ -39,6 +39,6 @@
 
 /** Milliseconds since the state service last answered this node. */
 export function stateAgeMs({ ports: { state, clock } }: Common): number {
-  const contact = state.contactAt();
+  const contact = state.lastContactAt();
   return contact === null ? 0xffffffff : Math.max(0, Math.round(clock.monotonicMs() - contact));
 }
--- a/src/controller/deputy.ts
+++ b/src/controller/deputy.ts
@@ -11,7 +11,7 @@
  * while nobody is served by the state service has no successor until that is over, and
  * every worker would lose its lease and its work meanwhile.
  */
-import type { StateService } from '../adapters/state.js';
+import type { KeyValueStore } from '../adapters/state.js';
 import type { Clock } from '../clock.js';
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
@@ -43,7 +43,7 @@
 
   constructor(
     private readonly node: string,
-    private readonly state: StateService,
+    private readonly state: KeyValueStore,
     private readonly clock: Clock,
     private readonly timing: Timing,
     /** Its word is split so that it fits values of today and of later. */
--- a/src/controller/election.ts
+++ b/src/controller/election.ts
@@ -1,5 +1,5 @@
 /** Carries out what the election machine asks for, and tells it what came of it. */
-import type { StateService } from '../adapters/state.js';
+import type { KeyValueStore } from '../adapters/state.js';
 import type { Clock } from '../clock.js';
 import {
   decodeLeader,
@@ -30,7 +30,7 @@
 export class Election {
   constructor(
     private readonly machine: ElectionState,
-    private readonly state: StateService,
+    private readonly state: KeyValueStore,
     private readonly clock: Clock,
     private readonly events: ElectionEvents,
     /** How long to wait before standing, as of now. */
--- a/src/controller/leading.ts
+++ b/src/controller/leading.ts
@@ -25,7 +25,7 @@
 import type { Observing } from './observing.js';
 import type { Peering } from './peering.js';
 import type { PlatformSettings } from '../settings.js';
-import { firstLayout, formatRecord, lastingLayout } from '../upgrade.js';
+import { initialLayout, formatRecord, upgradedLayout } from '../upgrade.js';
 import type { Entry } from '../wire/state.js';
 
 function decodeJobs(entries: readonly Entry[]): Versioned<JobSpec>[] {
@@ -162,8 +162,10 @@
         modRevision,
         viewConfirmedAt: sentAt,
         layout:
-          format === null ? firstLayout(this.common.settings) : lastingLayout(this.common.settings, format),
-        legacyChunkTasks: format?.wide ?? firstLayout(this.common.settings).tasksPerChunk,
+          format === null
+            ? initialLayout(this.common.settings)
+            : upgradedLayout(this.common.settings, format),
+        legacyChunkTasks: format?.wide ?? initialLayout(this.common.settings).tasksPerChunk,
         jobs: decodeJobs(jobs.entries),
         chunks,
         demandHistory: memory,
@@ -323,7 +325,7 @@
     for (;;) {
       if (this.common.owner.state.leadership !== null) {
         const askedAt = this.common.ports.clock.monotonicMs();
-        const machines = await this.common.ports.cloud.machines();
+        const machines = await this.common.ports.cloud.listMachines();
         if (machines !== null) this.common.owner.push({ kind: 'machinesListed', askedAt, machines });
       }
       await this.common.ports.clock.sleep(pause);
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -1,18 +1,18 @@
 /** One controller: the owner, and the parts around it that lead, follow, talk with peers and serve users. */
 import { Admission } from '../adapters/admission.js';
 import type { PeerTraffic } from '../adapters/peers.js';
-import { Users } from '../adapters/users.js';
+import { UserRequests } from '../adapters/users.js';
 import { stateAgeMs, type Common, type Ports, type LeadershipView } from './common.js';
 import { FORMAT, LEADER_KEY } from '../core/persistence/index.js';
 import type { Effect, Reply } from '../core/effects.js';
 import { createState } from '../core/create-state.js';
 import { Deputy } from './deputy.js';
-import { describeLead } from '../describe.js';
+import { describeLeaderView } from '../describe.js';
 import { Election } from './election.js';
 import { Following } from './following.js';
-import { Latencies } from '../latency.js';
+import { LatencyHistograms } from '../latency.js';
 import { Leading } from './leading.js';
-import { Tally } from '../logging.js';
+import { EventCounter } from '../logging.js';
 import { Owner } from '../owner.js';
 import { Observing } from './observing.js';
 import { Peering } from './peering.js';
@@ -21,13 +21,13 @@
 import { createElection } from '../membership/election.js';
 import type { Resignation } from '../membership/membership.js';
 import type { Link } from '../membership/views.js';
-import { rulesFor } from '../rules.js';
-import { lastingLimits, timing, type PlatformSettings } from '../settings.js';
-import { lastingLayout, Upgrade } from '../upgrade.js';
+import { createCoreConfig } from '../rules.js';
+import { strictestLimits, timing, type PlatformSettings } from '../settings.js';
+import { upgradedLayout, FormatUpgrade } from '../upgrade.js';
 import type { Heartbeat } from '../core/types.js';
 import type { IntakeMessage } from '../wire/intake.js';
 import type { PeerStatus } from '../wire/peers.js';
-import { encodeRedirect, encodeReply, parseReport } from '../wire/workers.js';
+import { encodeRedirect, encodeReply, parseHeartbeat } from '../wire/workers.js';
 
 export type { Ports };
 
@@ -35,17 +35,17 @@
 const TICKS_A_SNAPSHOT = 2;
 
 export class ControllerNode {
-  readonly users: Users;
-  readonly latencies = new Latencies();
+  readonly users: UserRequests;
+  readonly latencies = new LatencyHistograms();
   readonly admission: Admission;
   /** What came in that could not be read, by what it should have been. */
-  readonly malformed = new Tally();
+  readonly malformed = new EventCounter();
   readonly #common: Common;
   readonly #peering: Peering;
   readonly #leading: Leading;
   readonly #following: Following;
   readonly #election: Election;
-  readonly #upgrade: Upgrade;
+  readonly #upgrade: FormatUpgrade;
   readonly #intake: ReportIntake;
   readonly #shared: SharedReports;
   readonly #replies = new Map<number, (reply: Reply) => void>();
@@ -65,18 +65,17 @@
   constructor(settings: PlatformSettings, ports: Ports) {
     const { state, clock, log, incarnation } = ports;
     const times = timing(settings);
-    const rules = rulesFor(settings, ports.policy);
+    const rules = createCoreConfig(settings, ports.policy);
     const owner = new Owner(
       createState(settings.host_name, rules),
       clock,
       log,
       (effect) => this.#carryOut(effect),
-      ({ steadyMs, processorMs }) =>
-        this.#observing.membership.pace.worked(steadyMs, processorMs, clock.monotonicMs()),
+      ({ elapsedMs, cpuMs }) => this.#observing.membership.pace.worked(elapsedMs, cpuMs, clock.monotonicMs()),
     );
     const standing: LeadershipView = { leader: null, leaderRevision: 0, highestTerm: 0, leadingTerm: 0 };
     this.#common = { settings, timing: times, ports, owner, standing };
-    const { value_kb, txn_ops, rps } = lastingLimits(settings);
+    const { value_kb, txn_ops, rps } = strictestLimits(settings);
     const deputy = new Deputy(
       settings.host_name,
       state,
@@ -168,31 +167,31 @@
         return this.#leading.hasBetterPlaced() ? 4 * times.tickMs : 0;
       },
     );
-    this.#upgrade = new Upgrade({
+    this.#upgrade = new FormatUpgrade({
       settings,
       state,
       clock,
-      pause: 2 * times.maxHeartbeatIntervalMs,
+      pollIntervalMs: 2 * times.maxHeartbeatIntervalMs,
       termRevision: () => owner.state.leadership?.modRevision ?? null,
-      hearsEarlier: () => this.#peering.hearsEarlier(),
-      adopted: (record) => {
+      hearsEarlierVersion: () => this.#peering.hearsEarlier(),
+      onAdopted: (record) => {
         log.info(record, 'every controller reads the new format');
-        state.keepTo(lastingLimits(settings));
-        owner.push({ kind: 'adoptLayout', layout: lastingLayout(settings, record) });
+        state.applyLimits(strictestLimits(settings));
+        owner.push({ kind: 'adoptLayout', layout: upgradedLayout(settings, record) });
       },
     });
     // So many as the state service could answer within a quarter of what one request may take.
     this.admission = new Admission(clock, (settings.cluster.state.rps * times.storeTimeoutMs) / 4000);
-    this.users = new Users({
-      rps,
-      valueBytes: value_kb * 1024,
-      conditions: 4 * txn_ops,
-      knowsPipelines: async () => (await this.#upgrade.look()) !== null,
-      isSettled: () => this.#peering.isSettled(),
+    this.users = new UserRequests({
+      requestsPerSecond: rps,
+      maxValueBytes: value_kb * 1024,
+      maxPreconditions: 4 * txn_ops,
+      supportsDependencies: async () => (await this.#upgrade.refresh()) !== null,
+      hasPropagatedCancellations: () => this.#peering.isSettled(),
       state,
       clock,
       teams: rules.teams,
-      patience: times.storeTimeoutMs,
+      requestTimeoutMs: times.storeTimeoutMs,
       types: () => owner.state.machineTypes,
       counts: (id) => this.#peering.countOf(id),
     });
@@ -287,7 +286,7 @@
     for (;;) {
       const from = clock.monotonicMs();
       if (from - toldAt > workerLeaseMs) {
-        this.malformed.tell(this.#common.ports.log, 'malformed');
+        this.malformed.flush(this.#common.ports.log, 'malformed');
         toldAt = from;
       }
       await clock.sleep(tickMs);
@@ -358,14 +357,14 @@
         forwarded: this.#intake.forwarded,
         answered: this.#intake.answered,
       },
-      ...(brief || state.leadership === null ? {} : { lead: describeLead(state, now) }),
+      ...(brief || state.leadership === null ? {} : { lead: describeLeaderView(state, now) }),
     };
   }
 
   report(body: unknown, done: (status: number, body: string) => void): void {
-    const report = parseReport(body);
+    const report = parseHeartbeat(body);
     if (report === null) {
-      this.malformed.note('reports');
+      this.malformed.count('reports');
       done(400, '{"error":"malformed report"}');
     } else this.#takeReport(report, done);
   }
@@ -432,25 +431,25 @@
         break;
       case 'sendCommands':
         void this.#common.ports.workers
-          .direct(effect.address, effect.token, effect.agentEpoch, effect.commands)
+          .sendCommands(effect.address, effect.token, effect.agentEpoch, effect.commands)
           .then((report) => {
             if (report !== null) this.#common.owner.push({ kind: 'directAnswer', heartbeat: report });
           });
         break;
       case 'probe':
-        void this.#common.ports.workers.isThere(effect.address).then((met) => {
+        void this.#common.ports.workers.probe(effect.address).then((met) => {
           this.#common.owner.push({ kind: 'probed', machine: effect.machine, isReachable: met });
         });
         break;
       case 'provision':
         void this.#common.ports.cloud
-          .rent(effect.requestId, effect.type, effect.zone, effect.spot, effect.count)
+          .provision(effect.requestId, effect.type, effect.zone, effect.spot, effect.count)
           .then((outcome) =>
             this.#common.owner.push({ kind: 'provisioned', requestId: effect.requestId, outcome }),
           );
         break;
       case 'terminate':
-        void this.#common.ports.cloud.giveBack(effect.machines).then((ok) => {
+        void this.#common.ports.cloud.terminate(effect.machines).then((ok) => {
           this.#common.owner.push({ kind: 'terminated', machines: effect.machines, ok });
         });
         break;
--- a/src/controller/observing.ts
+++ b/src/controller/observing.ts
@@ -182,7 +182,7 @@
 
   async #knock(addresses: readonly string[], round: number): Promise<void> {
     const found = await Promise.all(
-      addresses.slice(0, MOST_ASKED).map((address) => this.common.ports.workers.isThere(address)),
+      addresses.slice(0, MOST_ASKED).map((address) => this.common.ports.workers.probe(address)),
     );
     if (this.membership.knocks.round !== round) return;
     const met = found.filter((one) => one === true).length;
--- a/src/controller/shared-reports.ts
+++ b/src/controller/shared-reports.ts
@@ -178,7 +178,7 @@
   #flushSoon(): void {
     if (this.#flushing) return;
     this.#flushing = true;
-    this.common.ports.clock.soon(() => {
+    this.common.ports.clock.defer(() => {
       this.#flushing = false;
       for (const [node, outbox] of this.#outboxes) this.#flush(node, outbox);
     });
--- a/src/describe.ts
+++ b/src/describe.ts
@@ -4,7 +4,7 @@
 import { taskKey, type Machine, type Now } from './core/model.js';
 import type { CoreState } from './core/state.js';
 
-const MOST_LISTED = 100;
+const MAX_LISTED_MACHINES = 100;
 
 function stageOf(machine: Machine): string {
   if (machine.terminationReason !== null) return 'leaving';
@@ -35,18 +35,16 @@
   const waiting = [...state.jobs.values()].filter((job) => job.finalStage === null && !isReady(job));
   return {
     jobs: waiting.length,
-    first: waiting
-      .slice(0, 10)
-      .map(({ spec, pendingDependencies }) => ({
-        id: spec.id,
-        awaits: [...pendingDependencies].slice(0, 10),
-        of: pendingDependencies.size,
-      })),
+    first: waiting.slice(0, 10).map(({ spec, pendingDependencies }) => ({
+      id: spec.id,
+      awaits: [...pendingDependencies].slice(0, 10),
+      of: pendingDependencies.size,
+    })),
   };
 }
 
 /** What only a leader knows: the queue, its head, the machines and what they cost. */
-export function describeLead(state: CoreState, now: Now): object {
+export function describeLeaderView(state: CoreState, now: Now): object {
   const queue = waitingJobs(state, now);
   const { head } = state;
   let perHour = 0;
@@ -89,7 +87,7 @@
     moneyPerHour: Math.round(perHour * 100) / 100,
     jobs: state.jobs.size,
     machines: [...state.machines.values()]
-      .slice(0, MOST_LISTED)
+      .slice(0, MAX_LISTED_MACHINES)
       .map((machine) => describeMachine(state, machine, now)),
     machinesInAll: state.machines.size,
   };
--- a/src/latency.ts
+++ b/src/latency.ts
@@ -1,9 +1,9 @@
 /** How long requests take, by kind; bounded histograms for the status page. */
 import { build, type Histogram } from 'hdr-histogram-js';
 
-const MOST_MS = 60_000;
+const MAX_TRACKED_MS = 60_000;
 
-export class Latencies {
+export class LatencyHistograms {
   readonly #kinds = new Map<string, Histogram>();
 
   record(kind: string, ms: number): void {
@@ -11,12 +11,12 @@
     if (histogram === undefined) {
       histogram = build({
         lowestDiscernibleValue: 1,
-        highestTrackableValue: MOST_MS,
+        highestTrackableValue: MAX_TRACKED_MS,
         numberOfSignificantValueDigits: 2,
       });
       this.#kinds.set(kind, histogram);
     }
-    histogram.recordValue(Math.min(MOST_MS, Math.max(1, Math.round(ms))));
+    histogram.recordValue(Math.min(MAX_TRACKED_MS, Math.max(1, Math.round(ms))));
   }
 
   describe(): Record<string, object> {
--- a/src/logging.ts
+++ b/src/logging.ts
@@ -6,15 +6,15 @@
 const LEVELS = new Set(['error', 'info', 'debug']);
 
 /** Counts what may come in floods, so that one line tells of many. */
-export class Tally {
+export class EventCounter {
   readonly #counts = new Map<string, number>();
 
-  note(what: string): void {
+  count(what: string): void {
     this.#counts.set(what, (this.#counts.get(what) ?? 0) + 1);
   }
 
   /** Logs what has been counted since it last did, if anything. */
-  tell(log: Log, event: string): void {
+  flush(log: Log, event: string): void {
     if (this.#counts.size === 0) return;
     log.info(Object.fromEntries(this.#counts), event);
     this.#counts.clear();
--- a/src/memory.ts
+++ b/src/memory.ts
@@ -44,7 +44,7 @@
   dropCaches(): void;
 }
 
-export class MemoryWatch {
+export class MemoryMonitor {
   #warnedNearAt = -Infinity;
   #warnedSmallAt = -Infinity;
 
--- a/src/owner.ts
+++ b/src/owner.ts
@@ -1,6 +1,6 @@
 /** The one owner of a node's scheduling state: a queue of commands, worked off in batches. */
 import { buffer, exhaustMap, Observable, Subject, type Subscription } from 'rxjs';
-import type { Clock, Work } from './clock.js';
+import type { Clock, WorkDuration } from './clock.js';
 import type { Command, Effect } from './core/effects.js';
 import { step } from './core/step.js';
 import type { CoreState } from './core/state.js';
@@ -16,11 +16,11 @@
     private readonly log: Log,
     private readonly carryOut: (effect: Effect) => void,
     /** Is told how long some of the batches took: those of a tick, for each look at the clocks costs too. */
-    private readonly worked: (work: Work) => void = () => undefined,
+    private readonly worked: (work: WorkDuration) => void = () => undefined,
   ) {
     // A batch is all that has come in by the time the input that is ready now is read.
     const nextTurn = new Observable<void>((subscriber) => {
-      clock.soon(() => {
+      clock.defer(() => {
         subscriber.next();
         subscriber.complete();
       });
@@ -40,7 +40,7 @@
 
   #work(batch: readonly Command[]): void {
     const now = { monotonicMs: this.clock.monotonicMs(), epochMs: this.clock.epochMs() };
-    const end = batch.some(({ kind }) => kind === 'tick') ? this.clock.measure() : null;
+    const end = batch.some(({ kind }) => kind === 'tick') ? this.clock.startMeasuring() : null;
     let effects: Effect[];
     try {
       effects = step(this.state, batch, now);
--- a/src/policy.ts
+++ b/src/policy.ts
@@ -13,8 +13,8 @@
 
 interface Figure {
   readonly scope: Scope;
-  readonly least: number;
-  readonly most: number;
+  readonly min: number;
+  readonly max: number;
   /** The measured default. */
   readonly source: string;
 }
@@ -23,21 +23,21 @@
 
 /** Every figure that a policy may set. */
 export const FIGURES = {
-  estimate_multiplier: { scope: 'job', least: 0.01, most: 100, source: '1.0' },
-  overrun_allowance_s: { scope: 'job', least: 0.1, most: DAY_S, source: 'lease_s' },
-  placing_wait_s: { scope: 'cluster', least: 0, most: 600, source: '1.25 * report_s' },
-  idle_hold_s: { scope: 'machine', least: 0, most: DAY_S, source: 'spot ? 0.5 * boot_s : 0.3 * boot_s' },
-  start_bound_s: { scope: 'job', least: 1, most: DAY_S, source: '240.0' },
-  deadline_slack: { scope: 'job', least: 0, most: 1, source: '0.5' },
-  headroom: { scope: 'job', least: 0, most: 10, source: '1.3' },
+  estimate_multiplier: { scope: 'job', min: 0.01, max: 100, source: '1.0' },
+  overrun_allowance_s: { scope: 'job', min: 0.1, max: DAY_S, source: 'lease_s' },
+  placing_wait_s: { scope: 'cluster', min: 0, max: 600, source: '1.25 * report_s' },
+  idle_hold_s: { scope: 'machine', min: 0, max: DAY_S, source: 'spot ? 0.5 * boot_s : 0.3 * boot_s' },
+  start_bound_s: { scope: 'job', min: 1, max: DAY_S, source: '240.0' },
+  deadline_slack: { scope: 'job', min: 0, max: 1, source: '0.5' },
+  headroom: { scope: 'job', min: 0, max: 10, source: '1.3' },
   shared_reports_from: {
     scope: 'cluster',
-    least: 1,
-    most: 1_000_000_000,
+    min: 1,
+    max: 1_000_000_000,
     // A leader on a whole core hears some 2,100 reports a second (0.47 ms each): from 0.8 of that it shares them.
     source: 'controllers < 2.0 ? 1000000000.0 : 1700.0 * report_s * cpu_quota',
   },
-  headroom_memory_s: { scope: 'cluster', least: 1, most: DAY_S, source: '20.0 * lease_s' },
+  headroom_memory_s: { scope: 'cluster', min: 1, max: DAY_S, source: '20.0 * lease_s' },
 } as const satisfies Record<string, Figure>;
 
 export type FigureName = keyof typeof FIGURES;
@@ -92,7 +92,7 @@
 
 export class PolicyError extends Error {}
 
-export const tellFault = ({ line, column, reason }: PolicyFault): string => `${line}:${column}: ${reason}`;
+export const formatFault = ({ line, column, reason }: PolicyFault): string => `${line}:${column}: ${reason}`;
 
 type Evaluate = (values: Values) => number;
 
@@ -176,8 +176,8 @@
   return found;
 }
 
-const inRange = ({ least, most }: Figure, value: number): boolean =>
-  Number.isFinite(value) && value >= least && value <= most;
+const inRange = ({ min, max }: Figure, value: number): boolean =>
+  Number.isFinite(value) && value >= min && value <= max;
 
 function faultOf(error: unknown, line: number, column: number): PolicyFault {
   const { message, node, range } = error as {
@@ -231,8 +231,8 @@
         .find((value) => !inRange(FIGURES[name], value));
       if (bad === undefined) expressions.set(name, { evaluate, line });
       else {
-        const { least, most } = FIGURES[name];
-        faults.push({ line, column, reason: `${name} can be ${bad}, and must be ${least} to ${most}` });
+        const { min, max } = FIGURES[name];
+        faults.push({ line, column, reason: `${name} can be ${bad}, and must be ${min} to ${max}` });
       }
     } catch (error) {
       faults.push(faultOf(error, line, column));
@@ -245,7 +245,7 @@
 export function createPolicy(settings: PlatformSettings, text = '', log?: Log): SchedulingPolicy {
   const { expressions, faults } = readPolicy(text, settings);
   const [first] = faults;
-  if (first !== undefined) throw new PolicyError(tellFault(first));
+  if (first !== undefined) throw new PolicyError(formatFault(first));
   const cluster = clusterValues(settings);
   const defaults = new Map(NAMES.map((name) => [name, compile(FIGURES[name], FIGURES[name].source)]));
   const told = new Set<FigureName>();
--- a/src/rules.ts
+++ b/src/rules.ts
@@ -1,10 +1,10 @@
 /** The rules that the core goes by, from the platform's settings and the operators' policy. */
 import type { ClassObjectives, SchedulingPolicy, CoreConfig } from './core/model.js';
 import { timing, type PlatformSettings } from './settings.js';
-import { firstLayout } from './upgrade.js';
+import { initialLayout } from './upgrade.js';
 
 /** The aims of every class that some objective speaks of; any number of each kind. */
-export function classAims(
+export function classObjectives(
   objectives: PlatformSettings['cluster']['objectives'],
 ): Map<string, ClassObjectives> {
   const aims = new Map<
@@ -25,7 +25,7 @@
   return aims;
 }
 
-export function rulesFor(settings: PlatformSettings, policy: SchedulingPolicy): CoreConfig {
+export function createCoreConfig(settings: PlatformSettings, policy: SchedulingPolicy): CoreConfig {
   const { cluster } = settings;
   return {
     timing: timing(settings),
@@ -40,8 +40,8 @@
         },
       ]),
     ),
-    objectives: classAims(cluster.objectives),
-    initialLayout: firstLayout(settings),
+    objectives: classObjectives(cluster.objectives),
+    initialLayout: initialLayout(settings),
     maxDirectCallsPerInterval: Math.max(4, Math.ceil(cluster.quota.sockets / 100)),
     listLagMs: cluster.cloud.list_lag_s * 1000,
     policy,
--- a/src/service.ts
+++ b/src/service.ts
@@ -1,14 +1,14 @@
 /** A controller as a process: a node with its ports on the network. */
 import { randomUUID } from 'node:crypto';
 import { HttpCloud } from './adapters/cloud.js';
-import { Peers } from './adapters/peers.js';
+import { PeerLinks } from './adapters/peers.js';
 import { createPublicServer } from './adapters/server.js';
-import { HttpStateService } from './adapters/state.js';
-import { HttpWorkers } from './adapters/workers.js';
+import { HttpKeyValueStore } from './adapters/state.js';
+import { HttpWorkerClient } from './adapters/workers.js';
 import { systemClock } from './clock.js';
 import type { SchedulingPolicy } from './core/model.js';
 import type { Log } from './logging.js';
-import { MemoryWatch } from './memory.js';
+import { MemoryMonitor } from './memory.js';
 import { ControllerNode } from './controller/node.js';
 import { parseAddress, timing, type PlatformSettings } from './settings.js';
 
@@ -16,9 +16,9 @@
   const clock = systemClock;
   const times = timing(settings);
   const node = new ControllerNode(settings, {
-    state: new HttpStateService(settings, clock),
+    state: new HttpKeyValueStore(settings, clock),
     cloud: new HttpCloud(settings, clock),
-    workers: new HttpWorkers(
+    workers: new HttpWorkerClient(
       2 * times.maxHeartbeatIntervalMs,
       times.probeTimeoutMs,
       Math.ceil(settings.cluster.quota.sockets / 16),
@@ -32,7 +32,7 @@
   const { host, port } = parseAddress(settings.public_addr);
   server.on('error', (error) => log.error({ error: error.message }, 'public port'));
   server.listen(port, host);
-  const peers = new Peers(
+  const peers = new PeerLinks(
     settings,
     times,
     clock,
@@ -43,10 +43,10 @@
     node.malformed,
     (message) => node.onIntake(message),
   );
-  node.tellPeers = () => peers.tellNow();
+  node.tellPeers = () => peers.broadcastStatus();
   node.sendIntake = (to, message) => peers.sendIntake(to, message);
   node.peerTraffic = () => peers.traffic;
-  const memory = new MemoryWatch({
+  const memory = new MemoryMonitor({
     clock,
     log,
     quotaMb: settings.cluster.quota.ram_mb,
--- a/src/settings.ts
+++ b/src/settings.ts
@@ -64,7 +64,7 @@
 export type PlatformSettings = v.InferOutput<typeof settingsSchema>;
 
 /** What the state service allows: requests and changes a second, KiB a value, changes a transaction. */
-export interface StateLimits {
+export interface StoreLimits {
   readonly rps: number;
   readonly write_rps: number;
   readonly value_kb: number;
@@ -75,7 +75,7 @@
  * The limits to keep to once every controller can: the smaller of those of today and those
  * to come. When these come is not announced.
  */
-export function lastingLimits(settings: PlatformSettings): StateLimits {
+export function strictestLimits(settings: PlatformSettings): StoreLimits {
   const { state } = settings.cluster;
   const least = (now: number, next: number | null | undefined): number => Math.min(now, next ?? now);
   return {
--- a/src/upgrade.ts
+++ b/src/upgrade.ts
@@ -4,10 +4,10 @@
  * From then on what earlier programs would misread may be written, and the limits that the
  * state service will have some day are kept to. Until then everything is written as they do.
  */
-import type { StateService } from './adapters/state.js';
+import type { KeyValueStore } from './adapters/state.js';
 import type { Clock } from './clock.js';
 import type { RecordLayout } from './core/model.js';
-import { lastingLimits, type PlatformSettings, type StateLimits } from './settings.js';
+import { strictestLimits, type PlatformSettings, type StoreLimits } from './settings.js';
 import {
   decodeFormat,
   FORMAT,
@@ -26,7 +26,7 @@
 
 const wholeBytes = (bytes: number): number => 8 * Math.max(1, Math.floor(bytes / 8));
 
-function layout(limits: StateLimits, width: number | null, tasks: number): RecordLayout {
+function layout(limits: StoreLimits, width: number | null, tasks: number): RecordLayout {
   const writeRate = WRITE_SHARE * limits.write_rps;
   return {
     keyWidth: width,
@@ -39,7 +39,7 @@
 }
 
 /** How the first versions write: their chunks are as wide as a value allows. */
-export function firstLayout({ cluster: { state } }: PlatformSettings): RecordLayout {
+export function initialLayout({ cluster: { state } }: PlatformSettings): RecordLayout {
   return layout(state, null, wholeBytes((state.value_kb * 1024) / BYTES_PER_TASK));
 }
 
@@ -48,41 +48,41 @@
  * measure stay as they are where they will go on fitting. The width once written down only
  * shrinks, for a narrower record outranks a wider one.
  */
-export function lastingLayout(settings: PlatformSettings, { wide, tasks }: FormatRecord): RecordLayout {
-  const limits = lastingLimits(settings);
+export function upgradedLayout(settings: PlatformSettings, { wide, tasks }: FormatRecord): RecordLayout {
+  const limits = strictestLimits(settings);
   const least = Math.min(tasks, fittingTasks(limits));
   return least < wide ? layout(limits, least, least) : layout(limits, null, wide);
 }
 
-const fittingTasks = (limits: StateLimits): number =>
+const fittingTasks = (limits: StoreLimits): number =>
   wholeBytes((limits.value_kb * 1024) / SMALL_BYTES_PER_TASK - 8);
 
 /** What the format key is to say, given what it says. */
 export function formatRecord(settings: PlatformSettings, known: FormatRecord | null): FormatRecord {
-  const fitting = fittingTasks(lastingLimits(settings));
+  const fitting = fittingTasks(strictestLimits(settings));
   if (known !== null) return { ...known, tasks: Math.min(known.tasks, fitting) };
-  const wide = firstLayout(settings).tasksPerChunk;
+  const wide = initialLayout(settings).tasksPerChunk;
   return { format: FORMAT, wide, tasks: Math.min(wide, fitting) };
 }
 
-export interface UpgradeContext {
+export interface FormatUpgradeContext {
   readonly settings: PlatformSettings;
-  readonly state: StateService;
+  readonly state: KeyValueStore;
   readonly clock: Clock;
   /** Time between two looks, in milliseconds. */
-  readonly pause: number;
+  readonly pollIntervalMs: number;
   /** The revision of the term while this node leads, else null. */
   termRevision(): number | null;
   /** Whether a controller that cannot read the format is heard now. */
-  hearsEarlier(): boolean;
+  hearsEarlierVersion(): boolean;
   /** Called once, when the format is known to be in force. */
-  adopted(record: FormatRecord): void;
+  onAdopted(record: FormatRecord): void;
 }
 
-export class Upgrade {
+export class FormatUpgrade {
   #record: FormatRecord | null = null;
 
-  constructor(private readonly context: UpgradeContext) {}
+  constructor(private readonly context: FormatUpgradeContext) {}
 
   /** The format in force, as far as this node knows; it never goes back. */
   get record(): FormatRecord | null {
@@ -90,20 +90,20 @@
   }
 
   async run(): Promise<void> {
-    const { state, clock, settings, pause } = this.context;
+    const { state, clock, settings, pollIntervalMs } = this.context;
     let declared = false;
     while (this.#record === null) {
       if (!declared) {
         const write = { put: versionKey(settings.host_name), value: { format: FORMAT } };
         declared = (await state.commit({ preconditions: [], mutations: [write] })).kind === 'applied';
       }
-      if ((await this.look()) === null) await this.#switch();
-      if (this.#record === null) await clock.sleep(pause);
+      if ((await this.refresh()) === null) await this.#switch();
+      if (this.#record === null) await clock.sleep(pollIntervalMs);
     }
   }
 
   /** Reads whether the format is in force; null: not known to be. */
-  async look(): Promise<FormatRecord | null> {
+  async refresh(): Promise<FormatRecord | null> {
     if (this.#record !== null) return this.#record;
     const read = await this.context.state.read(FORMAT_KEY);
     if (read !== 'unknown' && read.entry !== null) this.#adopt(decodeFormat(read.entry.value));
@@ -113,14 +113,14 @@
   #adopt(record: FormatRecord | null): void {
     if (record === null || record.format < FORMAT || this.#record !== null) return;
     this.#record = record;
-    this.context.adopted(record);
+    this.context.onAdopted(record);
   }
 
   /** As the leader, puts the format in force once all controllers have declared that they read it. */
   async #switch(): Promise<void> {
-    const { state, settings, termRevision, hearsEarlier } = this.context;
+    const { state, settings, termRevision, hearsEarlierVersion } = this.context;
     const modRevision = termRevision();
-    if (modRevision === null || hearsEarlier()) return;
+    if (modRevision === null || hearsEarlierVersion()) return;
     const found = await state.list(VERSION_PREFIX);
     if (found === 'unknown') return;
     const able = new Set(
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -63,16 +63,16 @@
   };
 }
 
-export function parseMachines(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
+export function parseMachinePage(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
   const machines = parseList(asObject(body)?.['skiffs'], parseMachine);
   return machines === null ? null : { machines, more: asObject(body)?.['truncated'] === true };
 }
 
-export function parseRented(body: unknown): string[] | null {
+export function parseProvisioned(body: unknown): string[] | null {
   return parseList(asObject(body)?.['skiffs'], (entry) => (isText(entry) ? entry : null));
 }
 
-export function encodeRental(
+export function encodeProvisionRequest(
   request: string,
   type: string,
   zone: string,
@@ -82,6 +82,6 @@
   return JSON.stringify({ charter: request, bench: type, hall: zone, borrowed: spot, howMany: count });
 }
 
-export function encodeReturn(machines: readonly string[]): string {
+export function encodeTerminateRequest(machines: readonly string[]): string {
   return JSON.stringify({ skiffs: machines });
 }
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -8,7 +8,7 @@
   readonly modRevision: number;
 }
 
-export interface Change {
+export interface KeyChange {
   readonly key: string;
   /** Undefined: the key was removed. */
   readonly value: unknown;
@@ -43,7 +43,7 @@
   return isCount(revision) ? revision : null;
 }
 
-export function parseFailed(body: unknown): string[] | null {
+export function parseFailedKeys(body: unknown): string[] | null {
   const failed = asObject(body)?.['failed'];
   return Array.isArray(failed) && failed.every(isText) ? failed : null;
 }
@@ -61,11 +61,11 @@
   return { entries, more: raw['truncated'] === true, revision };
 }
 
-export function parseChanges(body: unknown): { changes: Change[]; revision: number } | null {
+export function parseChanges(body: unknown): { changes: KeyChange[]; revision: number } | null {
   const raw = asObject(body);
   const revision = parseRevision(body);
   if (raw === null || revision === null || !Array.isArray(raw['events'])) return null;
-  const changes: Change[] = [];
+  const changes: KeyChange[] = [];
   for (const body of raw['events'] as unknown[]) {
     const event = asObject(body);
     if (event === null || !isCount(event['stamp'])) return null;
@@ -87,4 +87,4 @@
   return isCount(lease) ? lease : null;
 }
 
-export const encodeLife = (ms: number): string => JSON.stringify({ lifeMs: Math.round(ms) });
+export const encodeLeaseRequest = (ms: number): string => JSON.stringify({ lifeMs: Math.round(ms) });
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -18,44 +18,46 @@
   ['service', 'service'],
 ]);
 
-export type Parsed<T> =
+export type ParseResult<T> =
   { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
-class Invalid extends Error {}
+class InvalidFieldError extends Error {}
 
 /** Reads a submission; the reason names the first field at fault. */
-export function parseSubmission(body: unknown, now: number): Parsed<JobSpec> {
+export function parseSubmission(body: unknown, now: number): ParseResult<JobSpec> {
   const raw = asObject(body);
   if (raw === null) return { ok: false, reason: 'the body must be a JSON object' };
   const need = <T>(field: string, test: (value: unknown) => value is T, what: string): T => {
     const value = raw[field];
-    if (!test(value)) throw new Invalid(`${field} must be ${what}`);
+    if (!test(value)) throw new InvalidFieldError(`${field} must be ${what}`);
     return value;
   };
   const amount = (field: string): number => need(field, isAmount, 'a number of at least 0');
   const optional = (field: string): unknown => raw[field] ?? null;
   try {
     const id = need('nameId', isText, 'a job id');
-    if (!JOB_ID.test(id)) throw new Invalid('nameId must be of the form req-000000');
+    if (!JOB_ID.test(id)) throw new InvalidFieldError('nameId must be of the form req-000000');
     const jobClass = need('repertoire', isText, 'a text');
     const team = need('crew', isText, 'a text');
     const form = FORMS.get(raw['form']);
-    if (form === undefined) throw new Invalid('form must be array, ensemble or service');
+    if (form === undefined) throw new InvalidFieldError('form must be array, ensemble or service');
     const priority = PRIORITIES.get(raw['urgency']);
-    if (priority === undefined) throw new Invalid('urgency must be prod, high, normal or best_effort');
+    if (priority === undefined)
+      throw new InvalidFieldError('urgency must be prod, high, normal or best_effort');
     const tasks = need('movements', isCount, 'a whole number');
-    if (tasks < 1 || tasks > MAX_TASKS) throw new Invalid(`movements must be 1 to ${MAX_TASKS}`);
+    if (tasks < 1 || tasks > MAX_TASKS) throw new InvalidFieldError(`movements must be 1 to ${MAX_TASKS}`);
     const types = optional('benches');
     if (types !== null && !(Array.isArray(types) && types.every(isText))) {
-      throw new Invalid('benches must be null or a list of texts');
+      throw new InvalidFieldError('benches must be null or a list of texts');
     }
     const zone = optional('hall');
-    if (zone !== null && !isText(zone)) throw new Invalid('hall must be null or a text');
+    if (zone !== null && !isText(zone)) throw new InvalidFieldError('hall must be null or a text');
     const deadlineS = optional('curtainS');
-    if (deadlineS !== null && !isAmount(deadlineS)) throw new Invalid('curtainS must be null or a number');
+    if (deadlineS !== null && !isAmount(deadlineS))
+      throw new InvalidFieldError('curtainS must be null or a number');
     const awaits = optional('awaits') ?? [];
     if (!Array.isArray(awaits) || !awaits.every((name) => isText(name) && JOB_ID.test(name))) {
-      throw new Invalid('awaits must be null or a list of job ids');
+      throw new InvalidFieldError('awaits must be null or a list of job ids');
     }
     return {
       ok: true,
@@ -85,13 +87,13 @@
       },
     };
   } catch (error) {
-    if (error instanceof Invalid) return { ok: false, reason: error.message };
+    if (error instanceof InvalidFieldError) return { ok: false, reason: error.message };
     throw error;
   }
 }
 
 /** Awaited jobs that an answer names. */
-const MOST_TOLD = 20;
+const MAX_LISTED_DEPENDENCIES = 20;
 
 export type JobStage = 'pending' | 'running' | FinalStage;
 
@@ -101,7 +103,7 @@
   readonly done?: number;
   readonly running?: number;
   /** Why tasks of it wait for a machine, if a leader has said. */
-  readonly why?: string | undefined;
+  readonly waitReason?: string | undefined;
   /** Jobs that it waits for, as far as this node knows. */
   readonly awaits?: readonly string[];
 }
@@ -112,9 +114,9 @@
     stage: view.stage,
     ...(view.done === undefined ? {} : { done: view.done }),
     ...(view.running === undefined ? {} : { running: view.running }),
-    ...(view.why === undefined ? {} : { why: view.why }),
+    ...(view.waitReason === undefined ? {} : { why: view.waitReason }),
     ...(view.awaits === undefined || view.awaits.length === 0
       ? {}
-      : { awaits: view.awaits.slice(0, MOST_TOLD), awaitsInAll: view.awaits.length }),
+      : { awaits: view.awaits.slice(0, MAX_LISTED_DEPENDENCIES), awaitsInAll: view.awaits.length }),
   };
 }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -42,7 +42,7 @@
 }
 
 /** A worker's report, or null if it is malformed in any part. */
-export function parseReport(body: unknown): Heartbeat | null {
+export function parseHeartbeat(body: unknown): Heartbeat | null {
   const raw = asObject(body);
   if (raw === null) return null;
   const { skiff, address, bench, hall, borrowed, watch, barNo, baton } = raw;
@@ -88,7 +88,11 @@
   return JSON.stringify({ baton: token, cues: commands.map(encodeCommand) });
 }
 
-export function encodeDirect(token: number, session: number, commands: readonly WorkerCommand[]): string {
+export function encodeDirectCommands(
+  token: number,
+  session: number,
+  commands: readonly WorkerCommand[],
+): string {
   return JSON.stringify({ baton: token, watch: session, cues: commands.map(encodeCommand) });
 }
 
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest';
 import { RetryBudget } from '../src/adapters/limiter.js';
 import { countLostObjectives, isStartSensitive, latestStart } from '../src/core/jobs/index.js';
-import { classAims } from '../src/rules.js';
+import { classObjectives } from '../src/rules.js';
 import type { Effect } from '../src/core/effects.js';
 import type { ClassObjectives } from '../src/core/model.js';
 import { claimTask } from '../src/core/persistence/index.js';
@@ -16,7 +16,7 @@
 // Of two start aims of a class the last one in the settings won: a class that must start within
 // three seconds was served as one that may wait for fifty.
 test('a class may have any number of aims of each kind, and each counts by itself', () => {
-  const aims = classAims([
+  const aims = classObjectives([
     { kind: 'wait', class: 'rush', within_s: 3 },
     { kind: 'wait', class: 'rush', within_s: 50 },
     { kind: 'finished', class: 'rush', within_s: 100 },
@@ -235,17 +235,18 @@
       monotonicMs: () => now,
       epochMs: () => now,
       sleep: () => Promise.resolve(),
-      soon: () => undefined,
-      measure: () => () => ({ steadyMs: 1, processorMs: 1 }),
+      defer: () => undefined,
+      startMeasuring: () => () => ({ elapsedMs: 1, cpuMs: 1 }),
     },
     100,
   );
-  const asked = (): number => Array.from({ length: 200 }, () => budget.mayAsk()).filter(Boolean).length;
+  const asked = (): number =>
+    Array.from({ length: 200 }, () => budget.allowsRequest()).filter(Boolean).length;
   expect(asked()).toBe(200);
-  budget.note(false);
+  budget.observeOutcome(false);
   expect(asked()).toBe(5);
   now += 1000;
   expect(asked()).toBe(5);
-  budget.note(true);
+  budget.observeOutcome(true);
   expect(asked()).toBe(200);
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -9,12 +9,12 @@
 import { readScenario } from '../lab/scenario.js';
 import { Admission } from '../src/adapters/admission.js';
 import { HttpCloud } from '../src/adapters/cloud.js';
-import { JobReads } from '../src/adapters/reads.js';
+import { JobReader } from '../src/adapters/reads.js';
 import { createPublicServer } from '../src/adapters/server.js';
-import { HttpStateService } from '../src/adapters/state.js';
+import { HttpKeyValueStore } from '../src/adapters/state.js';
 import { main } from '../src/cli.js';
 import { systemClock } from '../src/clock.js';
-import { estimatedMemoryMb, MemoryWatch } from '../src/memory.js';
+import { estimatedMemoryMb, MemoryMonitor } from '../src/memory.js';
 import type { Common } from '../src/controller/common.js';
 import { Deputy } from '../src/controller/deputy.js';
 import { Peering } from '../src/controller/peering.js';
@@ -231,7 +231,7 @@
     ports: {
       clock,
       log: { info: () => undefined },
-      state: { contactAt: () => null },
+      state: { lastContactAt: () => null },
       incarnation: 'x',
     },
     owner: { state: bench.state, push: () => undefined },
@@ -303,7 +303,7 @@
     Object.assign(bench.state, {
       rules: { ...bench.state.config, policy: { ...bench.state.config.policy, sharedReportsFrom: 1 } },
     });
-    Object.assign(common.ports.clock, { soon: (run: () => void) => run() });
+    Object.assign(common.ports.clock, { defer: (run: () => void) => run() });
     const shared = new SharedReports(common, {
       candidates: () => [{ node: 'n-1', zone: 'b' }],
       isTaking: () => true,
@@ -449,7 +449,7 @@
     const rows = Array.from({ length: 500 }, (_, i) => ({ key: `run/${i}`, data: { value }, stamp: 3 }));
     const body = JSON.stringify({ rows, ledgerRev: 9, more: false });
     const settings = await settingsFor((_url, response) => response.end(body));
-    const found = await new HttpStateService(settings, systemClock).list('run/');
+    const found = await new HttpKeyValueStore(settings, systemClock).list('run/');
     expect(found === 'unknown' ? found : found.entries.length).toBe(500);
   });
 
@@ -467,25 +467,25 @@
       }));
       response.end(JSON.stringify({ skiffs, truncated: from + skiffs.length < FLEET }));
     });
-    const found = await new HttpCloud(settings, systemClock).machines();
+    const found = await new HttpCloud(settings, systemClock).listMachines();
     expect(found?.map(({ name }) => name)).toEqual(NAMES);
   });
 
   test('ended jobs are remembered though 8,000 are live, until memory is short', async () => {
     const entries = NAMES.map((name) => ({ key: `job/req-${name}`, value: {}, stamp: 1 }));
     const state = { list: () => Promise.resolve({ entries, revision: 3 }) } as never;
-    const reads = new JobReads(state, systemClock, 10_000, 10);
+    const reads = new JobReader(state, systemClock, 10_000, 10);
     await reads.find(`req-${NAMES[0]}`);
-    for (const name of NAMES) reads.keep(`gone-${name}`, { stage: 'done', done: 1 } as never);
-    expect(NAMES.filter((name) => !reads.knowsEnded(`gone-${name}`))).toEqual([]);
+    for (const name of NAMES) reads.rememberEnded(`gone-${name}`, { stage: 'done', done: 1 } as never);
+    expect(NAMES.filter((name) => !reads.hasEnded(`gone-${name}`))).toEqual([]);
     reads.dropCaches();
-    expect(NAMES.filter((name) => reads.knowsEnded(`gone-${name}`))).toEqual([]);
+    expect(NAMES.filter((name) => reads.hasEnded(`gone-${name}`))).toEqual([]);
   });
 
   test('a job whose question was refused goes first though 8,000 others were refused since', () => {
     const admission = new Admission(systemClock, 16);
-    const ask = (name: string): number | null => admission.enter('show', name);
-    for (let held = 0; held < 12; held += 1) admission.enter('show');
+    const ask = (name: string): number | null => admission.admit('show', name);
+    for (let held = 0; held < 12; held += 1) admission.admit('show');
     for (const name of NAMES) ask(name);
     expect(ask(NAMES[0] ?? '')).toBeNull();
   });
@@ -501,7 +501,7 @@
       describe: () => ({}),
       latencies: { record: () => undefined },
       admission: new Admission(systemClock, 100),
-      malformed: { note: () => undefined },
+      malformed: { count: () => undefined },
     },
     100,
   );
@@ -530,7 +530,7 @@
   const watchOf = (more: { quotaMb: number; usedMb: number; machines: number }) => {
     let dropped = 0;
     logged.length = 0;
-    const watch = new MemoryWatch({
+    const watch = new MemoryMonitor({
       clock: new ProcessClock(clock, 1, 0),
       log: { warn: (detail: object, event: string) => logged.push([detail, event]) } as never,
       quotaMb: more.quotaMb,
--- a/test/leading.test.ts
+++ b/test/leading.test.ts
@@ -1,6 +1,6 @@
 /** Who leads, and for how long. */
 import { expect, test } from 'vitest';
-import type { StateService } from '../src/adapters/state.js';
+import type { KeyValueStore } from '../src/adapters/state.js';
 import { Deputy } from '../src/controller/deputy.js';
 import { timing as timingOf } from '../src/settings.js';
 import type { Worker } from './standins/cloud.js';
@@ -127,10 +127,10 @@
     monotonicMs: () => now,
     epochMs: () => now,
     sleep: () => new Promise<void>(() => undefined),
-    soon: () => undefined,
-    measure: () => () => ({ steadyMs: 1, processorMs: 1 }),
+    defer: () => undefined,
+    startMeasuring: () => () => ({ elapsedMs: 1, cpuMs: 1 }),
   };
-  const state = { list: () => Promise.resolve('unknown') } as unknown as StateService;
+  const state = { list: () => Promise.resolve('unknown') } as unknown as KeyValueStore;
   const deputy = new Deputy('n-1', state, clock, timing, 2048, 100);
   let seq = 0;
   const asks = () => report('m', ++seq, [task('req-1/0', 1, 'running'), task('req-2/0', 1, 'running')]);
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -1,11 +1,11 @@
 /** Operators' own settings: what the checker finds, and what a sound policy changes. */
 import { describe, expect, test } from 'vitest';
-import { createPolicy, FIGURES, readPolicy, tellFault } from '../src/policy.js';
+import { createPolicy, FIGURES, readPolicy, formatFault } from '../src/policy.js';
 import { job } from './standins/core.js';
 import { testSettings } from './standins/world.js';
 
 const settings = testSettings(0);
-const faults = (text: string): string[] => readPolicy(text, settings).faults.map(tellFault);
+const faults = (text: string): string[] => readPolicy(text, settings).faults.map(formatFault);
 
 test('every shipped default is a sound policy of its own', () => {
   const text = Object.entries(FIGURES).map(([name, { source }]) => `${name} = ${source}`);
--- a/test/reads.test.ts
+++ b/test/reads.test.ts
@@ -3,8 +3,8 @@
 import type { AddressInfo } from 'node:net';
 import { expect, test } from 'vitest';
 import { Admission } from '../src/adapters/admission.js';
-import { JobReads, type FoundJob } from '../src/adapters/reads.js';
-import { HttpStateService, type StateService, type Watch } from '../src/adapters/state.js';
+import { JobReader, type JobLookup } from '../src/adapters/reads.js';
+import { HttpKeyValueStore, type KeyValueStore, type WatchResult } from '../src/adapters/state.js';
 import { systemClock } from '../src/clock.js';
 import { VirtualClock } from './standins/clock.js';
 import { job } from './standins/core.js';
@@ -20,7 +20,7 @@
   readonly store = new StateStandin(new Network(this.clock, seeded(1)));
   readonly asked: string[] = [];
   down = false;
-  readonly reads: JobReads;
+  readonly reads: JobReader;
 
   constructor(rps = RPS) {
     const later = async <T>(what: string, serve: () => T): Promise<T | null> => {
@@ -31,30 +31,30 @@
       return answer;
     };
     const { store } = this;
-    const service: StateService = {
+    const service: KeyValueStore = {
       read: async (key) => (await later(`read ${key}`, () => ({ entry: store.read(key) }))) ?? 'unknown',
       list: async (prefix) =>
         (await later(`list ${prefix}`, () => ({ entries: store.list(prefix), revision: store.revision }))) ??
         'unknown',
       commit: async (txn) =>
         (await later(`compare ${txn.preconditions.length}`, () => store.commit(txn))) ?? { kind: 'refused' },
-      changes: async (prefix, after) =>
-        (await later<Watch>('changes', () => store.since(prefix, after))) ?? { kind: 'unknown' },
+      changesSince: async (prefix, after) =>
+        (await later<WatchResult>('changes', () => store.since(prefix, after))) ?? { kind: 'unknown' },
       watch: () => Promise.resolve({ kind: 'unknown' }),
       grant: () => Promise.resolve(null),
       renew: () => Promise.resolve(null),
       revoke: () => Promise.resolve(),
-      contactAt: () => null,
-      keepTo: () => undefined,
+      lastContactAt: () => null,
+      applyLimits: () => undefined,
     };
     const clock = {
       monotonicMs: () => this.clock.now,
       epochMs: () => this.clock.now,
       sleep: (ms: number) => this.clock.sleep(ms),
-      soon: (call: () => void) => this.clock.in(0, call),
-      measure: () => () => ({ steadyMs: 0, processorMs: 0 }),
+      defer: (call: () => void) => this.clock.in(0, call),
+      startMeasuring: () => () => ({ elapsedMs: 0, cpuMs: 0 }),
     };
-    this.reads = new JobReads(service, clock, rps, 80);
+    this.reads = new JobReader(service, clock, rps, 80);
   }
 
   enter(id: string): void {
@@ -70,7 +70,7 @@
   }
 
   /** Asks, and lets time pass until all is answered. */
-  async ask(ids: readonly string[]): Promise<FoundJob[]> {
+  async ask(ids: readonly string[]): Promise<JobLookup[]> {
     const answers = Promise.all(ids.map((id) => this.reads.find(id)));
     await this.clock.runUntil(this.clock.now + 5000);
     return answers;
@@ -88,7 +88,7 @@
   expect(slow.asked).toEqual(['list job/']);
   slow.asked.length = 0;
   const from = slow.clock.now;
-  const answers: Promise<FoundJob>[] = [];
+  const answers: Promise<JobLookup>[] = [];
   for (let at = 0; at < 10_000; at += 10) {
     slow.clock.at(from + at, () => answers.push(...names(20).map((id) => slow.reads.find(id))));
   }
@@ -119,7 +119,7 @@
   await slow.clock.runUntil(slow.clock.now + 7);
   // The read has been served; its answer is on the way when the withdrawal's overtakes it.
   slow.end('req-1', 'withdrawn');
-  slow.reads.keep('req-1', { stage: 'withdrawn', tasks: 1, done: 0 });
+  slow.reads.rememberEnded('req-1', { stage: 'withdrawn', tasks: 1, done: 0 });
   await slow.clock.runUntil(slow.clock.now + 1000);
   expect(await asked).toMatchObject({ kind: 'ended', record: { stage: 'withdrawn' } });
 });
@@ -175,12 +175,12 @@
 // With every poll of one job refused by chance, it would be forgotten while others are served.
 test('a question that was refused goes before others when it comes again', () => {
   const admission = new Admission({ ...systemClock, monotonicMs: () => 0 }, 20);
-  for (let i = 0; i < 15; i += 1) expect(admission.enter('show', `req-${i}`)).toBeNull();
-  expect(admission.enter('show', 'req-77')).not.toBeNull();
-  expect(admission.enter('show', 'req-78')).not.toBeNull();
-  expect(admission.enter('show', 'req-99')).not.toBeNull();
-  expect(admission.enter('show', 'req-77')).toBeNull();
-  expect(admission.enter('show', 'req-3')).not.toBeNull();
+  for (let i = 0; i < 15; i += 1) expect(admission.admit('show', `req-${i}`)).toBeNull();
+  expect(admission.admit('show', 'req-77')).not.toBeNull();
+  expect(admission.admit('show', 'req-78')).not.toBeNull();
+  expect(admission.admit('show', 'req-99')).not.toBeNull();
+  expect(admission.admit('show', 'req-77')).toBeNull();
+  expect(admission.admit('show', 'req-3')).not.toBeNull();
 });
 
 // Under a storm of others it was put off anew in each round.
@@ -219,7 +219,7 @@
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const settings = testSettings(0);
   settings.endpoints.state = `127.0.0.1:${(server.address() as AddressInfo).port}`;
-  const list = await new HttpStateService(settings, systemClock).list('job/');
+  const list = await new HttpKeyValueStore(settings, systemClock).list('job/');
   server.close();
   server.closeAllConnections();
   // Of the first page's revision: whatever changed since, a watch from there tells.
--- a/test/retransmission.test.ts
+++ b/test/retransmission.test.ts
@@ -5,26 +5,26 @@
 import { expect, test } from 'vitest';
 import { HttpClient } from '../src/adapters/http.js';
 import { RetransmissionTimer } from '../src/adapters/retransmission.js';
-import { HttpStateService } from '../src/adapters/state.js';
+import { HttpKeyValueStore } from '../src/adapters/state.js';
 import { systemClock } from '../src/clock.js';
 import { timing } from '../src/settings.js';
 import { testSettings } from './standins/world.js';
 
 test('the timer follows what answers take, doubles without one, and stays within its bounds', () => {
   const timer = new RetransmissionTimer(500, 2000);
-  expect(timer.timeout).toBe(2000);
-  for (let i = 0; i < 50; i += 1) timer.answered(10);
-  expect(timer.timeout).toBe(500);
-  timer.expired();
-  expect(timer.timeout).toBe(1000);
-  timer.expired();
-  timer.expired();
-  expect(timer.timeout).toBe(2000);
-  timer.answered(10);
-  expect(timer.timeout).toBe(500);
+  expect(timer.timeoutMs).toBe(2000);
+  for (let i = 0; i < 50; i += 1) timer.observeResponse(10);
+  expect(timer.timeoutMs).toBe(500);
+  timer.observeTimeout();
+  expect(timer.timeoutMs).toBe(1000);
+  timer.observeTimeout();
+  timer.observeTimeout();
+  expect(timer.timeoutMs).toBe(2000);
+  timer.observeResponse(10);
+  expect(timer.timeoutMs).toBe(500);
   // A service that is slow is waited for, not asked again and again.
-  for (let i = 0; i < 20; i += 1) timer.answered(i % 2 === 0 ? 300 : 900);
-  expect(timer.timeout).toBeGreaterThan(1200);
+  for (let i = 0; i < 20; i += 1) timer.observeResponse(i % 2 === 0 ? 300 : 900);
+  expect(timer.timeoutMs).toBeGreaterThan(1200);
 });
 
 // Each lost answer held the leader's next write up for three times as long as it had to.
@@ -38,7 +38,7 @@
   const base = testSettings(0);
   const endpoints = { ...base.endpoints, state: `127.0.0.1:${(server.address() as AddressInfo).port}` };
   const settings = { ...base, endpoints };
-  const service = new HttpStateService(settings, systemClock);
+  const service = new HttpKeyValueStore(settings, systemClock);
   for (let i = 0; i < 8; i += 1)
     expect(await service.commit({ preconditions: [], mutations: [] })).toMatchObject({ kind: 'applied' });
   silent = true;
@@ -59,8 +59,8 @@
   );
   const port = await new Promise<number>((resolve) => far.once('message', resolve));
   const client = new HttpClient({ host: '127.0.0.1', port }, 1);
-  expect((await client.call('GET', '/', null, 1000)).status).toBe(200);
-  const answer = client.call('GET', '/', null, 60);
+  expect((await client.request('GET', '/', null, 1000)).status).toBe(200);
+  const answer = client.request('GET', '/', null, 60);
   await new Promise((resolve) => setTimeout(resolve, 5));
   // After what is ready has been read, so that timers come before anything that is read.
   await new Promise<void>((resolve) => {
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -2,47 +2,47 @@
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterAll, beforeAll, expect, test } from 'vitest';
-import { HttpClient, type Answer } from '../src/adapters/http.js';
+import { HttpClient, type HttpResponse } from '../src/adapters/http.js';
 import { Admission } from '../src/adapters/admission.js';
 import { createPublicServer } from '../src/adapters/server.js';
-import { Users } from '../src/adapters/users.js';
+import { UserRequests } from '../src/adapters/users.js';
 import { systemClock } from '../src/clock.js';
-import { parseReport } from '../src/wire/workers.js';
+import { parseHeartbeat } from '../src/wire/workers.js';
 import { TYPES } from './standins/cloud.js';
 import { VirtualClock } from './standins/clock.js';
 import { Network } from './standins/network.js';
 import { StateStandin } from './standins/state.js';
 import { seeded } from './standins/world.js';
-import type { StateService } from '../src/adapters/state.js';
+import type { KeyValueStore } from '../src/adapters/state.js';
 
 const state = new StateStandin(new Network(new VirtualClock(), seeded(1)));
 let down = false;
-const service: StateService = {
+const service: KeyValueStore = {
   read: (key) => Promise.resolve(down ? 'unknown' : { entry: state.read(key) }),
   list: (prefix) =>
     Promise.resolve(down ? 'unknown' : { entries: state.list(prefix), revision: state.revision }),
   commit: (txn) => Promise.resolve(down ? { kind: 'refused' } : state.commit(txn)),
   watch: () => Promise.resolve({ kind: 'unknown' }),
-  changes: (prefix, after) => Promise.resolve(down ? { kind: 'unknown' } : state.since(prefix, after)),
+  changesSince: (prefix, after) => Promise.resolve(down ? { kind: 'unknown' } : state.since(prefix, after)),
   grant: () => Promise.resolve(null),
   renew: () => Promise.resolve(null),
   revoke: () => Promise.resolve(),
-  contactAt: () => null,
-  keepTo: () => undefined,
+  lastContactAt: () => null,
+  applyLimits: () => undefined,
 };
 let settled = true;
 let understood = true;
 let types = new Map(TYPES.map((type) => [type.name, type]));
-const users = new Users({
+const users = new UserRequests({
   state: service,
   clock: systemClock,
   teams: new Map([['crew', { guaranteedCpus: 0, maxCpus: 8, guaranteedGpus: 0, maxGpus: 0 }]]),
-  patience: 100,
-  rps: 10_000,
-  valueBytes: 2048,
-  conditions: 24,
-  knowsPipelines: () => Promise.resolve(understood),
-  isSettled: () => settled,
+  requestTimeoutMs: 100,
+  requestsPerSecond: 10_000,
+  maxValueBytes: 2048,
+  maxPreconditions: 24,
+  supportsDependencies: () => Promise.resolve(understood),
+  hasPropagatedCancellations: () => settled,
   types: () => types,
   counts: () => null,
 });
@@ -50,12 +50,12 @@
   {
     users,
     report: (body, done) =>
-      parseReport(body) === null ? done(400, '{"error":"malformed report"}') : done(200, '{}'),
+      parseHeartbeat(body) === null ? done(400, '{"error":"malformed report"}') : done(200, '{}'),
     ready: () => true,
     describe: () => ({ fine: true }),
     latencies: { record: () => undefined },
     admission: new Admission(systemClock, 100),
-    malformed: { note: (what) => malformed.push(what) },
+    malformed: { count: (what) => malformed.push(what) },
   },
   100,
 );
@@ -93,9 +93,9 @@
   bookmarkWriteS: 0.0,
   curtainS: null,
 };
-const post = (body: unknown): Promise<Answer> =>
-  client.call('POST', '/v2/runs', typeof body === 'string' ? body : JSON.stringify(body), 5000);
-const get = (path: string): Promise<Answer> => client.call('GET', path, null, 5000);
+const post = (body: unknown): Promise<HttpResponse> =>
+  client.request('POST', '/v2/runs', typeof body === 'string' ? body : JSON.stringify(body), 5000);
+const get = (path: string): Promise<HttpResponse> => client.request('GET', path, null, 5000);
 
 test.each<[string, unknown]>([
   ['not JSON', '{'],
@@ -139,15 +139,16 @@
   });
   expect(await post(good)).toMatchObject({ status: 200, body: { stage: 'pending' } });
   const withdrawn = { status: 200, body: { nameId: 'req-000001', stage: 'withdrawn' } };
-  expect(await client.call('POST', '/v2/runs/req-000001/withdraw', '{}', 5000)).toEqual(withdrawn);
-  expect(await client.call('POST', '/v2/runs/req-000001/withdraw', null, 5000)).toMatchObject(withdrawn);
+  expect(await client.request('POST', '/v2/runs/req-000001/withdraw', '{}', 5000)).toEqual(withdrawn);
+  expect(await client.request('POST', '/v2/runs/req-000001/withdraw', null, 5000)).toMatchObject(withdrawn);
   expect(await get('/v2/runs/req-000001')).toMatchObject(withdrawn);
   expect(await post(good)).toMatchObject(withdrawn);
   // Even a faulty resubmission of a known job does not deny it.
   expect(await post({ ...good, crew: 'nobody' })).toMatchObject(withdrawn);
 });
 
-const withdraw = (id: string): Promise<Answer> => client.call('POST', `/v2/runs/${id}/withdraw`, null, 5000);
+const withdraw = (id: string): Promise<HttpResponse> =>
+  client.request('POST', `/v2/runs/${id}/withdraw`, null, 5000);
 const done = (id: string): void => {
   const record = { stage: 'done', tasks: 2, done: 2 };
   state.commit({
@@ -204,14 +205,14 @@
   settled = false;
   const last = `/v2/runs/${chain.at(-1) ?? ''}`;
   let asked = 0;
-  const changes = service.changes.bind(service);
-  service.changes = (...given) => {
+  const changes = service.changesSince.bind(service);
+  service.changesSince = (...given) => {
     asked += 1;
     return changes(...given);
   };
   expect((await get(last)).body).toMatchObject({ stage: 'pending' });
   expect(asked).toBeLessThan(5);
-  service.changes = changes;
+  service.changesSince = changes;
   settled = true;
   await withdraw(chain[0] ?? '');
   settled = false;
@@ -252,12 +253,12 @@
 test('unknown paths get 404, wrong methods 405, malformed reports 400', async () => {
   expect((await get('/nowhere')).status).toBe(404);
   expect((await get('/v1/report')).status).toBe(405);
-  expect((await client.call('DELETE', '/v2/runs', null, 5000)).status).toBe(405);
-  expect((await client.call('POST', '/ready', '{}', 5000)).status).toBe(405);
-  expect((await client.call('POST', '/v1/report', '{"skiff":1}', 5000)).status).toBe(400);
-  expect((await client.call('POST', '/v1/report', 'garbage', 5000)).status).toBe(400);
+  expect((await client.request('DELETE', '/v2/runs', null, 5000)).status).toBe(405);
+  expect((await client.request('POST', '/ready', '{}', 5000)).status).toBe(405);
+  expect((await client.request('POST', '/v1/report', '{"skiff":1}', 5000)).status).toBe(400);
+  expect((await client.request('POST', '/v1/report', 'garbage', 5000)).status).toBe(400);
   malformed.length = 0;
-  expect((await client.call('POST', '/v2/runs', 'garbage', 5000)).status).toBe(400);
+  expect((await client.request('POST', '/v2/runs', 'garbage', 5000)).status).toBe(400);
   expect((await post({ nameId: 7 })).status).toBe(400);
   expect(malformed).toEqual(['requests', 'requests']);
   expect((await get('/ready')).status).toBe(200);
@@ -268,13 +269,13 @@
   let now = 0;
   const admission = new Admission({ ...systemClock, monotonicMs: () => now }, 20);
   const enter = (kind: 'submit' | 'show', count: number): (number | null)[] =>
-    Array.from({ length: count }, () => admission.enter(kind));
+    Array.from({ length: count }, () => admission.admit(kind));
   expect(enter('show', 16).filter((away) => away === null)).toHaveLength(15);
   expect(enter('submit', 6).filter((away) => away === null)).toHaveLength(5);
   const away = new Set(enter('show', 200));
   expect([...away].every((seconds) => seconds !== null && seconds >= 1 && seconds <= 10)).toBe(true);
   expect(away.size).toBe(10);
-  for (let i = 0; i < 20; i += 1) admission.leave();
+  for (let i = 0; i < 20; i += 1) admission.release();
   now += 2000;
   expect(enter('show', 1)).toEqual([null]);
 });
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -8,7 +8,7 @@
 import { balance, chooseFollower, isSharedAt } from '../src/membership/sharing.js';
 import { toldEvery } from '../src/membership/table.js';
 import { createPolicy } from '../src/policy.js';
-import { rulesFor } from '../src/rules.js';
+import { createCoreConfig } from '../src/rules.js';
 import { timing } from '../src/settings.js';
 import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
 import { encodeIntake, StatusReader } from '../src/wire/peers.js';
@@ -345,7 +345,7 @@
 
   constructor() {
     const settings = testSettings(0);
-    const rules = rulesFor(settings, createPolicy(settings, 'shared_reports_from = 1.0'));
+    const rules = createCoreConfig(settings, createPolicy(settings, 'shared_reports_from = 1.0'));
     Object.assign(this.core.state, { config: rules });
     const ports = { clock: this.clock, log: { info: () => undefined }, incarnation: 'x' };
     const owner = { state: this.core.state, push: () => undefined };
--- a/test/standins/clock.ts
+++ b/test/standins/clock.ts
@@ -80,11 +80,11 @@
   }
 
   /** Work takes no time here, but for a process that is slow. */
-  measure(): () => { steadyMs: number; processorMs: number } {
-    return () => ({ steadyMs: this.lateMs > 0 ? 20 : 5, processorMs: 1 });
+  startMeasuring(): () => { elapsedMs: number; cpuMs: number } {
+    return () => ({ elapsedMs: this.lateMs > 0 ? 20 : 5, cpuMs: 1 });
   }
 
-  soon(call: () => void): void {
+  defer(call: () => void): void {
     this.world.in(0, () => {
       this.awake(call);
     });
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,10 +1,10 @@
 /** The cloud and the workers on its machines, as PROTOCOL tells of them. */
-import type { Cloud, RentalOutcome } from '../../src/adapters/cloud.js';
-import type { Workers } from '../../src/adapters/workers.js';
+import type { Cloud, ProvisioningResult } from '../../src/adapters/cloud.js';
+import type { WorkerClient } from '../../src/adapters/workers.js';
 import type { ListedMachine, MachineType, Heartbeat, WorkerCommand } from '../../src/core/types.js';
 import { asObject, type Json } from '../../src/core/values.js';
-import { encodeRental, encodeReturn } from '../../src/wire/cloud.js';
-import { encodeDirect, parseReport } from '../../src/wire/workers.js';
+import { encodeProvisionRequest, encodeTerminateRequest } from '../../src/wire/cloud.js';
+import { encodeDirectCommands, parseHeartbeat } from '../../src/wire/workers.js';
 import type { Checker } from './checker.js';
 import type { Network } from './network.js';
 
@@ -313,7 +313,7 @@
     private readonly make: (listed: ListedMachine) => Worker,
   ) {}
 
-  rent(request: string, type: string, zone: string, spot: boolean, count: number): RentalOutcome {
+  rent(request: string, type: string, zone: string, spot: boolean, count: number): ProvisioningResult {
     const before = this.#granted.get(request);
     if (before !== undefined) return before;
     const names: string[] = [];
@@ -380,7 +380,7 @@
   }
 
   /** One node's access to the cloud and to the workers' own addresses. */
-  accessFor(node: string): Cloud & Workers {
+  accessFor(node: string): Cloud & WorkerClient {
     const tell = (request: string): void => this.network.tap?.(node, 'cloud', request);
     const ask = async <T>(serve: () => T): Promise<T | null> => {
       if (this.troubleUntil > this.network.clock.now) {
@@ -403,26 +403,26 @@
         tell('catalog');
         return ask(() => TYPES);
       },
-      machines: () => {
+      listMachines: () => {
         tell('list');
         return ask(() => this.list());
       },
-      rent: async (...wish) => {
-        tell(`rent ${encodeRental(...wish)}`);
+      provision: async (...wish) => {
+        tell(`rent ${encodeProvisionRequest(...wish)}`);
         return (await change(() => this.rent(...wish))) ?? 'unknown';
       },
-      giveBack: async (names) => {
-        tell(`return ${encodeReturn(names)}`);
+      terminate: async (names) => {
+        tell(`return ${encodeTerminateRequest(names)}`);
         return (await change(() => names.forEach((name) => this.remove(name)) ?? true)) ?? false;
       },
-      isThere: async (address): Promise<boolean> => {
+      probe: async (address): Promise<boolean> => {
         this.network.tap?.(node, address, 'connect');
         const worker = [...this.workers.values()].find(({ listed }) => listed.address === address);
         if (worker === undefined) return false;
         const met = await this.network.ask<boolean>(node, worker.listed.name, 750, (reply) => reply(true));
         return met === true;
       },
-      direct: async (
+      sendCommands: async (
         address,
         token,
         session,
@@ -430,13 +430,13 @@
       ): Promise<Heartbeat | null> => {
         const worker = [...this.workers.values()].find(({ listed }) => listed.address === address);
         if (worker === undefined) return null;
-        const text = encodeDirect(token, session, commands);
+        const text = encodeDirectCommands(token, session, commands);
         this.network.tap?.(node, address, `direct ${text}`);
         const body = JSON.parse(text) as unknown;
         const found = await this.network.ask<unknown>(node, worker.listed.name, 3000, (reply) =>
           worker.direct(body, reply),
         );
-        return found === null ? null : parseReport(found);
+        return found === null ? null : parseHeartbeat(found);
       },
     };
   }
--- a/test/standins/core.ts
+++ b/test/standins/core.ts
@@ -5,7 +5,7 @@
 import { createState } from '../../src/core/create-state.js';
 import { step } from '../../src/core/step.js';
 import type { Claim, JobSpec, MachineType, Heartbeat, ReportedTask } from '../../src/core/types.js';
-import { rulesFor } from '../../src/rules.js';
+import { createCoreConfig } from '../../src/rules.js';
 import { createPolicy } from '../../src/policy.js';
 import { testSettings } from './world.js';
 
@@ -142,7 +142,7 @@
 
   constructor(cpusMax = 0, types: MachineType[] = [EIGHT], limits: object = {}) {
     const settings = testSettings(0, cpusMax, limits);
-    this.state = createState('n-0', rulesFor(settings, createPolicy(settings)));
+    this.state = createState('n-0', createCoreConfig(settings, createPolicy(settings)));
     step(this.state, [{ kind: 'catalog', types }], this.time());
     step(
       this.state,
--- a/test/standins/demo.ts
+++ b/test/standins/demo.ts
@@ -54,7 +54,7 @@
 async function ask(method: string, path: string, body: string | null): Promise<Record<string, unknown>> {
   const until = Date.now() + GIVE_UP_MS;
   for (let turn = 0; Date.now() < until; turn += 1) {
-    const answer = await clients[turn % clients.length]?.call(method, path, body, 2000);
+    const answer = await clients[turn % clients.length]?.request(method, path, body, 2000);
     const told = asObject(answer?.body);
     if (answer !== undefined && answer.status >= 200 && answer.status < 300 && told !== null) return told;
     await sleep(300);
--- a/test/standins/golden-messages.ts
+++ b/test/standins/golden-messages.ts
@@ -5,22 +5,27 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { HttpCloud, type RentalOutcome } from '../../src/adapters/cloud.js';
-import { HttpStateService, type Commit, type StateService, type Watch } from '../../src/adapters/state.js';
-import { HttpWorkers } from '../../src/adapters/workers.js';
+import { HttpCloud, type ProvisioningResult } from '../../src/adapters/cloud.js';
+import {
+  HttpKeyValueStore,
+  type CommitResult,
+  type KeyValueStore,
+  type WatchResult,
+} from '../../src/adapters/state.js';
+import { HttpWorkerClient } from '../../src/adapters/workers.js';
 import { Admission } from '../../src/adapters/admission.js';
 import { createPublicServer } from '../../src/adapters/server.js';
-import { Users, type UserAnswer } from '../../src/adapters/users.js';
+import { UserRequests, type UserResponse } from '../../src/adapters/users.js';
 import { systemClock } from '../../src/clock.js';
 import { REASONS } from '../../src/core/placement/index.js';
 import * as records from '../../src/core/persistence/index.js';
-import { readPolicy, tellFault } from '../../src/policy.js';
+import { readPolicy, formatFault } from '../../src/policy.js';
 import { settingsFaults } from '../../src/settings.js';
 import type { ListedMachine } from '../../src/core/types.js';
 import type { IntakeMessage } from '../../src/wire/intake.js';
 import { encodeIntake, encodeStatus, type PeerStatus } from '../../src/wire/peers.js';
 import { encodeJobView, parseSubmission } from '../../src/wire/users.js';
-import { encodeDirect, encodeRedirect, encodeReply, parseReport } from '../../src/wire/workers.js';
+import { encodeDirectCommands, encodeRedirect, encodeReply, parseHeartbeat } from '../../src/wire/workers.js';
 import { atWork } from './at-work.js';
 import { VirtualClock } from './clock.js';
 import { TYPES } from './cloud.js';
@@ -146,7 +151,7 @@
     `answer ${encodeReply(7, COMMANDS)}`,
     `redirect ${encodeRedirect('n-0')}`,
     `nobody leads ${encodeRedirect(null)}`,
-    `direct ${encodeDirect(7, 2, COMMANDS)}`,
+    `direct ${encodeDirectCommands(7, 2, COMMANDS)}`,
   ];
 }
 
@@ -165,7 +170,7 @@
 /** From workers: a report, as it goes on to the leader in a frame, or that it is refused. */
 export function reports(): string[] {
   const forwarded = (body: unknown): string => {
-    const report = parseReport(body);
+    const report = parseHeartbeat(body);
     if (report === null) return 'refused';
     return hex(
       encodeIntake({ kind: 'reports', ...ENVELOPE, heartbeats: [], reports: [{ reference: 1, report }] }),
@@ -256,7 +261,7 @@
   const awaits = Array.from({ length: 22 }, (_, i) => `req-${String(i + 2).padStart(6, '0')}`);
   return [
     encodeJobView({ id, stage: 'pending' }),
-    ...REASONS.map((why) => encodeJobView({ id, stage: 'pending', done: 0, running: 0, why })),
+    ...REASONS.map((why) => encodeJobView({ id, stage: 'pending', done: 0, running: 0, waitReason: why })),
     encodeJobView({ id, stage: 'pending', done: 0, running: 0, awaits: awaits.slice(0, 2) }),
     encodeJobView({ id, stage: 'pending', done: 0, running: 0, awaits }),
     encodeJobView({ id, stage: 'running', done: 3, running: 2, awaits: [] }),
@@ -407,14 +412,17 @@
 export function policies(): string[] {
   const known = testSettings(0);
   return POLICIES.map((text) => {
-    const faults = readPolicy(text, known).faults.map(tellFault);
+    const faults = readPolicy(text, known).faults.map(formatFault);
     return `${json(text)}: ${faults.join('; ') || 'sound'}`;
   });
 }
 
 /** What internal words are called in the golden files; a rename changes a key, and never a value. */
 const WORDS: Readonly<
-  Record<Commit['kind'] | Watch['kind'] | ListedMachine['stage'] | Extract<RentalOutcome, string>, string>
+  Record<
+    CommitResult['kind'] | WatchResult['kind'] | ListedMachine['stage'] | Extract<ProvisioningResult, string>,
+    string
+  >
 > = {
   applied: 'applied',
   failed: 'failed',
@@ -469,7 +477,7 @@
   const { noted, port, server } = await recording(() => answers.shift() ?? [500, {}]);
   const own = testSettings(0);
   const endpoints = { ...own.endpoints, state: `127.0.0.1:${port}` };
-  const service = new HttpStateService({ ...own, endpoints }, systemClock);
+  const service = new HttpKeyValueStore({ ...own, endpoints }, systemClock);
   const lines: string[] = [];
   const ask = async (told: [number, unknown][], call: () => Promise<unknown>): Promise<void> => {
     answers.push(...told);
@@ -511,7 +519,7 @@
     { put: 'job/req-000002', data: { id: 2 }, stamp: 11 },
   ];
   await ask([[200, { events, ledgerRev: 12 }]], () => service.watch('job/', 9, 1000.4));
-  await ask([[200, { events, ledgerRev: 12 }]], () => service.changes('job/', 9));
+  await ask([[200, { events, ledgerRev: 12 }]], () => service.changesSince('job/', 9));
   await ask([[410, {}]], () => service.watch('job/', 1, 1000));
   await ask([[200, { permit: 12 }]], () => service.grant(2000.4));
   await ask([[200, {}]], () => service.renew(12));
@@ -545,16 +553,16 @@
       [200, { skiffs: [{ ...skiff, stage: 'starting', heldS: 3 }], truncated: true }],
       [200, { skiffs: ['running', 'failed'].map((stage) => ({ ...skiff, stage, address: null })) }],
     ],
-    () => cloud.machines(),
+    () => cloud.listMachines(),
   );
-  await ask([[200, { skiffs: [{ ...skiff, stage: 'other' }] }]], () => cloud.machines());
-  const rent = (): Promise<unknown> => cloud.rent('life-1-3', 'small', 'a', true, 4);
+  await ask([[200, { skiffs: [{ ...skiff, stage: 'other' }] }]], () => cloud.listMachines());
+  const rent = (): Promise<unknown> => cloud.provision('life-1-3', 'small', 'a', true, 4);
   await ask([[200, { skiffs: ['vm-000001', 'vm-000002'] }]], rent);
   await ask([[200, { skiffs: [7] }]], rent);
   await ask([[400, {}]], rent);
   await ask([[503, { error: 'no capacity' }]], rent);
-  await ask([[200, {}]], () => cloud.giveBack(['vm-000001', 'vm-000002']));
-  await ask([[400, {}]], () => cloud.giveBack(['vm-000001']));
+  await ask([[200, {}]], () => cloud.terminate(['vm-000001', 'vm-000002']));
+  await ask([[400, {}]], () => cloud.terminate(['vm-000001']));
   await close(server);
   return lines;
 }
@@ -562,14 +570,14 @@
 /** The request that carries direct commands: none starts a task. */
 export async function directRequest(): Promise<string[]> {
   const { noted, port, server } = await recording(() => [200, WORKER_REPORT]);
-  const workersAt = new HttpWorkers(2000, 1000, 4);
-  const found = await workersAt.direct(`127.0.0.1:${port}`, 7, 2, COMMANDS);
+  const workersAt = new HttpWorkerClient(2000, 1000, 4);
+  const found = await workersAt.sendCommands(`127.0.0.1:${port}`, 7, 2, COMMANDS);
   await close(server);
   return [...noted, `  answered: ${String(found !== null)}`];
 }
 
 interface UserWorld {
-  readonly users: Users;
+  readonly users: UserRequests;
   /** The state service refuses. */
   down: boolean;
   typesKnown: boolean;
@@ -579,30 +587,30 @@
 function userWorld(): UserWorld {
   const state = new StateStandin(new Network(new VirtualClock(), seeded(1)));
   const known = new Map(TYPES.map((type) => [type.name, type]));
-  const service: StateService = {
+  const service: KeyValueStore = {
     read: (key) => Promise.resolve(world.down ? 'unknown' : { entry: state.read(key) }),
     list: (prefix) =>
       Promise.resolve(world.down ? 'unknown' : { entries: state.list(prefix), revision: state.revision }),
     commit: (txn) => Promise.resolve(world.down ? { kind: 'refused' } : state.commit(txn)),
     watch: () => Promise.resolve({ kind: 'unknown' }),
-    changes: (prefix, after) =>
+    changesSince: (prefix, after) =>
       Promise.resolve(world.down ? { kind: 'unknown' } : state.since(prefix, after)),
     grant: () => Promise.resolve(null),
     renew: () => Promise.resolve(null),
     revoke: () => Promise.resolve(),
-    contactAt: () => null,
-    keepTo: () => undefined,
+    lastContactAt: () => null,
+    applyLimits: () => undefined,
   };
-  const users: Users = new Users({
+  const users: UserRequests = new UserRequests({
     state: service,
     clock: systemClock,
     teams: new Map([['crew', { guaranteedCpus: 0, maxCpus: 8, guaranteedGpus: 0, maxGpus: 1 }]]),
-    patience: 100,
-    rps: 10_000,
-    valueBytes: 2048,
-    conditions: 24,
-    knowsPipelines: () => Promise.resolve(world.understood),
-    isSettled: () => true,
+    requestTimeoutMs: 100,
+    requestsPerSecond: 10_000,
+    maxValueBytes: 2048,
+    maxPreconditions: 24,
+    supportsDependencies: () => Promise.resolve(world.understood),
+    hasPropagatedCancellations: () => true,
     types: () => (world.typesKnown ? known : new Map()),
     counts: () => null,
   });
@@ -614,23 +622,23 @@
 export async function userRequests(): Promise<string[]> {
   const world = userWorld();
   let ready = true;
-  const failing = (): Promise<UserAnswer> => Promise.reject(new Error('fails'));
+  const failing = (): Promise<UserResponse> => Promise.reject(new Error('fails'));
   const server = createPublicServer(
     {
       users: {
         submit: (body) => world.users.submit(body),
         show: (id) => (id === 'req-999' ? failing() : world.users.show(id)),
-        withdraw: (id) => world.users.withdraw(id),
+        cancel: (id) => world.users.cancel(id),
       },
       report: (body, done) =>
-        parseReport(body) === null
+        parseHeartbeat(body) === null
           ? done(400, '{"error":"malformed report"}')
           : done(200, encodeReply(7, [])),
       ready: () => ready,
       describe: (brief) => ({ brief }),
       latencies: { record: () => undefined },
       admission: new Admission(systemClock, 100),
-      malformed: { note: () => undefined },
+      malformed: { count: () => undefined },
     },
     100,
   );
--- a/test/standins/serve.ts
+++ b/test/standins/serve.ts
@@ -40,7 +40,7 @@
     copy: () => null,
   };
   return new Worker(listed, network, rules, checker, (node, body, reply) => {
-    const call = clients.get(node)?.call('POST', '/v1/report', JSON.stringify(body), 4000);
+    const call = clients.get(node)?.request('POST', '/v1/report', JSON.stringify(body), 4000);
     void call?.then(({ status, body: told }) => {
       if (status !== 0) reply(status, JSON.stringify(told ?? {}));
     });
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -1,9 +1,9 @@
 /** The state service, as PROTOCOL tells of it. */
-import type { Commit, Read, StateService, Watch } from '../../src/adapters/state.js';
-import type { StateLimits } from '../../src/settings.js';
+import type { CommitResult, ReadResult, KeyValueStore, WatchResult } from '../../src/adapters/state.js';
+import type { StoreLimits } from '../../src/settings.js';
 import { asObject } from '../../src/core/values.js';
 import type { Transaction } from '../../src/core/types.js';
-import { encodeTransaction, type Change, type Entry } from '../../src/wire/state.js';
+import { encodeTransaction, type KeyChange, type Entry } from '../../src/wire/state.js';
 import type { Network } from './network.js';
 
 interface Kept {
@@ -19,12 +19,12 @@
   readonly keys = new Map<string, Kept>();
   readonly #leases = new Map<number, { life: number; endsAt: number }>();
   #nextLease = 1;
-  readonly #changes: Change[] = [];
+  readonly #changes: KeyChange[] = [];
   #waiting: (() => void)[] = [];
   /** Transactions refused for their size. */
   rejected = 0;
   #outageUntil = 0;
-  limits: StateLimits = { rps: Infinity, write_rps: Infinity, value_kb: 32, txn_ops: 32 };
+  limits: StoreLimits = { rps: Infinity, write_rps: Infinity, value_kb: 32, txn_ops: 32 };
   #level = 0;
   #levelAt = 0;
   readonly #refused = new Map<string, number>();
@@ -102,7 +102,7 @@
     this.#onceLost.push(call);
   }
 
-  carryOutUnseen(txn: Transaction): Commit {
+  carryOutUnseen(txn: Transaction): CommitResult {
     const outcome = this.commit(txn);
     if (outcome.kind === 'applied') for (const call of this.#onceLost.splice(0)) call();
     return outcome;
@@ -179,7 +179,7 @@
     return true;
   }
 
-  commit(txn: Transaction): Commit {
+  commit(txn: Transaction): CommitResult {
     this.expire();
     const { txn_ops, value_kb } = this.limits;
     const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
@@ -224,7 +224,7 @@
   }
 
   /** What has changed since a revision. */
-  since(prefix: string, after: number): Exclude<Watch, { readonly kind: 'unknown' }> {
+  since(prefix: string, after: number): Exclude<WatchResult, { readonly kind: 'unknown' }> {
     this.expire();
     const oldest = this.#changes[0]?.modRevision ?? 0;
     if (this.#changes.length >= KEPT_CHANGES && after < oldest) return { kind: 'tooOld' };
@@ -239,7 +239,7 @@
     after: number,
     waitMs: number,
     down: () => boolean,
-    reply: (found: Watch) => void,
+    reply: (found: WatchResult) => void,
   ): void {
     const { clock } = this.network;
     const until = clock.now + waitMs;
@@ -283,7 +283,7 @@
 }
 
 /** One node's connection to the state service. */
-export class StateClient implements StateService {
+export class StateClient implements KeyValueStore {
   #contactAt: number | null = null;
 
   constructor(
@@ -318,15 +318,15 @@
     return this.#alive(answer);
   }
 
-  contactAt(): number | null {
+  lastContactAt(): number | null {
     return this.#contactAt;
   }
 
-  keepTo(): void {
+  applyLimits(): void {
     // The service itself enforces its limits.
   }
 
-  async read(key: string): Promise<Read> {
+  async read(key: string): Promise<ReadResult> {
     const answer = await this.#ask(`read ${key}`, () => ({ entry: this.service.read(key) }));
     return answer === null || answer === 'down' ? 'unknown' : answer;
   }
@@ -339,7 +339,7 @@
     return answer === null || answer === 'down' ? 'unknown' : answer;
   }
 
-  async commit(txn: Transaction): Promise<Commit> {
+  async commit(txn: Transaction): Promise<CommitResult> {
     const lateBy = this.service.lateBy(txn);
     if (lateBy !== null) return this.#commitLate(txn, lateBy);
     const lost = this.service.losesAnswer(txn);
@@ -352,7 +352,7 @@
     return answer === 'down' ? { kind: 'refused' } : answer;
   }
 
-  async #commitLate(txn: Transaction, afterMs: number): Promise<Commit> {
+  async #commitLate(txn: Transaction, afterMs: number): Promise<CommitResult> {
     const { clock, tap } = this.service.network;
     tap?.(this.node, 'state', `transaction ${encodeTransaction(txn)}`);
     // Values cross the wire: what the caller makes of its own later changes nothing.
@@ -366,10 +366,10 @@
     return this.#alive({ kind: 'unknown' });
   }
 
-  async watch(prefix: string, after: number, waitMs: number): Promise<Watch> {
+  async watch(prefix: string, after: number, waitMs: number): Promise<WatchResult> {
     const sentAt = this.clock.monotonicMs();
     this.service.network.tap?.(this.node, 'state', `watch ${prefix} ${after} ${waitMs}`);
-    const found = await this.service.network.ask<Watch>(
+    const found = await this.service.network.ask<WatchResult>(
       this.node,
       'state',
       waitMs + this.timeoutMs,
@@ -381,7 +381,7 @@
     return this.#alive(found ?? { kind: 'unknown' });
   }
 
-  async changes(prefix: string, after: number): Promise<Watch> {
+  async changesSince(prefix: string, after: number): Promise<WatchResult> {
     const answer = await this.#ask(`changes ${prefix} ${after}`, () => this.service.since(prefix, after));
     return answer === null || answer === 'down' ? { kind: 'unknown' } : answer;
   }
@@ -419,7 +419,7 @@
   return { ...entry, value };
 }
 
-function withoutLater(found: Watch): Watch {
+function withoutLater(found: WatchResult): WatchResult {
   if (found.kind !== 'changes') return found;
   return {
     ...found,
@@ -429,7 +429,7 @@
 
 /** What a controller of the version before pipelines sees, and writes, of the same data. */
 export class EarlierStateClient extends StateClient {
-  override async read(key: string): Promise<Read> {
+  override async read(key: string): Promise<ReadResult> {
     if (LATER.test(key)) return { entry: null };
     const read = await super.read(key);
     return read === 'unknown' || read.entry === null ? read : { entry: withoutLaterFields(read.entry) };
@@ -442,15 +442,15 @@
     return { ...found, entries };
   }
 
-  override async watch(prefix: string, after: number, waitMs: number): Promise<Watch> {
+  override async watch(prefix: string, after: number, waitMs: number): Promise<WatchResult> {
     return withoutLater(await super.watch(prefix, after, waitMs));
   }
 
-  override async changes(prefix: string, after: number): Promise<Watch> {
-    return withoutLater(await super.changes(prefix, after));
+  override async changesSince(prefix: string, after: number): Promise<WatchResult> {
+    return withoutLater(await super.changesSince(prefix, after));
   }
 
-  override async commit(txn: Transaction): Promise<Commit> {
+  override async commit(txn: Transaction): Promise<CommitResult> {
     const key = txn.mutations
       .map((write) => ('put' in write ? write.put : write.remove))
       .find((k) => LATER.test(k));
--- a/test/standins/world.ts
+++ b/test/standins/world.ts
@@ -2,7 +2,7 @@
 import { pino } from 'pino';
 import { ControllerNode } from '../../src/controller/node.js';
 import { createPolicy } from '../../src/policy.js';
-import { lastingLimits, parseSettings, timing, type PlatformSettings } from '../../src/settings.js';
+import { strictestLimits, parseSettings, timing, type PlatformSettings } from '../../src/settings.js';
 import type { Link } from '../../src/membership/views.js';
 import type { IntakeMessage } from '../../src/wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader } from '../../src/wire/peers.js';
@@ -421,7 +421,7 @@
   /** From now on the state service has the limits that the settings announce. */
   shrink(): void {
     const { state } = testSettings(0, 0, this.options.limits).cluster;
-    this.state.limits = { ...lastingLimits(testSettings(0, 0, this.options.limits)), rps: state.rps };
+    this.state.limits = { ...strictestLimits(testSettings(0, 0, this.options.limits)), rps: state.rps };
   }
 
   #write(node: string, line: string): void {
@@ -531,8 +531,7 @@
     const node = NODES[[...this.#lives.values()].indexOf(life)] ?? '';
     const { tap } = this.network;
     tap?.('user', node, `${kind} ${id} ${JSON.stringify(body)}`);
-    const call =
-      kind === 'submit' ? users.submit(body) : kind === 'show' ? users.show(id) : users.withdraw(id);
+    const call = kind === 'submit' ? users.submit(body) : kind === 'show' ? users.show(id) : users.cancel(id);
     const answer = await Promise.race([call, this.clock.sleep(5000).then(() => null)]);
     if (answer === null || !life.clock.alive) return null;
     const told = JSON.parse(JSON.stringify(answer.body)) as { stage?: string };
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -5,7 +5,7 @@
 import type { Effect } from '../src/core/effects.js';
 import type { Claim } from '../src/core/types.js';
 import { parseSettings, settingsFaults } from '../src/settings.js';
-import { firstLayout, formatRecord, lastingLayout } from '../src/upgrade.js';
+import { initialLayout, formatRecord, upgradedLayout } from '../src/upgrade.js';
 import { encodeStatus, StatusReader } from '../src/wire/peers.js';
 import {
   chunkKey,
@@ -111,7 +111,7 @@
 
 test('every record fits the limits to come', () => {
   const settings = testSettings(0, 0, { next: { value_kb: 2, txn_ops: 6, write_rps: 18 } });
-  const layout = lastingLayout(settings, formatRecord(settings, null));
+  const layout = upgradedLayout(settings, formatRecord(settings, null));
   expect(layout).toMatchObject({ keyWidth: 64, tasksPerChunk: 64, maxMutations: 6, maxValueBytes: 2048 });
   const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
   // The worst: each task of a late chunk on a machine of its own, often tried.
@@ -153,12 +153,18 @@
   expect(known).toEqual({ format: 2, wide: 128, tasks: 24 });
   // Settings of later days: the small limits are the usual ones, or they have grown again.
   const small = testSettings(0, 0, { value_kb: 1, txn_ops: 6 });
-  expect(lastingLayout(small, formatRecord(small, known))).toMatchObject({ keyWidth: 24, tasksPerChunk: 24 });
+  expect(upgradedLayout(small, formatRecord(small, known))).toMatchObject({
+    keyWidth: 24,
+    tasksPerChunk: 24,
+  });
   const grown = testSettings(0);
-  expect(lastingLayout(grown, formatRecord(grown, known))).toMatchObject({ keyWidth: 24, tasksPerChunk: 24 });
-  expect(firstLayout(grown)).toMatchObject({ keyWidth: null, tasksPerChunk: 512 });
+  expect(upgradedLayout(grown, formatRecord(grown, known))).toMatchObject({
+    keyWidth: 24,
+    tasksPerChunk: 24,
+  });
+  expect(initialLayout(grown)).toMatchObject({ keyWidth: null, tasksPerChunk: 512 });
   // Without limits to come, nothing changes.
-  expect(lastingLayout(grown, formatRecord(grown, null))).toMatchObject({
+  expect(upgradedLayout(grown, formatRecord(grown, null))).toMatchObject({
     keyWidth: null,
     tasksPerChunk: 512,
   });
@@ -199,7 +205,7 @@
 test('the way over: a narrow chunk outranks the wide one, which goes when all it knows is held', async () => {
   const bench = leading();
   const settings = testSettings(0, 0, TIGHT);
-  bench.do({ kind: 'adoptLayout', layout: lastingLayout(settings, formatRecord(settings, null)) });
+  bench.do({ kind: 'adoptLayout', layout: upgradedLayout(settings, formatRecord(settings, null)) });
   const running = [...Array(8).keys()].map((i) => task(`req-1/${i}`, 1, 'running'));
   // Claims stay as durable as they were: nothing is started twice, nothing written for it.
   expect(puts(bench.hear(report('m', 3, running)))).toEqual([]);
@@ -223,7 +229,7 @@
     term: TERM,
     modRevision: 100,
     viewConfirmedAt: bench.now,
-    layout: lastingLayout(settings, format),
+    layout: upgradedLayout(settings, format),
     legacyChunkTasks: format.wide,
     demandHistory: [],
     jobs: [{ value: job('req-1', 60, 1, 50), modRevision: 50 }],
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,9 +1,9 @@
 /** What others wrote is never trusted. */
 import { expect, test } from 'vitest';
 import { encodeStatus, MOST_FRAME, StatusReader, type PeerStatus } from '../src/wire/peers.js';
-import { parseCatalog, parseMachines, parseRented } from '../src/wire/cloud.js';
+import { parseCatalog, parseMachinePage, parseProvisioned } from '../src/wire/cloud.js';
 import { parseChanges, parsePage, parseRevision } from '../src/wire/state.js';
-import { encodeReply, parseReport, parseTaskName } from '../src/wire/workers.js';
+import { encodeReply, parseHeartbeat, parseTaskName } from '../src/wire/workers.js';
 
 const status: PeerStatus = {
   node: 'n-0',
@@ -47,8 +47,8 @@
   expect(parsePage({ rows: [{ key: 'a' }], ledgerRev: 3 })).toBeNull();
   expect(parseChanges({ events: [{ stamp: 3 }], ledgerRev: 3 })).toBeNull();
   expect(parseCatalog({ benches: [{ name: 'x' }] })).toBeNull();
-  expect(parseMachines({ skiffs: [{ nameId: 'vm', stage: 'odd' }] })).toBeNull();
-  expect(parseRented({ skiffs: [7] })).toBeNull();
+  expect(parseMachinePage({ skiffs: [{ nameId: 'vm', stage: 'odd' }] })).toBeNull();
+  expect(parseProvisioned({ skiffs: [7] })).toBeNull();
 });
 
 test('reports: null equals absent, unknown fields are ignored, faults refuse the whole', () => {
@@ -64,15 +64,15 @@
     more: 1,
     movements: [{ movement: 'req-1/3', take: 2, stage: 'ended', cadence: 'new kind of end' }],
   };
-  expect(parseReport(report)).toMatchObject({
+  expect(parseHeartbeat(report)).toMatchObject({
     terminationNoticeS: null,
     tasks: [{ job: 'req-1', task: 3, exit: 'error' }],
   });
-  expect(parseReport({ ...report, recallS: null, movements: null })).toMatchObject({ tasks: [] });
+  expect(parseHeartbeat({ ...report, recallS: null, movements: null })).toMatchObject({ tasks: [] });
   expect(
-    parseReport({ ...report, movements: [{ movement: 'req-1', take: 2, stage: 'running' }] }),
+    parseHeartbeat({ ...report, movements: [{ movement: 'req-1', take: 2, stage: 'running' }] }),
   ).toBeNull();
-  expect(parseReport({ ...report, barNo: -1 })).toBeNull();
+  expect(parseHeartbeat({ ...report, barNo: -1 })).toBeNull();
   expect(parseTaskName('req-1/')).toBeNull();
 });
 
