--- a/bench/run.mjs
+++ b/bench/run.mjs
@@ -31,9 +31,9 @@
     version,
     `import { createState } from ${from(at('core/create-state.ts', 'core/state.ts'))};
      import { step } from ${from(at('core/step.ts'))};
-     import * as config from ${from(at('rules.ts', 'node.ts'))};
-     import { createPolicy } from ${from(at('policy.ts'))};
-     import { parseSettings } from ${from(at('settings.ts'))};
+     import * as config from ${from(at('config/core-config.ts', 'rules.ts', 'node.ts'))};
+     import { createPolicy } from ${from(at('config/policy.ts', 'policy.ts'))};
+     import { parseSettings } from ${from(at('config/settings.ts', 'settings.ts'))};
      export * as records from ${from(at('core/persistence/records.ts', 'core/records.ts', 'wire/records.ts'))};
      export const core = { createState, step, rules: (raw) => {
        const settings = parseSettings(raw);
--- a/lab/emulator/worker-host.ts
+++ b/lab/emulator/worker-host.ts
@@ -1,7 +1,7 @@
 /** A process that hosts hundreds of hollow workers, each with an address and a connection of its own. */
 import { createServer } from 'node:http';
 import { createServer as createListener, type Server } from 'node:net';
-import { parseAddress } from '../../src/settings.js';
+import { parseAddress } from '../../src/config/settings.js';
 import type { JobDescription, LabEvent } from '../events.js';
 import type { FromWorkerHost, ToWorkerHost, WorkerHostSetup } from '../messages.js';
 import { hashShare, seededDraw } from '../random.js';
--- a/src/adapters/admission.ts
+++ b/src/adapters/admission.ts
@@ -5,7 +5,7 @@
  * the later the more were refused of late, and not all at the same time; and when it asks about the
  * same job again, it goes before those that were not refused.
  */
-import type { Clock } from '../clock.js';
+import type { Clock } from './clock.js';
 
 export type RequestKind = 'submit' | 'withdraw' | 'show';
 
--- a/src/adapters/cloud.ts
+++ b/src/adapters/cloud.ts
@@ -1,7 +1,7 @@
 /** The cloud: its calls one at a time, within its rate, backing off when it is in trouble. */
-import type { Clock } from '../clock.js';
+import type { Clock } from './clock.js';
 import type { ListedMachine, MachineType } from '../core/types.js';
-import { parseAddress, type PlatformSettings } from '../settings.js';
+import { parseAddress, type PlatformSettings } from '../config/settings.js';
 import {
   encodeProvisionRequest,
   encodeTerminateRequest,
@@ -9,8 +9,8 @@
   parseMachinePage,
   parseProvisioned,
 } from '../wire/cloud.js';
-import { HttpClient, type HttpResponse } from './http.js';
-import { RateLimiter, RetryBudget } from './limiter.js';
+import { HttpClient, type HttpResponse } from './http-client.js';
+import { RateLimiter, RetryBudget } from './rate-limiter.js';
 
 export type ProvisioningResult = readonly string[] | 'refused' | 'malformed' | 'unknown';
 
--- a/src/adapters/http.ts
+++ b/src/adapters/http-client.ts
@@ -1,6 +1,6 @@
 /** HTTP requests over kept-open connections, each with a bound on its time. */
 import { Agent, request as send } from 'node:http';
-import type { Address } from '../settings.js';
+import type { Address } from '../config/settings.js';
 import { parseJson } from '../core/values.js';
 
 export interface HttpResponse {
--- a/src/adapters/reads.ts
+++ b/src/adapters/job-reader.ts
@@ -4,11 +4,11 @@
  * each answer is as fresh as if its job had been read after the user asked. What has ended is final,
  * and read once. docs/reads.md weighs this against other ways.
  */
-import type { Clock } from '../clock.js';
+import type { Clock } from './clock.js';
 import { decodeEnded, decodeJob, endedKey, JOB_PREFIX, jobKey, jobOfKey } from '../core/persistence/index.js';
 import type { EndedRecord, JobSpec } from '../core/types.js';
-import type { KeyChange } from '../wire/state.js';
-import type { KeyValueStore } from './state.js';
+import type { KeyChange } from '../wire/key-value-store.js';
+import type { KeyValueStore } from './key-value-store.js';
 
 export type JobLookup =
   | { readonly kind: 'live'; readonly spec: JobSpec; readonly modRevision: number }
--- a/src/adapters/state.ts
+++ b/src/adapters/key-value-store.ts
@@ -1,6 +1,12 @@
 /** The state service. */
-import type { Clock } from '../clock.js';
-import { parseAddress, timing, type PlatformSettings, type StoreLimits, type Timing } from '../settings.js';
+import type { Clock } from './clock.js';
+import {
+  parseAddress,
+  timing,
+  type PlatformSettings,
+  type StoreLimits,
+  type Timing,
+} from '../config/settings.js';
 import {
   encodeLeaseRequest,
   encodeTransaction,
@@ -12,11 +18,11 @@
   parseValue,
   type KeyChange,
   type Entry,
-} from '../wire/state.js';
+} from '../wire/key-value-store.js';
 import type { Transaction } from '../core/types.js';
-import { DEFAULT_MAX_RESPONSE_BYTES, HttpClient, type HttpResponse } from './http.js';
-import { RateLimiter, RetryBudget } from './limiter.js';
-import { RetransmissionTimer } from './retransmission.js';
+import { DEFAULT_MAX_RESPONSE_BYTES, HttpClient, type HttpResponse } from './http-client.js';
+import { RateLimiter, RetryBudget } from './rate-limiter.js';
+import { RetransmissionTimer } from './retransmission-timer.js';
 
 export type ReadResult = { readonly entry: Entry | null } | 'unknown';
 export type CommitResult =
--- a/src/adapters/peers.ts
+++ b/src/adapters/peer-links.ts
@@ -1,10 +1,10 @@
 /** Links between controllers. Each node dials every other and tells it its status. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
-import type { Clock } from '../clock.js';
+import type { Clock } from './clock.js';
 import { toldEvery } from '../membership/table.js';
 import type { Link } from '../membership/views.js';
-import type { Log, EventCounter } from '../logging.js';
-import { parseAddress, type PlatformSettings, type Timing } from '../settings.js';
+import type { Log, EventCounter } from '../observability/logging.js';
+import { parseAddress, type PlatformSettings, type Timing } from '../config/settings.js';
 import type { IntakeMessage } from '../wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../wire/peers.js';
 
--- a/src/adapters/server.ts
+++ b/src/adapters/public-server.ts
@@ -2,10 +2,10 @@
 import express, { type ErrorRequestHandler, type RequestHandler } from 'express';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { parseJson } from '../core/values.js';
-import type { LatencyHistograms } from '../latency.js';
-import type { EventCounter } from '../logging.js';
+import type { LatencyHistograms } from '../observability/latency.js';
+import type { EventCounter } from '../observability/logging.js';
 import type { Admission, RequestKind } from './admission.js';
-import type { UserResponse, UserRequests } from './users.js';
+import type { UserResponse, UserRequests } from './user-requests.js';
 
 /** Share of the quota's sockets that the public port may take. */
 const PORT_SOCKET_SHARE = 0.8;
--- a/src/adapters/limiter.ts
+++ b/src/adapters/rate-limiter.ts
@@ -1,5 +1,5 @@
 /** How much may be asked of a service: its rate, and a budget for when it is in trouble. */
-import type { Clock } from '../clock.js';
+import type { Clock } from './clock.js';
 
 /** A bucket of tokens that keeps this node within its share of a service's rate. */
 export class RateLimiter {
--- a/src/adapters/users.ts
+++ b/src/adapters/user-requests.ts
@@ -1,12 +1,12 @@
 /** The users' requests, served by every node straight from the state service. */
-import type { Clock } from '../clock.js';
+import type { Clock } from './clock.js';
 import { satisfiesConstraints, fits, REASONS } from '../core/placement/index.js';
 import type { TeamQuota } from '../core/model.js';
 import type { Precondition, EndedRecord, JobSpec, MachineType, Mutation } from '../core/types.js';
 import { endedKey, jobBytes, jobKey } from '../core/persistence/index.js';
 import { encodeJobView, JOB_ID, parseSubmission, type JobView } from '../wire/users.js';
-import { JobReader, type JobLookup } from './reads.js';
-import type { KeyValueStore } from './state.js';
+import { JobReader, type JobLookup } from './job-reader.js';
+import type { KeyValueStore } from './key-value-store.js';
 
 export interface UserResponse {
   readonly status: number;
@@ -24,7 +24,7 @@
 }
 
 export interface UserRequestsContext {
-  readonly state: KeyValueStore;
+  readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly teams: ReadonlyMap<string, TeamQuota>;
   /** How long one request may take in all, in milliseconds. */
@@ -47,8 +47,8 @@
   readonly #reader: JobReader;
 
   constructor(private readonly context: UserRequestsContext) {
-    const { state, clock, requestsPerSecond, maxPreconditions } = context;
-    this.#reader = new JobReader(state, clock, requestsPerSecond, maxPreconditions);
+    const { store, clock, requestsPerSecond, maxPreconditions } = context;
+    this.#reader = new JobReader(store, clock, requestsPerSecond, maxPreconditions);
   }
 
   /** Drops what can be read again. */
@@ -124,7 +124,7 @@
     do {
       const entry = await this.#planSubmission(spec);
       if ('status' in entry) return entry;
-      const outcome = await this.context.state.commit({
+      const outcome = await this.context.store.commit({
         preconditions: [...own.map((key) => ({ key, modRevision: 0 })), ...entry.preconditions],
         mutations: [entry.mutation],
       });
@@ -235,7 +235,7 @@
       const tasks = found.kind === 'live' ? found.spec.tasks : 0;
       const at = Math.round(this.context.clock.epochMs());
       const record: EndedRecord = { stage: 'withdrawn', tasks, done: this.context.counts(id)?.done ?? 0, at };
-      const outcome = await this.context.state.commit({
+      const outcome = await this.context.store.commit({
         preconditions: [{ key: jobKey(id), modRevision: found.modRevision }],
         mutations: [{ remove: jobKey(id) }, { put: endedKey(id), value: record }],
       });
--- a/src/adapters/workers.ts
+++ b/src/adapters/worker-client.ts
@@ -1,9 +1,9 @@
 /** Commands sent straight to workers: they only raise the token, or halt; and knocks at their doors. */
 import { connect } from 'node:net';
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
-import { parseAddress } from '../settings.js';
+import { parseAddress } from '../config/settings.js';
 import { encodeDirectCommands, parseHeartbeat } from '../wire/workers.js';
-import { HttpClient } from './http.js';
+import { HttpClient } from './http-client.js';
 
 export interface WorkerClient {
   sendCommands(
--- a/src/cli.ts
+++ b/src/cli/commands.ts
@@ -1,11 +1,11 @@
 /** The command line. Exit codes: 0 done, 1 the service cannot or will not, 2 wrong use. */
 import { Command, CommanderError, InvalidArgumentError } from 'commander';
-import { Client, type Output } from './client.js';
-import { createLog } from './logging.js';
-import { memoryQuotaFault } from './memory.js';
-import { createPolicy, PolicyError, readPolicy, formatFault } from './policy.js';
-import { startService } from './service.js';
-import { parseSettings, readDocument, readText, SettingsError, settingsFaults } from './settings.js';
+import { Client, type Output } from './user-client.js';
+import { createLog } from '../observability/logging.js';
+import { memoryQuotaFault } from '../observability/memory.js';
+import { createPolicy, PolicyError, readPolicy, formatFault } from '../config/policy.js';
+import { startService } from '../service.js';
+import { parseSettings, readDocument, readText, SettingsError, settingsFaults } from '../config/settings.js';
 
 declare const ROWANFERRY_VERSION: string | undefined;
 export const VERSION = typeof ROWANFERRY_VERSION === 'string' ? ROWANFERRY_VERSION : 'dev';
--- a/src/client.ts
+++ b/src/cli/user-client.ts
@@ -1,7 +1,7 @@
 /** The thin user verbs: one request to a controller, its answer on standard output. */
-import { HttpClient, type HttpResponse } from './adapters/http.js';
-import { parseAddress } from './settings.js';
-import { asObject } from './core/values.js';
+import { HttpClient, type HttpResponse } from '../adapters/http-client.js';
+import { parseAddress } from '../config/settings.js';
+import { asObject } from '../core/values.js';
 
 export interface Output {
   out(line: string): void;
--- a/src/rules.ts
+++ b/src/config/core-config.ts
@@ -1,7 +1,7 @@
 /** The rules that the core goes by, from the platform's settings and the operators' policy. */
-import type { ClassObjectives, SchedulingPolicy, CoreConfig } from './core/model.js';
+import type { ClassObjectives, SchedulingPolicy, CoreConfig } from '../core/model.js';
 import { timing, type PlatformSettings } from './settings.js';
-import { initialLayout } from './upgrade.js';
+import { initialLayout } from './record-layout.js';
 
 /** The aims of every class that some objective speaks of; any number of each kind. */
 export function classObjectives(
--- a/src/policy.ts
+++ b/src/config/policy.ts
@@ -3,9 +3,9 @@
  * Language, checked before it is used and evaluated once for each job or machine type.
  */
 import { Environment } from '@marcbachmann/cel-js';
-import type { SchedulingPolicy } from './core/model.js';
-import type { JobSpec, MachineType } from './core/types.js';
-import type { Log } from './logging.js';
+import type { SchedulingPolicy } from '../core/model.js';
+import type { JobSpec, MachineType } from '../core/types.js';
+import type { Log } from '../observability/logging.js';
 import type { PlatformSettings } from './settings.js';
 
 type Scope = 'job' | 'machine' | 'cluster';
--- a/src/settings.ts
+++ b/src/config/settings.ts
@@ -1,7 +1,7 @@
 /** The platform's settings file: its shape, and the figures the service derives from it. */
 import { readFileSync } from 'node:fs';
 import * as v from 'valibot';
-import type { Timing } from './core/timing.js';
+import type { Timing } from '../core/timing.js';
 
 export type { Timing };
 
--- a/src/controller/common.ts
+++ b/src/controller/common.ts
@@ -1,12 +1,12 @@
 /** What the parts of a node have in common: its ports, and who leads as far as it knows. */
 import type { Cloud } from '../adapters/cloud.js';
-import type { KeyValueStore } from '../adapters/state.js';
-import type { WorkerClient } from '../adapters/workers.js';
-import type { Clock } from '../clock.js';
+import type { KeyValueStore } from '../adapters/key-value-store.js';
+import type { WorkerClient } from '../adapters/worker-client.js';
+import type { Clock } from '../adapters/clock.js';
 import type { SchedulingPolicy } from '../core/model.js';
-import type { Log } from '../logging.js';
+import type { Log } from '../observability/logging.js';
 import type { Owner } from '../owner.js';
-import type { PlatformSettings, Timing } from '../settings.js';
+import type { PlatformSettings, Timing } from '../config/settings.js';
 
 /** What a controller needs of the world around it. */
 export interface Ports {
--- a/src/controller/deputy.ts
+++ b/src/controller/deputy.ts
@@ -11,11 +11,11 @@
  * while nobody is served by the state service has no successor until that is over, and
  * every worker would lose its lease and its work meanwhile.
  */
-import type { KeyValueStore } from '../adapters/state.js';
-import type { Clock } from '../clock.js';
+import type { KeyValueStore } from '../adapters/key-value-store.js';
+import type { Clock } from '../adapters/clock.js';
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
-import type { Timing } from '../settings.js';
+import type { Timing } from '../config/settings.js';
 import {
   deputyKey,
   JOB_PREFIX,
--- a/src/controller/election.ts
+++ b/src/controller/election.ts
@@ -1,6 +1,6 @@
 /** Carries out what the election machine asks for, and tells it what came of it. */
-import type { KeyValueStore } from '../adapters/state.js';
-import type { Clock } from '../clock.js';
+import type { KeyValueStore } from '../adapters/key-value-store.js';
+import type { Clock } from '../adapters/clock.js';
 import {
   decodeLeader,
   decodeTerm,
--- a/src/controller/leading.ts
+++ b/src/controller/leading.ts
@@ -1,5 +1,5 @@
 /** Leading: what the leaders before have committed is loaded, then the jobs are followed. */
-import { readJob } from '../adapters/reads.js';
+import { readJob } from '../adapters/job-reader.js';
 import type { Common } from './common.js';
 import type { LoadedChunk, ReconciledRecords } from '../core/effects.js';
 import {
@@ -24,9 +24,9 @@
 import type { ElectionResult } from '../membership/election.js';
 import type { Observing } from './observing.js';
 import type { Peering } from './peering.js';
-import type { PlatformSettings } from '../settings.js';
-import { initialLayout, formatRecord, upgradedLayout } from '../upgrade.js';
-import type { Entry } from '../wire/state.js';
+import type { PlatformSettings } from '../config/settings.js';
+import { formatRecord, initialLayout, upgradedLayout } from '../config/record-layout.js';
+import type { Entry } from '../wire/key-value-store.js';
 
 function decodeJobs(entries: readonly Entry[]): Versioned<JobSpec>[] {
   const jobs: Versioned<JobSpec>[] = [];
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -1,18 +1,18 @@
 /** One controller: the owner, and the parts around it that lead, follow, talk with peers and serve users. */
 import { Admission } from '../adapters/admission.js';
-import type { PeerTraffic } from '../adapters/peers.js';
-import { UserRequests } from '../adapters/users.js';
+import type { PeerTraffic } from '../adapters/peer-links.js';
+import { UserRequests } from '../adapters/user-requests.js';
 import { stateAgeMs, type Common, type Ports, type LeadershipView } from './common.js';
 import { FORMAT, LEADER_KEY } from '../core/persistence/index.js';
 import type { Effect, Reply } from '../core/effects.js';
 import { createState } from '../core/create-state.js';
 import { Deputy } from './deputy.js';
-import { describeLeaderView } from '../describe.js';
+import { describeLeaderView } from '../observability/status-page.js';
 import { Election } from './election.js';
 import { Following } from './following.js';
-import { LatencyHistograms } from '../latency.js';
+import { LatencyHistograms } from '../observability/latency.js';
 import { Leading } from './leading.js';
-import { EventCounter } from '../logging.js';
+import { EventCounter } from '../observability/logging.js';
 import { Owner } from '../owner.js';
 import { Observing } from './observing.js';
 import { Peering } from './peering.js';
@@ -21,9 +21,10 @@
 import { createElection } from '../membership/election.js';
 import type { Resignation } from '../membership/membership.js';
 import type { Link } from '../membership/views.js';
-import { createCoreConfig } from '../rules.js';
-import { strictestLimits, timing, type PlatformSettings } from '../settings.js';
-import { upgradedLayout, FormatUpgrade } from '../upgrade.js';
+import { createCoreConfig } from '../config/core-config.js';
+import { strictestLimits, timing, type PlatformSettings } from '../config/settings.js';
+import { upgradedLayout } from '../config/record-layout.js';
+import { FormatUpgrade } from './format-upgrade.js';
 import type { Heartbeat } from '../core/types.js';
 import type { IntakeMessage } from '../wire/intake.js';
 import type { PeerStatus } from '../wire/peers.js';
@@ -169,7 +170,7 @@
     );
     this.#upgrade = new FormatUpgrade({
       settings,
-      state,
+      store: state,
       clock,
       pollIntervalMs: 2 * times.maxHeartbeatIntervalMs,
       termRevision: () => owner.state.leadership?.modRevision ?? null,
@@ -188,7 +189,7 @@
       maxPreconditions: 4 * txn_ops,
       supportsDependencies: async () => (await this.#upgrade.refresh()) !== null,
       hasPropagatedCancellations: () => this.#peering.isSettled(),
-      state,
+      store: state,
       clock,
       teams: rules.teams,
       requestTimeoutMs: times.storeTimeoutMs,
--- a/src/controller/report-intake.ts
+++ b/src/controller/report-intake.ts
@@ -4,12 +4,12 @@
  * heartbeat. A local answer never carries a command, and is given only within the authority window of the
  * leader's own proven view, and only for machines to which the leader has nothing to tell.
  */
-import type { Clock } from '../clock.js';
+import type { Clock } from '../adapters/clock.js';
 import type { Keepalive } from '../core/fleet/index.js';
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Heartbeat, ReportedTask } from '../core/types.js';
 import { toldEvery } from '../membership/table.js';
-import type { Timing } from '../settings.js';
+import type { Timing } from '../config/settings.js';
 import type { AnswersMessage, ForwardedReport, IntakeMessage, Shed } from '../wire/intake.js';
 
 /** Answers a report: a status and a body of the workers' interface. */
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
-import { main } from './cli.js';
+import { main } from './cli/commands.js';
 
 void main(process.argv.slice(2)).then((code) => {
   if (code !== null) process.exitCode = code;
--- a/src/memory.ts
+++ b/src/observability/memory.ts
@@ -2,7 +2,7 @@
  * The process's memory against its quota. The heap's ceiling is fixed at the start, above what the largest
  * planned fleet needs; what bounds the process in use is `quota.ram_mb`, which is watched here.
  */
-import type { Clock } from './clock.js';
+import type { Clock } from '../adapters/clock.js';
 import type { Log } from './logging.js';
 
 /** Resident memory of a controller without machines, in MB. */
--- a/src/describe.ts
+++ b/src/observability/status-page.ts
@@ -1,8 +1,8 @@
 /** The operators' view of a controller: one object, bounded in size. */
-import { freeResources, isFaultyJob, waitingJobs } from './core/placement/index.js';
-import { isReady, waitingTasks } from './core/jobs/index.js';
-import { taskKey, type Machine, type Now } from './core/model.js';
-import type { CoreState } from './core/state.js';
+import { freeResources, isFaultyJob, waitingJobs } from '../core/placement/index.js';
+import { isReady, waitingTasks } from '../core/jobs/index.js';
+import { taskKey, type Machine, type Now } from '../core/model.js';
+import type { CoreState } from '../core/state.js';
 
 const MAX_LISTED_MACHINES = 100;
 
--- a/src/owner.ts
+++ b/src/owner.ts
@@ -1,10 +1,10 @@
 /** The one owner of a node's scheduling state: a queue of commands, worked off in batches. */
 import { buffer, exhaustMap, Observable, Subject, type Subscription } from 'rxjs';
-import type { Clock, WorkDuration } from './clock.js';
+import type { Clock, WorkDuration } from './adapters/clock.js';
 import type { Command, Effect } from './core/effects.js';
 import { step } from './core/step.js';
 import type { CoreState } from './core/state.js';
-import type { Log } from './logging.js';
+import type { Log } from './observability/logging.js';
 
 export class Owner {
   readonly #commands = new Subject<Command>();
--- a/src/service.ts
+++ b/src/service.ts
@@ -1,16 +1,16 @@
 /** A controller as a process: a node with its ports on the network. */
 import { randomUUID } from 'node:crypto';
 import { HttpCloud } from './adapters/cloud.js';
-import { PeerLinks } from './adapters/peers.js';
-import { createPublicServer } from './adapters/server.js';
-import { HttpKeyValueStore } from './adapters/state.js';
-import { HttpWorkerClient } from './adapters/workers.js';
-import { systemClock } from './clock.js';
+import { PeerLinks } from './adapters/peer-links.js';
+import { createPublicServer } from './adapters/public-server.js';
+import { HttpKeyValueStore } from './adapters/key-value-store.js';
+import { HttpWorkerClient } from './adapters/worker-client.js';
+import { systemClock } from './adapters/clock.js';
 import type { SchedulingPolicy } from './core/model.js';
-import type { Log } from './logging.js';
-import { MemoryMonitor } from './memory.js';
+import type { Log } from './observability/logging.js';
+import { MemoryMonitor } from './observability/memory.js';
 import { ControllerNode } from './controller/node.js';
-import { parseAddress, timing, type PlatformSettings } from './settings.js';
+import { parseAddress, timing, type PlatformSettings } from './config/settings.js';
 
 export function startService(settings: PlatformSettings, policy: SchedulingPolicy, log: Log): void {
   const clock = systemClock;
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { expect, test } from 'vitest';
-import { main } from '../src/cli.js';
+import { main } from '../src/cli/commands.js';
 import { testSettings } from './standins/world.js';
 
 const folder = mkdtempSync(join(tmpdir(), 'rowanferry-'));
--- a/test/closer.test.ts
+++ b/test/closer.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest';
 import type { Transaction } from '../src/core/types.js';
 import { createElection, electionStep, type ElectionEffect } from '../src/membership/election.js';
-import { timing } from '../src/settings.js';
+import { timing } from '../src/config/settings.js';
 import { atWork, CANCEL, endsWell, FROM, LEASE } from './standins/at-work.js';
 import { CoreBench, job, report, task } from './standins/core.js';
 import { partZones } from './standins/troubles.js';
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,8 +1,8 @@
 /** Many machines lost at once: what is given back, what runs again, and what a cut-off leader must not ask for. */
 import { expect, test } from 'vitest';
-import { RetryBudget } from '../src/adapters/limiter.js';
+import { RetryBudget } from '../src/adapters/rate-limiter.js';
 import { countLostObjectives, isStartSensitive, latestStart } from '../src/core/jobs/index.js';
-import { classObjectives } from '../src/rules.js';
+import { classObjectives } from '../src/config/core-config.js';
 import type { Effect } from '../src/core/effects.js';
 import type { ClassObjectives } from '../src/core/model.js';
 import { claimTask } from '../src/core/persistence/index.js';
--- a/test/leading.test.ts
+++ b/test/leading.test.ts
@@ -1,8 +1,8 @@
 /** Who leads, and for how long. */
 import { expect, test } from 'vitest';
-import type { KeyValueStore } from '../src/adapters/state.js';
+import type { KeyValueStore } from '../src/adapters/key-value-store.js';
 import { Deputy } from '../src/controller/deputy.js';
-import { timing as timingOf } from '../src/settings.js';
+import { timing as timingOf } from '../src/config/settings.js';
 import type { Worker } from './standins/cloud.js';
 import { report, task } from './standins/core.js';
 import { seeded, testSettings, World } from './standins/world.js';
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -5,7 +5,7 @@
 import { Routing, type Reach } from '../src/membership/routing.js';
 import { TABLE, toldEvery, type Table } from '../src/membership/table.js';
 import type { View } from '../src/membership/views.js';
-import { timing } from '../src/settings.js';
+import { timing } from '../src/config/settings.js';
 import { testSettings, UNSEEN } from './standins/world.js';
 
 const TIMES = timing(testSettings(0));
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -1,6 +1,6 @@
 /** Operators' own settings: what the checker finds, and what a sound policy changes. */
 import { describe, expect, test } from 'vitest';
-import { createPolicy, FIGURES, readPolicy, formatFault } from '../src/policy.js';
+import { createPolicy, FIGURES, readPolicy, formatFault } from '../src/config/policy.js';
 import { job } from './standins/core.js';
 import { testSettings } from './standins/world.js';
 
--- a/test/retransmission.test.ts
+++ b/test/retransmission.test.ts
@@ -3,11 +3,11 @@
 import type { AddressInfo } from 'node:net';
 import { Worker } from 'node:worker_threads';
 import { expect, test } from 'vitest';
-import { HttpClient } from '../src/adapters/http.js';
-import { RetransmissionTimer } from '../src/adapters/retransmission.js';
-import { HttpKeyValueStore } from '../src/adapters/state.js';
-import { systemClock } from '../src/clock.js';
-import { timing } from '../src/settings.js';
+import { HttpClient } from '../src/adapters/http-client.js';
+import { RetransmissionTimer } from '../src/adapters/retransmission-timer.js';
+import { HttpKeyValueStore } from '../src/adapters/key-value-store.js';
+import { systemClock } from '../src/adapters/clock.js';
+import { timing } from '../src/config/settings.js';
 import { testSettings } from './standins/world.js';
 
 test('the timer follows what answers take, doubles without one, and stays within its bounds', () => {
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -2,18 +2,18 @@
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterAll, beforeAll, expect, test } from 'vitest';
-import { HttpClient, type HttpResponse } from '../src/adapters/http.js';
+import { HttpClient, type HttpResponse } from '../src/adapters/http-client.js';
 import { Admission } from '../src/adapters/admission.js';
-import { createPublicServer } from '../src/adapters/server.js';
-import { UserRequests } from '../src/adapters/users.js';
-import { systemClock } from '../src/clock.js';
+import { createPublicServer } from '../src/adapters/public-server.js';
+import { UserRequests } from '../src/adapters/user-requests.js';
+import { systemClock } from '../src/adapters/clock.js';
 import { parseHeartbeat } from '../src/wire/workers.js';
 import { TYPES } from './standins/cloud.js';
 import { VirtualClock } from './standins/clock.js';
 import { Network } from './standins/network.js';
 import { StateStandin } from './standins/state.js';
 import { seeded } from './standins/world.js';
-import type { KeyValueStore } from '../src/adapters/state.js';
+import type { KeyValueStore } from '../src/adapters/key-value-store.js';
 
 const state = new StateStandin(new Network(new VirtualClock(), seeded(1)));
 let down = false;
@@ -34,7 +34,7 @@
 let understood = true;
 let types = new Map(TYPES.map((type) => [type.name, type]));
 const users = new UserRequests({
-  state: service,
+  store: service,
   clock: systemClock,
   teams: new Map([['crew', { guaranteedCpus: 0, maxCpus: 8, guaranteedGpus: 0, maxGpus: 0 }]]),
   requestTimeoutMs: 100,
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -7,9 +7,9 @@
 import { SharedReports } from '../src/controller/shared-reports.js';
 import { balance, chooseFollower, isSharedAt } from '../src/membership/sharing.js';
 import { toldEvery } from '../src/membership/table.js';
-import { createPolicy } from '../src/policy.js';
-import { createCoreConfig } from '../src/rules.js';
-import { timing } from '../src/settings.js';
+import { createPolicy } from '../src/config/policy.js';
+import { createCoreConfig } from '../src/config/core-config.js';
+import { timing } from '../src/config/settings.js';
 import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
 import { encodeIntake, StatusReader } from '../src/wire/peers.js';
 import { atWork, CANCEL, DEPUTY_SEED, endsWell } from './standins/at-work.js';
--- a/test/standins/clock.ts
+++ b/test/standins/clock.ts
@@ -1,5 +1,5 @@
 /** A clock that moves only when everything due has been done. */
-import type { Clock } from '../../src/clock.js';
+import type { Clock } from '../../src/adapters/clock.js';
 
 interface Due {
   readonly at: number;
--- a/test/standins/cloud.ts
+++ b/test/standins/cloud.ts
@@ -1,6 +1,6 @@
 /** The cloud and the workers on its machines, as PROTOCOL tells of them. */
 import type { Cloud, ProvisioningResult } from '../../src/adapters/cloud.js';
-import type { WorkerClient } from '../../src/adapters/workers.js';
+import type { WorkerClient } from '../../src/adapters/worker-client.js';
 import type { ListedMachine, MachineType, Heartbeat, WorkerCommand } from '../../src/core/types.js';
 import { asObject, type Json } from '../../src/core/values.js';
 import { encodeProvisionRequest, encodeTerminateRequest } from '../../src/wire/cloud.js';
--- a/test/standins/core.ts
+++ b/test/standins/core.ts
@@ -5,8 +5,8 @@
 import { createState } from '../../src/core/create-state.js';
 import { step } from '../../src/core/step.js';
 import type { Claim, JobSpec, MachineType, Heartbeat, ReportedTask } from '../../src/core/types.js';
-import { createCoreConfig } from '../../src/rules.js';
-import { createPolicy } from '../../src/policy.js';
+import { createCoreConfig } from '../../src/config/core-config.js';
+import { createPolicy } from '../../src/config/policy.js';
 import { testSettings } from './world.js';
 
 export const TERM = 5;
--- a/test/standins/demo.ts
+++ b/test/standins/demo.ts
@@ -5,9 +5,9 @@
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createServer } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { HttpClient } from '../../src/adapters/http.js';
+import { HttpClient } from '../../src/adapters/http-client.js';
 import { asObject, isText } from '../../src/core/values.js';
-import { parseAddress } from '../../src/settings.js';
+import { parseAddress } from '../../src/config/settings.js';
 import { demoJob, settings, startStandins } from './serve.js';
 
 const FOLDER = 'target/demo';
--- a/test/standins/explore.ts
+++ b/test/standins/explore.ts
@@ -14,7 +14,7 @@
   type Kept,
 } from '../../src/membership/election.js';
 import type { LeaderRecord } from '../../src/core/persistence/index.js';
-import { timing } from '../../src/settings.js';
+import { timing } from '../../src/config/settings.js';
 import { testSettings } from './world.js';
 
 const NODES = ['n-0', 'n-1', 'n-2'];
--- a/test/standins/golden-messages.ts
+++ b/test/standins/golden-messages.ts
@@ -11,16 +11,16 @@
   type CommitResult,
   type KeyValueStore,
   type WatchResult,
-} from '../../src/adapters/state.js';
-import { HttpWorkerClient } from '../../src/adapters/workers.js';
+} from '../../src/adapters/key-value-store.js';
+import { HttpWorkerClient } from '../../src/adapters/worker-client.js';
 import { Admission } from '../../src/adapters/admission.js';
-import { createPublicServer } from '../../src/adapters/server.js';
-import { UserRequests, type UserResponse } from '../../src/adapters/users.js';
-import { systemClock } from '../../src/clock.js';
+import { createPublicServer } from '../../src/adapters/public-server.js';
+import { UserRequests, type UserResponse } from '../../src/adapters/user-requests.js';
+import { systemClock } from '../../src/adapters/clock.js';
 import { REASONS } from '../../src/core/placement/index.js';
 import * as records from '../../src/core/persistence/index.js';
-import { readPolicy, formatFault } from '../../src/policy.js';
-import { settingsFaults } from '../../src/settings.js';
+import { readPolicy, formatFault } from '../../src/config/policy.js';
+import { settingsFaults } from '../../src/config/settings.js';
 import type { ListedMachine } from '../../src/core/types.js';
 import type { IntakeMessage } from '../../src/wire/intake.js';
 import { encodeIntake, encodeStatus, type PeerStatus } from '../../src/wire/peers.js';
@@ -602,7 +602,7 @@
     applyLimits: () => undefined,
   };
   const users: UserRequests = new UserRequests({
-    state: service,
+    store: service,
     clock: systemClock,
     teams: new Map([['crew', { guaranteedCpus: 0, maxCpus: 8, guaranteedGpus: 0, maxGpus: 1 }]]),
     requestTimeoutMs: 100,
--- a/test/standins/serve.ts
+++ b/test/standins/serve.ts
@@ -5,10 +5,10 @@
 import express, { type Request, type Response } from 'express';
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { HttpClient } from '../../src/adapters/http.js';
+import { HttpClient } from '../../src/adapters/http-client.js';
 import type { ListedMachine, Mutation } from '../../src/core/types.js';
-import { parseAddress } from '../../src/settings.js';
-import type { Entry } from '../../src/wire/state.js';
+import { parseAddress } from '../../src/config/settings.js';
+import type { Entry } from '../../src/wire/key-value-store.js';
 import { asObject, isText } from '../../src/core/values.js';
 import { Checker } from './checker.js';
 import { VirtualClock } from './clock.js';
--- a/test/standins/state.ts
+++ b/test/standins/state.ts
@@ -1,9 +1,14 @@
 /** The state service, as PROTOCOL tells of it. */
-import type { CommitResult, ReadResult, KeyValueStore, WatchResult } from '../../src/adapters/state.js';
-import type { StoreLimits } from '../../src/settings.js';
+import type {
+  CommitResult,
+  ReadResult,
+  KeyValueStore,
+  WatchResult,
+} from '../../src/adapters/key-value-store.js';
+import type { StoreLimits } from '../../src/config/settings.js';
 import { asObject } from '../../src/core/values.js';
 import type { Transaction } from '../../src/core/types.js';
-import { encodeTransaction, type KeyChange, type Entry } from '../../src/wire/state.js';
+import { encodeTransaction, type KeyChange, type Entry } from '../../src/wire/key-value-store.js';
 import type { Network } from './network.js';
 
 interface Kept {
--- a/test/standins/world.ts
+++ b/test/standins/world.ts
@@ -1,8 +1,8 @@
 /** The whole service against the stand-ins, with users of its own and faults drawn from a seed. */
 import { pino } from 'pino';
 import { ControllerNode } from '../../src/controller/node.js';
-import { createPolicy } from '../../src/policy.js';
-import { strictestLimits, parseSettings, timing, type PlatformSettings } from '../../src/settings.js';
+import { createPolicy } from '../../src/config/policy.js';
+import { strictestLimits, parseSettings, timing, type PlatformSettings } from '../../src/config/settings.js';
 import type { Link } from '../../src/membership/views.js';
 import type { IntakeMessage } from '../../src/wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader } from '../../src/wire/peers.js';
--- a/test/suspicion.test.ts
+++ b/test/suspicion.test.ts
@@ -1,7 +1,7 @@
 /** Faults between controllers: who suspects whom, who leads then, when work goes on. Traces are read by people. */
 import { expect, test } from 'vitest';
 import { seeded, testSettings, World, type Logged } from './standins/world.js';
-import { timing } from '../src/settings.js';
+import { timing } from '../src/config/settings.js';
 
 const TIMES = timing(testSettings(0));
 const FROM = 20_000;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -4,8 +4,8 @@
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
 import type { Claim } from '../src/core/types.js';
-import { parseSettings, settingsFaults } from '../src/settings.js';
-import { initialLayout, formatRecord, upgradedLayout } from '../src/upgrade.js';
+import { parseSettings, settingsFaults } from '../src/config/settings.js';
+import { initialLayout, formatRecord, upgradedLayout } from '../src/config/record-layout.js';
 import { encodeStatus, StatusReader } from '../src/wire/peers.js';
 import {
   chunkKey,
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest';
 import { encodeStatus, MOST_FRAME, StatusReader, type PeerStatus } from '../src/wire/peers.js';
 import { parseCatalog, parseMachinePage, parseProvisioned } from '../src/wire/cloud.js';
-import { parseChanges, parsePage, parseRevision } from '../src/wire/state.js';
+import { parseChanges, parsePage, parseRevision } from '../src/wire/key-value-store.js';
 import { encodeReply, parseHeartbeat, parseTaskName } from '../src/wire/workers.js';
 
 const status: PeerStatus = {
