--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -8,18 +8,23 @@
 import { parseSettings, readDocument, readText, SettingsError, settingsFaults } from '../config/settings.js';
 
 declare const ROWANFERRY_VERSION: string | undefined;
+/** The program's version; `dev` when it runs from its sources. */
 export const VERSION = typeof ROWANFERRY_VERSION === 'string' ? ROWANFERRY_VERSION : 'dev';
 
+const EXIT_OK = 0;
+const EXIT_WRONG_USE = 2;
+
 interface FileOptions {
   readonly settings: string;
   readonly policy?: string;
 }
 
 interface CheckOptions extends FileOptions {
-  /** The size of the fleet that the quota is checked for. */
+  /** Machines of the fleet that the memory quota is checked for. */
   readonly machines?: number;
 }
 
+/** Runs a controller until the process is ended. */
 function serve({ settings: file, policy: policyFile }: FileOptions): void {
   const settings = parseSettings(readDocument(file));
   const log = createLog(process.env['LOG_LEVEL']);
@@ -32,6 +37,7 @@
   startService(settings, policy, log);
 }
 
+/** Prints every fault of the files, each on a line; the result is the exit code. */
 function check({ settings: file, policy: policyFile, machines }: CheckOptions, output: Output): number {
   const document = readDocument(file);
   const faults = settingsFaults(document).map((fault) => `${file}: ${fault}`);
@@ -45,7 +51,7 @@
   }
   for (const fault of faults) output.err(fault);
   if (faults.length === 0) output.out('no faults');
-  return faults.length === 0 ? 0 : 2;
+  return faults.length === 0 ? EXIT_OK : EXIT_WRONG_USE;
 }
 
 function address(value: string): string {
@@ -63,71 +69,92 @@
   err: (line) => process.stderr.write(`${line}\n`),
 };
 
-/** Runs the command line; the result is the exit code, or null while a controller goes on. */
-export async function main(args: readonly string[], output: Output = standardOutput): Promise<number | null> {
-  let code: number | null = 0;
-  const program = new Command('rowanferry')
-    .description('a fault-tolerant cluster scheduler with EASY backfilling')
-    .version(VERSION)
-    .exitOverride()
-    .configureOutput({ writeOut: (text) => output.out(text.trimEnd()), writeErr: () => undefined });
-  const command = (name: string, description: string): Command =>
-    program.command(name).description(description);
-  const withFiles = (made: Command): Command =>
-    made
-      .requiredOption('--settings <file>', "the platform's settings file (JSON)")
-      .option('--policy <file>', "the operators' own settings");
-  const client = (made: Command): Client => new Client(made.opts<{ server: string }>().server, output);
-  const withServer = (made: Command): Command =>
-    made.option(
-      '--server <host:port>',
-      'a controller (default: ROWANFERRY_SERVER)',
-      address,
-      process.env['ROWANFERRY_SERVER'] ?? '127.0.0.1:8080',
-    );
-
-  withFiles(command('serve', 'run a controller')).action((options: FileOptions) => {
+/** What the commands write to, and the exit code that they set; `null` while a controller goes on. */
+interface Invocation {
+  readonly output: Output;
+  exitCode: number | null;
+}
+
+const withFiles = (command: Command): Command =>
+  command
+    .requiredOption('--settings <file>', "the platform's settings file (JSON)")
+    .option('--policy <file>', "the operators' own settings");
+
+const withServer = (command: Command): Command =>
+  command.option(
+    '--server <host:port>',
+    'a controller (default: ROWANFERRY_SERVER)',
+    address,
+    process.env['ROWANFERRY_SERVER'] ?? '127.0.0.1:8080',
+  );
+
+/** The commands that run on files alone: `serve` and `check`. */
+function addFileCommands(program: Command, invocation: Invocation): void {
+  withFiles(program.command('serve').description('run a controller')).action((options: FileOptions) => {
     serve(options);
-    code = null;
+    invocation.exitCode = null;
   });
-  withFiles(command('check', 'look for faults in settings and policy'))
+  withFiles(program.command('check').description('look for faults in settings and policy'))
     .option('--machines <count>', 'whether the memory quota suffices for so many machines', machineCount)
     .action((options: CheckOptions) => {
-      code = check(options, output);
+      invocation.exitCode = check(options, invocation.output);
     });
-  const submit = withServer(command('submit <file>', 'submit the job that a JSON file describes'));
+}
+
+/** The commands that send one request to a controller. */
+function addUserCommands(program: Command, invocation: Invocation): void {
+  const add = (name: string, description: string): Command =>
+    withServer(program.command(name).description(description));
+  const client = (command: Command): Client =>
+    new Client(command.opts<{ server: string }>().server, invocation.output);
+
+  const submit = add('submit <file>', 'submit the job that a JSON file describes');
   submit.action(async (file: string) => {
-    code = await client(submit).submit(readDocument(file));
+    invocation.exitCode = await client(submit).submit(readDocument(file));
   });
-  const show = withServer(command('show <id>', 'show a job')).option(
-    '--follow',
-    'until it is done or withdrawn',
-  );
+  const show = add('show <id>', 'show a job').option('--follow', 'until it is done or withdrawn');
   show.action(async (id: string, { follow }: { follow?: boolean }) => {
-    code = await client(show).show(id, follow === true);
+    invocation.exitCode = await client(show).show(id, follow === true);
   });
-  const withdraw = withServer(command('withdraw <id>', 'cancel a job'));
-  withdraw.action(async (id: string) => {
-    code = await client(withdraw).cancel(id);
+  // `withdraw` is the earlier name of the command, which scripts of users call.
+  const cancel = add('cancel <id>', 'cancel a job').alias('withdraw');
+  cancel.action(async (id: string) => {
+    invocation.exitCode = await client(cancel).cancel(id);
   });
-  const status = withServer(command('status', "show a controller's view of the service"));
+  const status = add('status', "show a controller's view of the service");
   status.action(async () => {
-    code = await client(status).status();
+    invocation.exitCode = await client(status).status();
   });
+}
+
+/** Reports an error of the caller; the result is the exit code. Other errors are thrown on. */
+function reportError(error: unknown, output: Output): number {
+  if (error instanceof CommanderError) {
+    if (error.exitCode === 0) return EXIT_OK;
+    output.err(`rowanferry: ${error.message.replace(/^error: /, '').replaceAll('\n', ' ')}`);
+    return EXIT_WRONG_USE;
+  }
+  if (error instanceof SettingsError || error instanceof PolicyError) {
+    output.err(`rowanferry: ${error.message}`);
+    return EXIT_WRONG_USE;
+  }
+  throw error;
+}
 
+/** Runs the command line; the result is the exit code, or `null` while a controller goes on. */
+export async function main(args: readonly string[], output: Output = standardOutput): Promise<number | null> {
+  const invocation: Invocation = { output, exitCode: EXIT_OK };
+  const program = new Command('rowanferry')
+    .description('a fault-tolerant cluster scheduler with EASY backfilling')
+    .version(VERSION)
+    .exitOverride()
+    .configureOutput({ writeOut: (text) => output.out(text.trimEnd()), writeErr: () => undefined });
+  addFileCommands(program, invocation);
+  addUserCommands(program, invocation);
   try {
     await program.parseAsync([...args], { from: 'user' });
   } catch (error) {
-    if (error instanceof CommanderError) {
-      if (error.exitCode === 0) return 0;
-      output.err(`rowanferry: ${error.message.replace(/^error: /, '').replaceAll('\n', ' ')}`);
-      return 2;
-    }
-    if (error instanceof SettingsError || error instanceof PolicyError) {
-      output.err(`rowanferry: ${error.message}`);
-      return 2;
-    }
-    throw error;
+    return reportError(error, output);
   }
-  return code;
+  return invocation.exitCode;
 }
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -13,13 +13,15 @@
 
 interface Figure {
   readonly scope: Scope;
+  /** Bounds of the figure, inclusive, in its own unit. */
   readonly min: number;
   readonly max: number;
-  /** The measured default. */
+  /** The default expression. */
   readonly source: string;
 }
 
 const DAY_S = 86_400;
+const MS_PER_S = 1000;
 
 /** Every figure that a policy may set. */
 export const FIGURES = {
@@ -34,12 +36,13 @@
     scope: 'cluster',
     min: 1,
     max: 1_000_000_000,
-    // A leader on a whole core hears some 2,100 reports a second (0.47 ms each): from 0.8 of that it shares them.
+    // 0.8 of the heartbeats per second that a leader can process on one whole core.
     source: 'controllers < 2.0 ? 1000000000.0 : 1700.0 * report_s * cpu_quota',
   },
   headroom_memory_s: { scope: 'cluster', min: 1, max: DAY_S, source: '20.0 * lease_s' },
 } as const satisfies Record<string, Figure>;
 
+/** The name of a figure, as in the policy file. */
 export type FigureName = keyof typeof FIGURES;
 
 const NAMES = Object.keys(FIGURES) as FigureName[];
@@ -84,19 +87,23 @@
   return made;
 }
 
+/** A fault in a policy text; line and column count from 1. */
 export interface PolicyFault {
   readonly line: number;
   readonly column: number;
   readonly reason: string;
 }
 
+/** A policy that cannot be used. */
 export class PolicyError extends Error {}
 
+/** A fault as `line:column: reason`. */
 export const formatFault = ({ line, column, reason }: PolicyFault): string => `${line}:${column}: ${reason}`;
 
-type Evaluate = (values: Values) => number;
+export type Evaluate = (values: Values) => number;
 
-interface Compiled {
+/** A compiled expression and the line that it stands on. */
+export interface Compiled {
   readonly evaluate: Evaluate;
   readonly line: number;
 }
@@ -138,47 +145,51 @@
   };
 }
 
-/** Cases that a checked expression must answer with a figure in its range. */
-function samples(scope: Scope, settings: PlatformSettings): Values[] {
+/** Values that a checked expression must give a figure in its range for. */
+function sampleValues(scope: Scope, settings: PlatformSettings): Values[] {
   const cluster = clusterValues(settings);
   if (scope === 'cluster') return [cluster];
-  const found: Values[] = [];
-  if (scope === 'machine') {
-    for (const boot_s of [1, 60, 600]) {
-      for (const spot of [true, false]) {
-        found.push({ ...cluster, machine_type: 'any', type_cores: 32, price: 1, boot_s, spot });
-      }
-    }
-    return found;
-  }
-  const classes = new Set(settings.cluster.objectives.flatMap((aim) => aim.class ?? []));
-  for (const job_class of [...classes, 'any']) {
-    for (const priority of PRIORITY_NAMES) {
-      for (const estimate_s of [0, 1, 60, 10_000]) {
-        for (const size of [1, 64]) {
-          found.push({
-            ...cluster,
-            job_class,
-            priority,
-            cores: size,
-            gpus: size - 1,
-            memory_gb: size,
-            image_gb: size - 1,
-            tasks: size,
-            estimate_s,
-            deadline_s: 2 * estimate_s,
-            checkpoint_s: estimate_s / 10,
-          });
-        }
-      }
-    }
-  }
-  return found;
+  const samples = scope === 'machine' ? sampleMachines() : sampleJobs(settings);
+  return samples.map((sample) => ({ ...cluster, ...sample }));
+}
+
+function sampleMachines(): Values[] {
+  const samples: Values[] = [];
+  for (const boot_s of [1, 60, 600])
+    for (const spot of [true, false])
+      samples.push({ machine_type: 'any', type_cores: 32, price: 1, boot_s, spot });
+  return samples;
+}
+
+function sampleJobs(settings: PlatformSettings): Values[] {
+  const samples: Values[] = [];
+  const classes = new Set(settings.cluster.objectives.flatMap((objective) => objective.class ?? []));
+  for (const job_class of [...classes, 'any'])
+    for (const priority of PRIORITY_NAMES)
+      for (const estimate_s of [0, 1, 60, 10_000])
+        for (const size of [1, 64]) samples.push(sampleJob(job_class, priority, estimate_s, size));
+  return samples;
 }
 
+const sampleJob = (job_class: string, priority: string, estimate_s: number, size: number): Values => ({
+  job_class,
+  priority,
+  cores: size,
+  gpus: size - 1,
+  memory_gb: size,
+  image_gb: size - 1,
+  tasks: size,
+  estimate_s,
+  deadline_s: 2 * estimate_s,
+  checkpoint_s: estimate_s / 10,
+});
+
 const inRange = ({ min, max }: Figure, value: number): boolean =>
   Number.isFinite(value) && value >= min && value <= max;
 
+const firstLine = (text: string): string => text.split('\n')[0] ?? '';
+
+/** A fault at the place that an error of the expression language names. */
 function faultOf(error: unknown, line: number, column: number): PolicyFault {
   const { message, node, range } = error as {
     message?: string;
@@ -186,124 +197,169 @@
     range?: { start?: number };
   };
   const at = node?.pos ?? range?.start ?? 0;
-  return { line, column: column + at, reason: (message ?? String(error)).split('\n')[0] ?? '' };
+  return { line, column: column + at, reason: firstLine(message ?? String(error)) };
 }
 
+/**
+ * Compiles one expression.
+ * @throws the expression language's own error if it does not parse or check, {@link PolicyError} if it is no number.
+ */
 function compile(figure: Figure, source: string): Evaluate {
   const expression = environment(figure.scope).parse(source);
   const checked = expression.check();
-  if (!checked.valid) throw checked.error ?? new Error('does not type-check');
+  if (!checked.valid) throw checked.error ?? new PolicyError('does not type-check');
   if (checked.type !== 'double' && checked.type !== 'int') {
-    throw new Error(`is a ${String(checked.type)}, where a number is needed`);
+    throw new PolicyError(`is a ${String(checked.type)}, where a number is needed`);
   }
   return (values) => Number(expression(values));
 }
 
+/** A sound policy's expressions, and every fault of its text. */
+export interface PolicyReading {
+  readonly expressions: Map<FigureName, Compiled>;
+  readonly faults: PolicyFault[];
+}
+
 /** Reads a policy: lines of `name = expression`; all faults are found, not just the first. */
-export function readPolicy(
-  text: string,
-  settings: PlatformSettings,
-): { expressions: Map<FigureName, Compiled>; faults: PolicyFault[] } {
-  const expressions = new Map<FigureName, Compiled>();
-  const faults: PolicyFault[] = [];
-  text.split('\n').forEach((raw, index) => {
-    const line = index + 1;
-    if (raw.trim() === '' || raw.trim().startsWith('#')) return;
-    const found = /^(\s*)([A-Za-z_]\w*)(\s*=\s*)(.*)$/.exec(raw);
-    if (found === null) {
-      faults.push({ line, column: 1, reason: 'expected `name = expression`' });
-      return;
-    }
-    const [, indent = '', name = '', equals = '', source = ''] = found;
-    if (!isFigure(name)) {
-      faults.push({ line, column: indent.length + 1, reason: `unknown figure ${name}` });
-      return;
-    }
-    if (expressions.has(name)) {
-      faults.push({ line, column: indent.length + 1, reason: `${name} is set twice` });
-      return;
-    }
-    const column = indent.length + name.length + equals.length + 1;
-    try {
-      const evaluate = compile(FIGURES[name], source);
-      const bad = samples(FIGURES[name].scope, settings)
-        .map(evaluate)
-        .find((value) => !inRange(FIGURES[name], value));
-      if (bad === undefined) expressions.set(name, { evaluate, line });
-      else {
-        const { min, max } = FIGURES[name];
-        faults.push({ line, column, reason: `${name} can be ${bad}, and must be ${min} to ${max}` });
-      }
-    } catch (error) {
-      faults.push(faultOf(error, line, column));
-    }
+export function readPolicy(text: string, settings: PlatformSettings): PolicyReading {
+  const reading: PolicyReading = { expressions: new Map(), faults: [] };
+  text.split('\n').forEach((source, index) => {
+    if (source.trim() === '' || source.trim().startsWith('#')) return;
+    readLine(source, index + 1, settings, reading);
   });
-  return { expressions, faults };
+  return reading;
 }
 
-/** The figures by which the core goes: the defaults, and what a sound policy puts in their place. */
-export function createPolicy(settings: PlatformSettings, text = '', log?: Log): SchedulingPolicy {
-  const { expressions, faults } = readPolicy(text, settings);
-  const [first] = faults;
-  if (first !== undefined) throw new PolicyError(formatFault(first));
-  const cluster = clusterValues(settings);
-  const defaults = new Map(NAMES.map((name) => [name, compile(FIGURES[name], FIGURES[name].source)]));
-  const told = new Set<FigureName>();
-
-  const figure = (name: FigureName, values: Values): number => {
-    const all = { ...cluster, ...values };
-    const own = expressions.get(name);
-    if (own !== undefined) {
-      let reason = 'out of range';
-      try {
-        const value = own.evaluate(all);
-        if (inRange(FIGURES[name], value)) return value;
-      } catch (error) {
-        reason = error instanceof Error ? (error.message.split('\n')[0] ?? '') : String(error);
-      }
-      if (!told.has(name))
-        log?.info({ figure: name, line: own.line, reason }, 'policy fault, the default serves');
-      told.add(name);
+/** Reads one line into the expressions or the faults. */
+function readLine(text: string, line: number, settings: PlatformSettings, reading: PolicyReading): void {
+  const { expressions, faults } = reading;
+  const match = /^(\s*)([A-Za-z_]\w*)(\s*=\s*)(.*)$/.exec(text);
+  if (match === null) {
+    faults.push({ line, column: 1, reason: 'expected `name = expression`' });
+    return;
+  }
+  const [, indent = '', name = '', equals = '', source = ''] = match;
+  const nameColumn = indent.length + 1;
+  if (!isFigure(name)) {
+    faults.push({ line, column: nameColumn, reason: `unknown figure ${name}` });
+    return;
+  }
+  if (expressions.has(name)) {
+    faults.push({ line, column: nameColumn, reason: `${name} is set twice` });
+    return;
+  }
+  const column = indent.length + name.length + equals.length + 1;
+  try {
+    const evaluate = compile(FIGURES[name], source);
+    const reason = rangeFault(name, evaluate, settings);
+    if (reason === null) expressions.set(name, { evaluate, line });
+    else faults.push({ line, column, reason });
+  } catch (error) {
+    faults.push(faultOf(error, line, column));
+  }
+}
+
+/** Why an expression is unsound on some sample; `null`: it is in its range on all of them. */
+function rangeFault(name: FigureName, evaluate: Evaluate, settings: PlatformSettings): string | null {
+  const { scope, min, max } = FIGURES[name];
+  const value = sampleValues(scope, settings)
+    .map(evaluate)
+    .find((sample) => !inRange(FIGURES[name], sample));
+  return value === undefined ? null : `${name} can be ${value}, and must be ${min} to ${max}`;
+}
+
+/** Evaluates figures: by the operators' expression where it gives a sound value, else by the default. */
+class PolicyEvaluator {
+  readonly #cluster: Values;
+  readonly #defaults: ReadonlyMap<FigureName, Evaluate>;
+  /** Figures whose fault has been logged; each is logged once. */
+  readonly #loggedFaults = new Set<FigureName>();
+
+  constructor(
+    settings: PlatformSettings,
+    private readonly expressions: ReadonlyMap<FigureName, Compiled>,
+    private readonly log?: Log,
+  ) {
+    this.#cluster = clusterValues(settings);
+    this.#defaults = new Map(NAMES.map((name) => [name, compile(FIGURES[name], FIGURES[name].source)]));
+  }
+
+  /** The value of a figure for these values of its scope's variables. */
+  evaluate(name: FigureName, values: Values): number {
+    const variables = { ...this.#cluster, ...values };
+    return this.#evaluateOwn(name, variables) ?? this.#defaults.get(name)?.(variables) ?? 0;
+  }
+
+  /** The value by the operators' expression; `null`: there is none, or it fails or is out of range. */
+  #evaluateOwn(name: FigureName, variables: Values): number | null {
+    const expression = this.expressions.get(name);
+    if (expression === undefined) return null;
+    let reason = 'out of range';
+    try {
+      const value = expression.evaluate(variables);
+      if (inRange(FIGURES[name], value)) return value;
+    } catch (error) {
+      reason = error instanceof Error ? firstLine(error.message) : String(error);
     }
-    return defaults.get(name)?.(all) ?? 0;
-  };
+    this.#logFault(name, expression.line, reason);
+    return null;
+  }
+
+  #logFault(name: FigureName, line: number, reason: string): void {
+    if (!this.#loggedFaults.has(name))
+      this.log?.info({ figure: name, line, reason }, 'policy fault, the default serves');
+    this.#loggedFaults.add(name);
+  }
 
-  // Each job is asked about once; what the core then does thousands of times is a look-up.
-  const perJob = (name: FigureName): ((job: JobSpec) => number) => {
+  /** The figure as a function of a job, evaluated once for each: the core asks thousands of times. */
+  perJob(name: FigureName): (job: JobSpec) => number {
     const known = new WeakMap<JobSpec, number>();
     return (job) => {
       let value = known.get(job);
       if (value === undefined) {
-        value = figure(name, jobValues(job));
+        value = this.evaluate(name, jobValues(job));
         known.set(job, value);
       }
       return value;
     };
-  };
-  const perType = (name: FigureName): ((type: MachineType, spot: boolean) => number) => {
+  }
+
+  /** The figure as a function of a machine type and of whether it is a spot machine, evaluated once for each. */
+  perMachineType(name: FigureName): (type: MachineType, spot: boolean) => number {
     const known = new WeakMap<MachineType, Map<boolean, number>>();
     return (type, spot) => {
       const values = known.get(type) ?? new Map<boolean, number>();
       known.set(type, values);
-      const value = values.get(spot) ?? figure(name, machineValues(type, spot));
+      const value = values.get(spot) ?? this.evaluate(name, machineValues(type, spot));
       values.set(spot, value);
       return value;
     };
-  };
+  }
+}
 
-  const multiplier = perJob('estimate_multiplier');
-  const allowance = perJob('overrun_allowance_s');
-  const bound = perJob('start_bound_s');
-  const hold = perType('idle_hold_s');
+/**
+ * The scheduling policy of the core: the defaults, and what a sound policy text sets in their place. A figure
+ * that cannot be evaluated later on is logged once and falls back to its default.
+ * @throws {PolicyError} if the text has a fault; the message tells the first.
+ */
+export function createPolicy(settings: PlatformSettings, text = '', log?: Log): SchedulingPolicy {
+  const { expressions, faults } = readPolicy(text, settings);
+  const [firstFault] = faults;
+  if (firstFault !== undefined) throw new PolicyError(formatFault(firstFault));
+  const evaluator = new PolicyEvaluator(settings, expressions, log);
+  const estimateMultiplier = evaluator.perJob('estimate_multiplier');
+  const overrunAllowanceS = evaluator.perJob('overrun_allowance_s');
+  const startBoundS = evaluator.perJob('start_bound_s');
+  const idleHoldS = evaluator.perMachineType('idle_hold_s');
   return {
-    expectedRunMs: (job) => job.estimateS * 1000 * multiplier(job),
-    overrunAllowanceMs: (job) => allowance(job) * 1000,
-    maxPlacementDelayMs: figure('placing_wait_s', {}) * 1000,
-    idleTimeoutMs: (type, spot) => hold(type, spot) * 1000,
-    maxWaitMs: (job) => bound(job) * 1000,
-    deadlineSlackShare: perJob('deadline_slack'),
-    headroomFactor: perJob('headroom'),
-    demandDecayMs: figure('headroom_memory_s', {}) * 1000,
-    sharedHeartbeatsMinMachines: figure('shared_reports_from', {}),
+    expectedRunMs: (job) => job.estimateS * MS_PER_S * estimateMultiplier(job),
+    overrunAllowanceMs: (job) => overrunAllowanceS(job) * MS_PER_S,
+    maxPlacementDelayMs: evaluator.evaluate('placing_wait_s', {}) * MS_PER_S,
+    idleTimeoutMs: (type, spot) => idleHoldS(type, spot) * MS_PER_S,
+    maxWaitMs: (job) => startBoundS(job) * MS_PER_S,
+    deadlineSlackShare: evaluator.perJob('deadline_slack'),
+    headroomFactor: evaluator.perJob('headroom'),
+    demandDecayMs: evaluator.evaluate('headroom_memory_s', {}) * MS_PER_S,
+    sharedHeartbeatsMinMachines: evaluator.evaluate('shared_reports_from', {}),
   };
 }
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,8 +1,10 @@
-/** The users' interface: job descriptions in, answers out. */
+/** Wire format of the users' interface: job descriptions in, answers out. The only place with its field names. */
 import type { FinalStage, JobForm, JobSpec, Priority } from '../core/types.js';
 import { asObject, isAmount, isCount, isFlag, isText } from '../core/values.js';
 
+/** The form of a job id. */
 export const JOB_ID = /^req-\d{1,18}$/;
+/** Tasks of one job, at most. */
 export const MAX_TASKS = 100_000;
 
 const PRIORITIES = new Map<unknown, Priority>([
@@ -18,96 +20,127 @@
   ['service', 'service'],
 ]);
 
+/** What a body holds, or why it is refused. */
 export type ParseResult<T> =
   { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
+/** A field that does not hold what the interface asks for; the message is the reason told to the user. */
 class InvalidFieldError extends Error {}
 
-/** Reads a submission; the reason names the first field at fault. */
-export function parseSubmission(body: unknown, now: number): ParseResult<JobSpec> {
-  const raw = asObject(body);
-  if (raw === null) return { ok: false, reason: 'the body must be a JSON object' };
-  const need = <T>(field: string, test: (value: unknown) => value is T, what: string): T => {
-    const value = raw[field];
-    if (!test(value)) throw new InvalidFieldError(`${field} must be ${what}`);
+/** Typed access to the fields of a submission; each method throws {@link InvalidFieldError}. */
+class SubmissionFields {
+  constructor(private readonly raw: Readonly<Record<string, unknown>>) {}
+
+  required<T>(field: string, test: (value: unknown) => value is T, expected: string): T {
+    const value = this.raw[field];
+    if (!test(value)) throw new InvalidFieldError(`${field} must be ${expected}`);
     return value;
+  }
+
+  optional<T>(field: string, test: (value: unknown) => value is T, expected: string): T | null {
+    const value = this.raw[field] ?? null;
+    if (value !== null && !test(value)) throw new InvalidFieldError(`${field} must be ${expected}`);
+    return value;
+  }
+
+  /** One of the names of an enumeration. */
+  choice<T>(field: string, values: ReadonlyMap<unknown, T>, expected: string): T {
+    const value = values.get(this.raw[field]);
+    if (value === undefined) throw new InvalidFieldError(`${field} must be ${expected}`);
+    return value;
+  }
+
+  text = (field: string): string => this.required(field, isText, 'a text');
+  flag = (field: string): boolean => this.required(field, isFlag, 'true or false');
+  amount = (field: string): number => this.required(field, isAmount, 'a number of at least 0');
+}
+
+const isTextList = (value: unknown): value is string[] => Array.isArray(value) && value.every(isText);
+
+const isJobIdList = (value: unknown): value is string[] =>
+  isTextList(value) && value.every((id) => JOB_ID.test(id));
+
+function parseJobId(fields: SubmissionFields): string {
+  const id = fields.required('nameId', isText, 'a job id');
+  if (!JOB_ID.test(id)) throw new InvalidFieldError('nameId must be of the form req-000000');
+  return id;
+}
+
+function parseTaskCount(fields: SubmissionFields): number {
+  const tasks = fields.required('movements', isCount, 'a whole number');
+  if (tasks < 1 || tasks > MAX_TASKS) throw new InvalidFieldError(`movements must be 1 to ${MAX_TASKS}`);
+  return tasks;
+}
+
+/** Reads the fields in the order in which faults are told: the first one at fault is named. */
+function parseJobSpec(fields: SubmissionFields, submittedAt: number): JobSpec {
+  const identity = {
+    id: parseJobId(fields),
+    jobClass: fields.text('repertoire'),
+    team: fields.text('crew'),
+    form: fields.choice('form', FORMS, 'array, ensemble or service'),
+    priority: fields.choice('urgency', PRIORITIES, 'prod, high, normal or best_effort'),
+    tasks: parseTaskCount(fields),
   };
-  const amount = (field: string): number => need(field, isAmount, 'a number of at least 0');
-  const optional = (field: string): unknown => raw[field] ?? null;
+  const types = fields.optional('benches', isTextList, 'null or a list of texts');
+  const zone = fields.optional('hall', isText, 'null or a text');
+  const deadlineS = fields.optional('curtainS', isAmount, 'null or a number');
+  const awaits = fields.optional('awaits', isJobIdList, 'null or a list of job ids') ?? [];
+  return {
+    ...identity,
+    cpus: fields.amount('cores'),
+    gpus: fields.amount('gpus'),
+    memoryGb: fields.amount('memGb'),
+    image: fields.text('edition'),
+    imageGb: fields.amount('pullGb'),
+    types,
+    zone,
+    oneZone: fields.flag('together'),
+    spread: fields.flag('apart'),
+    spot: fields.flag('borrowed'),
+    estimateS: fields.amount('expectedS'),
+    checkpointS: fields.amount('bookmarkS'),
+    saveS: fields.amount('bookmarkWriteS'),
+    deadlineS,
+    submittedAt,
+    ...(awaits.length === 0 ? {} : { awaits: [...new Set(awaits)] }),
+  };
+}
+
+/**
+ * Reads a submission; the reason of a refusal names the first field at fault.
+ * @param submittedAt Time of day, in milliseconds since the epoch.
+ */
+export function parseSubmission(body: unknown, submittedAt: number): ParseResult<JobSpec> {
+  const raw = asObject(body);
+  if (raw === null) return { ok: false, reason: 'the body must be a JSON object' };
   try {
-    const id = need('nameId', isText, 'a job id');
-    if (!JOB_ID.test(id)) throw new InvalidFieldError('nameId must be of the form req-000000');
-    const jobClass = need('repertoire', isText, 'a text');
-    const team = need('crew', isText, 'a text');
-    const form = FORMS.get(raw['form']);
-    if (form === undefined) throw new InvalidFieldError('form must be array, ensemble or service');
-    const priority = PRIORITIES.get(raw['urgency']);
-    if (priority === undefined)
-      throw new InvalidFieldError('urgency must be prod, high, normal or best_effort');
-    const tasks = need('movements', isCount, 'a whole number');
-    if (tasks < 1 || tasks > MAX_TASKS) throw new InvalidFieldError(`movements must be 1 to ${MAX_TASKS}`);
-    const types = optional('benches');
-    if (types !== null && !(Array.isArray(types) && types.every(isText))) {
-      throw new InvalidFieldError('benches must be null or a list of texts');
-    }
-    const zone = optional('hall');
-    if (zone !== null && !isText(zone)) throw new InvalidFieldError('hall must be null or a text');
-    const deadlineS = optional('curtainS');
-    if (deadlineS !== null && !isAmount(deadlineS))
-      throw new InvalidFieldError('curtainS must be null or a number');
-    const awaits = optional('awaits') ?? [];
-    if (!Array.isArray(awaits) || !awaits.every((name) => isText(name) && JOB_ID.test(name))) {
-      throw new InvalidFieldError('awaits must be null or a list of job ids');
-    }
-    return {
-      ok: true,
-      value: {
-        id,
-        jobClass,
-        team,
-        form,
-        priority,
-        tasks,
-        cpus: amount('cores'),
-        gpus: amount('gpus'),
-        memoryGb: amount('memGb'),
-        image: need('edition', isText, 'a text'),
-        imageGb: amount('pullGb'),
-        types: types as string[] | null,
-        zone,
-        oneZone: need('together', isFlag, 'true or false'),
-        spread: need('apart', isFlag, 'true or false'),
-        spot: need('borrowed', isFlag, 'true or false'),
-        estimateS: amount('expectedS'),
-        checkpointS: amount('bookmarkS'),
-        saveS: amount('bookmarkWriteS'),
-        deadlineS,
-        submittedAt: now,
-        ...(awaits.length === 0 ? {} : { awaits: [...new Set(awaits as string[])] }),
-      },
-    };
+    return { ok: true, value: parseJobSpec(new SubmissionFields(raw), submittedAt) };
   } catch (error) {
     if (error instanceof InvalidFieldError) return { ok: false, reason: error.message };
     throw error;
   }
 }
 
-/** Awaited jobs that an answer names. */
+/** Dependencies that one answer lists at most. */
 const MAX_LISTED_DEPENDENCIES = 20;
 
+/** The stage of a job, as its user sees it. */
 export type JobStage = 'pending' | 'running' | FinalStage;
 
+/** A job as its user sees it. */
 export interface JobView {
   readonly id: string;
   readonly stage: JobStage;
   readonly done?: number;
   readonly running?: number;
-  /** Why tasks of it wait for a machine, if a leader has said. */
+  /** Why tasks of it wait for a machine, if a leader has reported it. */
   readonly waitReason?: string | undefined;
-  /** Jobs that it waits for, as far as this node knows. */
+  /** Dependencies that have not ended, as far as this node knows. */
   readonly awaits?: readonly string[];
 }
 
+/** The answer's body for a job. */
 export function encodeJobView(view: JobView): object {
   return {
     nameId: view.id,
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -1,5 +1,7 @@
 /** The command line, as its user sees it. */
 import { mkdtempSync, writeFileSync } from 'node:fs';
+import { createServer } from 'node:http';
+import type { AddressInfo } from 'node:net';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { expect, test } from 'vitest';
@@ -24,11 +26,26 @@
 test('help and version end well', async () => {
   const help = await run('--help');
   expect(help.code).toBe(0);
-  for (const verb of ['serve', 'check', 'submit', 'show', 'withdraw', 'status'])
+  for (const verb of ['serve', 'check', 'submit', 'show', 'cancel', 'withdraw', 'status'])
     expect(help.out.join()).toContain(verb);
   expect((await run('--version')).code).toBe(0);
 });
 
+test.each(['cancel', 'withdraw'])('%s asks the controller to cancel a job', async (command) => {
+  const paths: (string | undefined)[] = [];
+  const server = createServer((request, response) => {
+    paths.push(`${request.method} ${request.url}`);
+    response.end('{"nameId":"req-000001","stage":"withdrawn"}');
+  });
+  await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
+  const { port } = server.address() as AddressInfo;
+  const { code, out } = await run(command, 'req-000001', '--server', `127.0.0.1:${port}`);
+  server.close();
+  expect(code).toBe(0);
+  expect(out).toEqual(['{"nameId":"req-000001","stage":"withdrawn"}']);
+  expect(paths).toEqual(['POST /v2/runs/req-000001/withdraw']);
+});
+
 test.each([
   [['nonsense']],
   [['serve']],
