--- a/src/adapters/clock.ts
+++ b/src/adapters/clock.ts
@@ -1,22 +1,26 @@
-/** Time as the service sees it; tests put a clock of their own in its place. */
+/** Time and deferred calls. Everything outside the core reads time through a {@link Clock}; tests supply a virtual one. */
+
+/** A source of time. */
 export interface Clock {
-  /** Steady, in milliseconds. */
+  /** Monotonic time, in milliseconds from an arbitrary start. */
   monotonicMs(): number;
-  /** Time of day, in milliseconds. */
+  /** Time of day, in milliseconds since the Unix epoch. */
   epochMs(): number;
+  /** Resolves after so many milliseconds. */
   sleep(ms: number): Promise<void>;
-  /** Calls back once what is ready now has been dealt with. */
+  /** Calls back once the input that is ready now has been handled. */
   defer(call: () => void): void;
-  /** Begins to measure work; the call that ends it tells how long it took. */
+  /** Starts to measure work; the returned function ends the measurement. */
   startMeasuring(): () => WorkDuration;
 }
 
-/** Steady time and processor time of a piece of work, in milliseconds. */
+/** Elapsed and CPU time of a piece of work, in milliseconds. */
 export interface WorkDuration {
   readonly elapsedMs: number;
   readonly cpuMs: number;
 }
 
+/** The clock of the operating system. */
 export const systemClock: Clock = {
   monotonicMs: () => performance.now(),
   epochMs: () => Date.now(),
--- a/src/adapters/peer-links.ts
+++ b/src/adapters/peer-links.ts
@@ -1,4 +1,4 @@
-/** Links between controllers. Each node dials every other and tells it its status. */
+/** Links between controllers: each node dials every other one and sends it its status. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import type { Clock } from './clock.js';
 import { toldEvery } from '../membership/table.js';
@@ -8,9 +8,9 @@
 import type { IntakeMessage } from '../wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../wire/peers.js';
 
-/** A link on which more lies unsent is taken for one that does not move, unless single messages are large. */
+/** A link with more bytes unsent counts as stuck, unless single messages are large. */
 const MIN_UNSENT_BYTES = 256 * 1024;
-/** Messages as large as the largest so far that may lie unsent. */
+/** Messages of the largest size so far that may lie unsent. */
 const UNSENT_MESSAGES = 4;
 
 /** What has been written to other controllers since the start. */
@@ -19,6 +19,36 @@
   readonly sentBytes: number;
 }
 
+/** What the links need of the node that they belong to. */
+export interface PeerLinksOptions {
+  readonly settings: PlatformSettings;
+  readonly timing: Timing;
+  readonly clock: Clock;
+  readonly log: Log;
+  /** Counts messages that cannot be read. */
+  readonly malformed: Pick<EventCounter, 'count'>;
+  /** The node's status, as it is sent to the other controllers. */
+  status(): PeerStatus;
+  onStatus(status: PeerStatus): void;
+  /** What became of the link to a peer, each time that changes or is tried. */
+  onLink(node: string, link: Link): void;
+  onIntake(message: IntakeMessage): void;
+}
+
+/** A link that this node dialled. */
+interface DialledLink {
+  readonly node: string;
+  readonly socket: Socket;
+  isOpen: boolean;
+  isConnected: boolean;
+  /** How the link ends if it is closed now. */
+  outcome: Link;
+}
+
+/** Share of a worker's lease within which a connection has to be made. */
+const CONNECT_LEASE_SHARE = 0.5;
+
+/** One link to each other controller, dialled again whenever it ends, and those that the others dialled. */
 export class PeerLinks {
   #sentMessages = 0;
   #sentBytes = 0;
@@ -30,22 +60,12 @@
   readonly #openLinks = new Map<string, Socket>();
   #lastBroadcastAt = -Infinity;
 
-  constructor(
-    private readonly settings: PlatformSettings,
-    private readonly timing: Timing,
-    private readonly clock: Clock,
-    private readonly log: Log,
-    private readonly status: () => PeerStatus,
-    private readonly onStatus: (status: PeerStatus) => void,
-    /** What became of the link to a peer, each time that changes or is tried. */
-    private readonly onLink: (node: string, link: Link) => void,
-    private readonly malformed: Pick<EventCounter, 'count'>,
-    private readonly onIntake: (message: IntakeMessage) => void,
-  ) {
-    this.#names = new Set(settings.others.map((other) => other.host_name));
+  constructor(private readonly options: PeerLinksOptions) {
+    this.#names = new Set(options.settings.others.map((other) => other.host_name));
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
+  /** Messages and bytes written since the start. */
   get traffic(): PeerTraffic {
     return { sentMessages: this.#sentMessages, sentBytes: this.#sentBytes };
   }
@@ -62,11 +82,13 @@
     socket.write(frame);
   }
 
+  /** Listens for the other controllers and dials them. */
   start(): void {
-    const { host, port } = parseAddress(this.settings.peer_bind);
-    this.#server.on('error', (error) => this.log.error({ error: error.message }, 'peer port'));
+    const { host, port } = parseAddress(this.options.settings.peer_bind);
+    this.#server.on('error', (error) => this.options.log.error({ error: error.message }, 'peer port'));
     this.#server.listen(port, host);
-    for (const { host_name, peer_addr } of this.settings.others) void this.#dial(host_name, peer_addr);
+    for (const { host_name, peer_addr } of this.options.settings.others)
+      void this.#dial(host_name, peer_addr);
   }
 
   #accept(socket: Socket): void {
@@ -77,14 +99,14 @@
     }
     this.#accepted.add(socket);
     const reader = new StatusReader((message) => {
-      if (this.#names.has(message.node)) this.onIntake(message);
+      if (this.#names.has(message.node)) this.options.onIntake(message);
     });
-    socket.setTimeout(4 * this.timing.workerLeaseMs, () => socket.destroy());
+    socket.setTimeout(4 * this.options.timing.workerLeaseMs, () => socket.destroy());
     socket.on('data', (part) => {
       try {
         for (const status of reader.push(part)) this.#receiveStatus(status);
       } catch {
-        this.malformed.count('peer messages');
+        this.options.malformed.count('peer messages');
         socket.destroy();
       }
     });
@@ -93,19 +115,19 @@
   }
 
   #receiveStatus(status: PeerStatus): void {
-    if (this.#names.has(status.node)) this.onStatus(status);
+    if (this.#names.has(status.node)) this.options.onStatus(status);
   }
 
-  /** Tells every peer at once what has changed, at most so often. */
+  /** Sends the status to every peer at once; calls within a quarter of a tick of the last are ignored. */
   broadcastStatus(): void {
-    const now = this.clock.monotonicMs();
-    if (now - this.#lastBroadcastAt < this.timing.tickMs / 4) return;
+    const now = this.options.clock.monotonicMs();
+    if (now - this.#lastBroadcastAt < this.options.timing.tickMs / 4) return;
     this.#lastBroadcastAt = now;
     for (const socket of this.#openLinks.values())
-      if (socket.writableLength === 0) this.#write(socket, encodeStatus(this.status()));
+      if (socket.writableLength === 0) this.#write(socket, encodeStatus(this.options.status()));
   }
 
-  /** Sends a message about shared reports; false: there is no link, or it does not take what is sent. */
+  /** Sends a message about shared heartbeats; false: there is no link, or too much lies unsent on it. */
   sendIntake(to: string, message: IntakeMessage): boolean {
     const socket = this.#openLinks.get(to);
     if (socket === undefined || socket.writableLength > this.#maxUnsentBytes) return false;
@@ -114,54 +136,68 @@
   }
 
   async #dial(node: string, address: string): Promise<void> {
+    const { clock, timing } = this.options;
     const { host, port } = parseAddress(address);
     let refusals = 0;
     for (;;) {
-      const how = await this.#holdLink(node, connect({ host, port, noDelay: true }));
-      refusals = how === 'refused' ? refusals + 1 : 0;
-      // A link that broke is tried again at once: whether it is refused then tells a crash from a cut.
-      if (how === 'lost') continue;
-      await this.clock.sleep(refusals === 1 ? this.timing.tickMs : 4 * this.timing.tickMs);
+      const outcome = await this.#holdLink(node, connect({ host, port, noDelay: true }));
+      refusals = outcome === 'refused' ? refusals + 1 : 0;
+      // A link that broke is dialled again at once: a refusal then tells a crash from a partition.
+      if (outcome === 'lost') continue;
+      await clock.sleep(refusals === 1 ? timing.tickMs : 4 * timing.tickMs);
     }
   }
 
-  /** Tells the status at every second tick, until the link breaks or stops taking it; how it ended. */
+  /** Sends the status at every second tick, until the link breaks or stops taking it; the result is how it ended. */
   async #holdLink(node: string, socket: Socket): Promise<Link> {
-    let open = true;
-    let connected = false;
-    let ended: Link = 'silent';
+    const { clock, timing } = this.options;
+    const link: DialledLink = { node, socket, isOpen: true, isConnected: false, outcome: 'silent' };
+    const closed = this.#trackLink(link);
+    socket.resume();
+    const dialledAt = clock.monotonicMs();
+    while (link.isOpen) {
+      this.#serviceLink(link, clock.monotonicMs() - dialledAt);
+      await Promise.race([closed, clock.sleep(toldEvery(timing))]);
+    }
+    return link.outcome;
+  }
+
+  /** Follows the socket's events; the result resolves once it is closed. */
+  #trackLink(link: DialledLink): Promise<void> {
+    const { node, socket } = link;
+    const { onLink } = this.options;
     socket.on('connect', () => {
-      connected = true;
-      ended = 'lost';
+      link.isConnected = true;
+      link.outcome = 'lost';
       this.#openLinks.set(node, socket);
-      this.onLink(node, 'up');
+      onLink(node, 'up');
     });
     socket.on('error', ({ code }: NodeJS.ErrnoException) => {
-      if (!connected && code === 'ECONNREFUSED') ended = 'refused';
+      if (!link.isConnected && code === 'ECONNREFUSED') link.outcome = 'refused';
       socket.destroy();
     });
-    const closed = new Promise<void>((resolve) => {
+    return new Promise<void>((resolve) => {
       socket.on('close', () => {
-        open = false;
+        link.isOpen = false;
         if (this.#openLinks.get(node) === socket) this.#openLinks.delete(node);
-        this.onLink(node, ended);
+        onLink(node, link.outcome);
         resolve();
       });
     });
-    socket.resume();
-    const started = this.clock.monotonicMs();
-    while (open) {
-      if (connected) {
-        if (socket.writableLength > 0 && this.clock.monotonicMs() - started > this.timing.workerLeaseMs) {
-          // What lies there unsent grows old; a link that moves again begins afresh.
-          if (socket.writableLength > this.#maxUnsentBytes) {
-            ended = 'silent';
-            socket.destroy();
-          }
-        } else this.#write(socket, encodeStatus(this.status()));
-      } else if (this.clock.monotonicMs() - started > 0.5 * this.timing.workerLeaseMs) socket.destroy();
-      await Promise.race([closed, this.clock.sleep(toldEvery(this.timing))]);
+  }
+
+  /** Sends the status, or closes a link that does not come up or does not move; `ageMs` counts from its dialling. */
+  #serviceLink(link: DialledLink, ageMs: number): void {
+    const { socket } = link;
+    const { status, timing } = this.options;
+    if (!link.isConnected) {
+      if (ageMs > CONNECT_LEASE_SHARE * timing.workerLeaseMs) socket.destroy();
+    } else if (socket.writableLength === 0 || ageMs <= timing.workerLeaseMs) {
+      this.#write(socket, encodeStatus(status()));
+    } else if (socket.writableLength > this.#maxUnsentBytes) {
+      // What lies unsent grows stale; a new link begins afresh.
+      link.outcome = 'silent';
+      socket.destroy();
     }
-    return ended;
   }
 }
--- a/src/cli/user-client.ts
+++ b/src/cli/user-client.ts
@@ -1,16 +1,20 @@
-/** The thin user verbs: one request to a controller, its answer on standard output. */
+/** The user commands: each sends a request to a controller and prints its answer. */
 import { HttpClient, type HttpResponse } from '../adapters/http-client.js';
 import { parseAddress } from '../config/settings.js';
 import { asObject } from '../core/values.js';
 
+/** Where lines are printed. */
 export interface Output {
   out(line: string): void;
   err(line: string): void;
 }
 
+/** Time that one request may take, in milliseconds. */
 const TIMEOUT_MS = 5000;
+/** Time between two requests of a job that is followed, in milliseconds. */
 const POLL_MS = 1000;
 
+/** Sends requests to one controller, each on a connection of its own. The methods resolve to an exit code. */
 export class Client {
   constructor(
     private readonly server: string,
@@ -24,7 +28,7 @@
     return answer;
   }
 
-  /** Prints an answer; the result is the exit code. */
+  /** Prints an answer; the result is the exit code: 0 for success, 1 for a refusal or no answer. */
   #print(answer: HttpResponse): number {
     if (answer.status === 0) {
       this.output.err(`rowanferry: no answer from ${this.server}`);
@@ -39,10 +43,12 @@
     return 1;
   }
 
+  /** Submits a job description. */
   async submit(job: unknown): Promise<number> {
     return this.#print(await this.#request('POST', '/v2/runs', JSON.stringify(job)));
   }
 
+  /** Shows a job; with `follow`, each change of it until it has ended. */
   async show(id: string, follow: boolean): Promise<number> {
     const path = `/v2/runs/${encodeURIComponent(id)}`;
     let last = '';
@@ -58,10 +64,12 @@
     }
   }
 
+  /** Cancels a job. */
   async cancel(id: string): Promise<number> {
     return this.#print(await this.#request('POST', `/v2/runs/${encodeURIComponent(id)}/withdraw`, '{}'));
   }
 
+  /** Shows the controller's status page. */
   async status(): Promise<number> {
     const answer = await this.#request('GET', '/status', null);
     if (answer.status !== 200) return this.#print(answer);
--- a/src/config/core-config.ts
+++ b/src/config/core-config.ts
@@ -1,9 +1,9 @@
-/** The rules that the core goes by, from the platform's settings and the operators' policy. */
+/** Builds the core's configuration from the platform's settings and the operators' policy. */
 import type { ClassObjectives, SchedulingPolicy, CoreConfig } from '../core/model.js';
 import { timing, type PlatformSettings } from './settings.js';
 import { initialLayout } from './record-layout.js';
 
-/** The aims of every class that some objective speaks of; any number of each kind. */
+/** The objectives of each job class that has any, sorted; times in milliseconds. */
 export function classObjectives(
   objectives: PlatformSettings['cluster']['objectives'],
 ): Map<string, ClassObjectives> {
@@ -25,6 +25,7 @@
   return aims;
 }
 
+/** The configuration of the scheduling core. */
 export function createCoreConfig(settings: PlatformSettings, policy: SchedulingPolicy): CoreConfig {
   const { cluster } = settings;
   return {
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,4 +1,4 @@
-/** The platform's settings file: its shape, and the figures the service derives from it. */
+/** The platform's settings file: its schema, and the limits and timings derived from it. The only place with its field names. */
 import { readFileSync } from 'node:fs';
 import * as v from 'valibot';
 import type { Timing } from '../core/timing.js';
@@ -61,9 +61,10 @@
   }),
 });
 
+/** A sound settings document, with the file's own names and units. */
 export type PlatformSettings = v.InferOutput<typeof settingsSchema>;
 
-/** What the state service allows: requests and changes a second, KiB a value, changes a transaction. */
+/** Limits of the key-value store: requests and writes per second, KiB per value, mutations per transaction. */
 export interface StoreLimits {
   readonly rps: number;
   readonly write_rps: number;
@@ -72,33 +73,36 @@
 }
 
 /**
- * The limits to keep to once every controller can: the smaller of those of today and those
- * to come. When these come is not announced.
+ * The limits kept once every controller can keep them: the smaller of the present and the announced ones,
+ * since the time at which the announced ones take effect is not known.
  */
 export function strictestLimits(settings: PlatformSettings): StoreLimits {
   const { state } = settings.cluster;
-  const least = (now: number, next: number | null | undefined): number => Math.min(now, next ?? now);
+  const smaller = (now: number, next: number | null | undefined): number => Math.min(now, next ?? now);
   return {
-    rps: least(state.rps, state.next?.rps),
-    write_rps: least(state.write_rps, state.next?.write_rps),
-    value_kb: least(state.value_kb, state.next?.value_kb),
-    txn_ops: least(state.txn_ops, state.next?.txn_ops),
+    rps: smaller(state.rps, state.next?.rps),
+    write_rps: smaller(state.write_rps, state.next?.write_rps),
+    value_kb: smaller(state.value_kb, state.next?.value_kb),
+    txn_ops: smaller(state.txn_ops, state.next?.txn_ops),
   };
 }
 
+/** An IP address or host name, and a port. */
 export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
+/** Splits `HOST:PORT`; the form is checked by the caller. */
 export function parseAddress(addr: string): Address {
   const at = addr.lastIndexOf(':');
   return { host: addr.slice(0, at), port: Number(addr.slice(at + 1)) };
 }
 
+/** A settings, policy or job file that cannot be read or is unsound; the message names the file or field. */
 export class SettingsError extends Error {}
 
-/** Every fault of a settings document, each as `field: reason`; empty when it is sound. */
+/** Every fault of a settings document, each as `field: reason`; empty if it is sound. */
 export function settingsFaults(document: unknown): string[] {
   const result = v.safeParse(settingsSchema, document);
   return result.success
@@ -106,29 +110,46 @@
     : result.issues.map((issue) => `${v.getDotPath(issue) ?? 'settings'}: ${issue.message}`);
 }
 
+/**
+ * Checks a settings document.
+ * @throws {SettingsError} on its first fault.
+ */
 export function parseSettings(document: unknown): PlatformSettings {
   const result = v.safeParse(settingsSchema, document);
   if (result.success) return result.output;
   throw new SettingsError(settingsFaults(document)[0] ?? 'settings: invalid');
 }
 
+/**
+ * Reads a file.
+ * @throws {SettingsError} if it cannot be read.
+ */
 export function readText(file: string): string {
   try {
     return readFileSync(file, 'utf8');
   } catch (error) {
-    throw new SettingsError(`${file}: ${error instanceof Error ? error.message : 'cannot be read'}`);
+    throw new SettingsError(`${file}: ${error instanceof Error ? error.message : 'cannot be read'}`, {
+      cause: error,
+    });
   }
 }
 
+/**
+ * Reads a JSON file.
+ * @throws {SettingsError} if it cannot be read or is not JSON.
+ */
 export function readDocument(file: string): unknown {
   const source = readText(file);
   try {
     return JSON.parse(source) as unknown;
   } catch (error) {
-    throw new SettingsError(`${file}: not JSON: ${error instanceof Error ? error.message : ''}`);
+    throw new SettingsError(`${file}: not JSON: ${error instanceof Error ? error.message : ''}`, {
+      cause: error,
+    });
   }
 }
 
+/** Timeouts and intervals of the service, as ratios of the settings' figures. */
 export function timing(settings: PlatformSettings): Timing {
   const { report_s, lease_s, cancel_s } = settings.cluster.workers;
   const lease = lease_s * 1000;
@@ -136,13 +157,12 @@
   return {
     leaderLeaseMs: Math.max(1000, 0.2 * lease),
     renewIntervalMs: Math.max(250, 0.05 * lease),
-    // A tenth of cancel_s is the margin for late timers, drifting clocks and the
-    // worker's own reaction.
+    // A tenth of cancel_s is the margin for late timers, clock drift and the worker's own reaction.
     authorityWindowMs: Math.max(0, (0.9 * cancel_s - lease_s) * 1000),
     workerLeaseMs: lease,
     maxHeartbeatIntervalMs: 1.25 * report,
     silenceTimeoutMs: lease + 1.25 * report,
-    // Longer than a worker takes to try its other nodes after one left it without answer.
+    // Longer than a worker takes to try its other controllers after one did not answer.
     shortSilenceTimeoutMs: 0.5 * lease + 1.25 * report,
     cancelTimeoutMs: cancel_s * 1000,
     watchTimeoutMs: 0.1 * lease,
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,4 @@
-/** rowanferry as a library. */
+/** Public interface of rowanferry as a library. */
 export { ControllerNode, type Ports } from './controller/node.js';
 export { startService } from './service.js';
 export { parseSettings, settingsFaults, SettingsError, type PlatformSettings } from './config/settings.js';
--- a/src/launch.ts
+++ b/src/launch.ts
@@ -1,7 +1,7 @@
 /**
- * Starts the program with the code that V8 compiled at the build: compiling 2 MB anew took a node with a
- * twelfth of a core a second of each start. Code of another version of Node.js, or of other flags, is
- * refused by V8, and compiled as usual.
+ * Entry point as deployed: starts the program with the code cache that the build wrote, since compiling the
+ * bundle delays the start of a controller with a small share of a core. V8 refuses a cache of another version
+ * of Node.js or of other flags; the program is then compiled as usual.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -10,24 +10,24 @@
 type Program = (load: NodeJS.Require, module: NodeJS.Module, exports: unknown) => void;
 
 const filename = join(__dirname, 'program.cjs');
-const kept = `${filename}.code`;
+const cacheFile = `${filename}.code`;
 
-function keptCode(): Buffer | undefined {
+function readCodeCache(): Buffer | undefined {
   try {
-    return readFileSync(kept);
+    return readFileSync(cacheFile);
   } catch {
     return undefined;
   }
 }
 
 const source = `(function (require, module, exports) {${readFileSync(filename, 'utf8')}\n})`;
-const cachedData = keptCode();
+const cachedData = readCodeCache();
 const script = new Script(source, cachedData === undefined ? { filename } : { filename, cachedData });
-// Only the build sets it, to milliseconds: what has been called by then is kept along with the rest.
-const keepAfter = Number(process.env['ROWANFERRY_KEEP_CODE'] ?? 0);
-if (keepAfter > 0)
+// Set by the build alone, in milliseconds: functions that were called by then are part of the cache.
+const writeCacheAfterMs = Number(process.env['ROWANFERRY_KEEP_CODE'] ?? 0);
+if (writeCacheAfterMs > 0)
   setTimeout(() => {
-    writeFileSync(kept, script.createCachedData());
+    writeFileSync(cacheFile, script.createCachedData());
     process.exit(0);
-  }, keepAfter);
+  }, writeCacheAfterMs);
 (script.runInThisContext() as Program)(require, module, exports);
--- a/src/observability/latency.ts
+++ b/src/observability/latency.ts
@@ -1,11 +1,14 @@
-/** How long requests take, by kind; bounded histograms for the status page. */
+/** Latency of requests by kind, in bounded histograms, for the status page. */
 import { build, type Histogram } from 'hdr-histogram-js';
 
+/** Longer requests are counted as this long, in milliseconds. */
 const MAX_TRACKED_MS = 60_000;
 
+/** One histogram for each kind of request. */
 export class LatencyHistograms {
   readonly #kinds = new Map<string, Histogram>();
 
+  /** Records a request that took so many milliseconds. */
   record(kind: string, ms: number): void {
     let histogram = this.#kinds.get(kind);
     if (histogram === undefined) {
@@ -19,6 +22,7 @@
     histogram.recordValue(Math.min(MAX_TRACKED_MS, Math.max(1, Math.round(ms))));
   }
 
+  /** Count, percentiles and maximum in milliseconds, by kind. */
   describe(): Record<string, object> {
     const found: Record<string, object> = {};
     for (const [kind, histogram] of this.#kinds) {
--- a/src/observability/logging.ts
+++ b/src/observability/logging.ts
@@ -1,19 +1,21 @@
-/** Logs on standard error, in the amount that LOG_LEVEL asks for. */
+/** Structured logging to standard error, at the level that `LOG_LEVEL` sets. */
 import pinoModule, { pino, type Logger } from 'pino';
 
+/** The logger of the process. */
 export type Log = Logger;
 
 const LEVELS = new Set(['error', 'info', 'debug']);
 
-/** Counts what may come in floods, so that one line tells of many. */
+/** Counts frequent events, so that one log line reports many of them. */
 export class EventCounter {
   readonly #counts = new Map<string, number>();
 
+  /** Counts one event of this kind. */
   count(what: string): void {
     this.#counts.set(what, (this.#counts.get(what) ?? 0) + 1);
   }
 
-  /** Logs what has been counted since it last did, if anything. */
+  /** Logs the counts since the last call, if there are any, and resets them. */
   flush(log: Log, event: string): void {
     if (this.#counts.size === 0) return;
     log.info(Object.fromEntries(this.#counts), event);
@@ -21,6 +23,7 @@
   }
 }
 
+/** A logger at this level; `info` if it is none of error, info and debug. */
 export function createLog(level: string | undefined): Log {
   return pino(
     { level: level !== undefined && LEVELS.has(level) ? level : 'info', base: null, timestamp: false },
--- a/src/observability/memory.ts
+++ b/src/observability/memory.ts
@@ -8,15 +8,14 @@
 /** Resident memory of a controller without machines, in MB. */
 const BASE_MEMORY_MB = 60;
 /**
- * Resident memory that each machine adds, in MB. With 4,000 hollow workers and 19,500 tasks a leader took
- * 188 MB, with 6,000 workers 235 MB.
+ * Resident memory that each machine adds, in MB, with its share of tasks; measured with 4,000 and 6,000 machines.
  */
 const MEMORY_MB_PER_MACHINE = 0.032;
 /** Share of the quota from which on caches are dropped. */
 const NEAR_QUOTA_SHARE = 0.85;
-/** Time between two looks, in milliseconds. */
+/** Time between two checks, in milliseconds. */
 const CHECK_INTERVAL_MS = 1000;
-/** Warnings of one kind are at least so far apart, in milliseconds. */
+/** Minimum time between two warnings of one kind, in milliseconds. */
 const WARNING_INTERVAL_MS = 60_000;
 const BYTES_PER_MB = 1024 * 1024;
 
@@ -24,14 +23,14 @@
 export const estimatedMemoryMb = (machines: number): number =>
   Math.ceil(BASE_MEMORY_MB + MEMORY_MB_PER_MACHINE * machines);
 
-/** What is wrong with a memory quota for so many machines; null: it suffices by the estimate. */
+/** Why a memory quota is too small for so many machines; `null`: it suffices by the estimate. */
 export function memoryQuotaFault(quotaMb: number, machines: number): string | null {
   const estimateMb = estimatedMemoryMb(machines);
   if (estimateMb <= quotaMb) return null;
   return `cluster.quota.ram_mb: ${quotaMb} is too small for ${machines} machines, which need an estimated ${estimateMb}`;
 }
 
-/** What the watch needs of the process and of the node. */
+/** What the monitor needs of the process and of the node. */
 export interface MemoryContext {
   readonly clock: Clock;
   readonly log: Pick<Log, 'warn'>;
@@ -44,12 +43,14 @@
   dropCaches(): void;
 }
 
+/** Compares resident memory with the quota, drops caches near it, and warns. */
 export class MemoryMonitor {
   #warnedNearAt = -Infinity;
   #warnedSmallAt = -Infinity;
 
   constructor(private readonly context: MemoryContext) {}
 
+  /** Checks for as long as the process lives. */
   async run(): Promise<void> {
     for (;;) {
       this.check();
@@ -57,7 +58,7 @@
     }
   }
 
-  /** Looks once; caches are dropped no more often than is warned of it, for reading them again has its cost. */
+  /** Checks once. Caches are dropped no more often than warnings are logged, since refilling them has its cost. */
   check(): void {
     this.#checkUse();
     this.#checkQuota();
--- a/src/observability/status-page.ts
+++ b/src/observability/status-page.ts
@@ -1,11 +1,14 @@
-/** The operators' view of a controller: one object, bounded in size. */
+/** The leader's part of the status page: one object, bounded in size. Field names are the page's own. */
 import { freeResources, isFaultyJob, waitingJobs } from '../core/placement/index.js';
 import { isReady, waitingTasks } from '../core/jobs/index.js';
 import { taskKey, type Machine, type Now } from '../core/model.js';
 import type { CoreState } from '../core/state.js';
 
 const MAX_LISTED_MACHINES = 100;
+/** Entries that any other list of the page holds at most. */
+const MAX_LISTED = 10;
 
+/** The stage of a machine, in the page's words. */
 function stageOf(machine: Machine): string {
   if (machine.terminationReason !== null) return 'leaving';
   if (machine.reclaimedAt !== null) return 'being taken';
@@ -30,20 +33,20 @@
   };
 }
 
-/** Jobs that wait for others, and for which. */
+/** Jobs whose dependencies have not ended, and the dependencies. */
 function describeWaiting(state: CoreState): object {
   const waiting = [...state.jobs.values()].filter((job) => job.finalStage === null && !isReady(job));
   return {
     jobs: waiting.length,
-    first: waiting.slice(0, 10).map(({ spec, pendingDependencies }) => ({
+    first: waiting.slice(0, MAX_LISTED).map(({ spec, pendingDependencies }) => ({
       id: spec.id,
-      awaits: [...pendingDependencies].slice(0, 10),
+      awaits: [...pendingDependencies].slice(0, MAX_LISTED),
       of: pendingDependencies.size,
     })),
   };
 }
 
-/** What only a leader knows: the queue, its head, the machines and what they cost. */
+/** What only the leader knows: the queue, its head's reservation, the teams' usage, the machines and their price per hour. */
 export function describeLeaderView(state: CoreState, now: Now): object {
   const queue = waitingJobs(state, now);
   const { head } = state;
@@ -56,7 +59,7 @@
     queue: {
       jobs: queue.length,
       tasks: queue.reduce((sum, job) => sum + waitingTasks(job), 0),
-      first: queue.slice(0, 10).map(({ spec }) => spec.id),
+      first: queue.slice(0, MAX_LISTED).map(({ spec }) => spec.id),
     },
     waiting: describeWaiting(state),
     head:
@@ -66,13 +69,15 @@
             job: head.job,
             why: head.reason,
             shadowInMs: head.shadowTime === null ? null : Math.round(head.shadowTime - now.monotonicMs),
-            reservedOn: head.machines.slice(0, 10),
+            reservedOn: head.machines.slice(0, MAX_LISTED),
           },
     promised: state.reservedJobs.map(({ spec }) => spec.id),
-    beingStopped: [...state.preemptedClaims].slice(0, 10).map(({ job, task }) => taskKey(job.spec.id, task)),
+    beingStopped: [...state.preemptedClaims]
+      .slice(0, MAX_LISTED)
+      .map(({ job, task }) => taskKey(job.spec.id, task)),
     atFault: [...state.jobs.values()]
       .filter((job) => job.finalStage === null && isFaultyJob(job))
-      .slice(0, 10)
+      .slice(0, MAX_LISTED)
       .map(({ spec, failedMachines, retryAt }) => ({
         id: spec.id,
         failedOn: failedMachines.size,
--- a/src/service.ts
+++ b/src/service.ts
@@ -1,4 +1,4 @@
-/** A controller as a process: a node with its ports on the network. */
+/** Composition root of a controller process: a node with its adapters on the network. */
 import { randomUUID } from 'node:crypto';
 import { HttpCloud } from './adapters/cloud.js';
 import { PeerLinks } from './adapters/peer-links.js';
@@ -12,6 +12,7 @@
 import { ControllerNode } from './controller/node.js';
 import { parseAddress, timing, type PlatformSettings } from './config/settings.js';
 
+/** Starts a controller that runs until the process ends. Faults of its ports are logged. */
 export function startService(settings: PlatformSettings, policy: SchedulingPolicy, log: Log): void {
   const clock = systemClock;
   const times = timing(settings);
@@ -28,21 +29,21 @@
     policy,
     incarnation: randomUUID(),
   });
-  const server = createPublicServer(node, settings.cluster.quota.sockets);
+  const server = createPublicServer(node, settings.cluster.quota.sockets, log);
   const { host, port } = parseAddress(settings.public_addr);
   server.on('error', (error) => log.error({ error: error.message }, 'public port'));
   server.listen(port, host);
-  const peers = new PeerLinks(
+  const peers = new PeerLinks({
     settings,
-    times,
+    timing: times,
     clock,
     log,
-    () => node.status(),
-    (status) => node.onPeer(status),
-    (name, link) => node.onLink(name, link),
-    node.malformed,
-    (message) => node.onIntake(message),
-  );
+    malformed: node.malformed,
+    status: () => node.status(),
+    onStatus: (status) => node.onPeer(status),
+    onLink: (name, link) => node.onLink(name, link),
+    onIntake: (message) => node.onIntake(message),
+  });
   node.tellPeers = () => peers.broadcastStatus();
   node.sendIntake = (to, message) => peers.sendIntake(to, message);
   node.peerTraffic = () => peers.traffic;
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -4,7 +4,7 @@
 import { afterAll, beforeAll, expect, test } from 'vitest';
 import { HttpClient, type HttpResponse } from '../src/adapters/http-client.js';
 import { Admission } from '../src/adapters/admission.js';
-import { createPublicServer } from '../src/adapters/public-server.js';
+import { createPublicServer, type PublicApi } from '../src/adapters/public-server.js';
 import { UserRequests } from '../src/adapters/user-requests.js';
 import { systemClock } from '../src/adapters/clock.js';
 import { parseHeartbeat } from '../src/wire/workers.js';
@@ -46,19 +46,17 @@
   types: () => types,
   counts: () => null,
 });
-const server: Server = createPublicServer(
-  {
-    users,
-    report: (body, done) =>
-      parseHeartbeat(body) === null ? done(400, '{"error":"malformed report"}') : done(200, '{}'),
-    ready: () => true,
-    describe: () => ({ fine: true }),
-    latencies: { record: () => undefined },
-    admission: new Admission(systemClock, 100),
-    malformed: { count: (what) => malformed.push(what) },
-  },
-  100,
-);
+const api: PublicApi = {
+  users,
+  report: (body, done) =>
+    parseHeartbeat(body) === null ? done(400, '{"error":"malformed report"}') : done(200, '{}'),
+  ready: () => true,
+  describe: () => ({ fine: true }),
+  latencies: { record: () => undefined },
+  admission: new Admission(systemClock, 100),
+  malformed: { count: (what) => malformed.push(what) },
+};
+const server: Server = createPublicServer(api, 100);
 const malformed: string[] = [];
 let client: HttpClient;
 beforeAll(async () => {
@@ -279,3 +277,26 @@
   now += 2000;
   expect(enter('show', 1)).toEqual([null]);
 });
+
+test.each([
+  ['GET', '/v2/runs/req-000001'],
+  ['POST', '/v2/runs/req-000001/withdraw'],
+])('%s %s that fails gets 503, and its cause is logged', async (method, path) => {
+  const logged: object[] = [];
+  const fail = (): Promise<never> => Promise.reject(new RangeError('cause of the failure'));
+  const failing = createPublicServer(
+    { ...api, users: { ...users, submit: fail, show: fail, cancel: fail } },
+    100,
+    {
+      error: (fields: object, event?: string) => logged.push({ ...fields, event }),
+    },
+  );
+  await new Promise<void>((resolve) => failing.listen(0, '127.0.0.1', resolve));
+  const { port } = failing.address() as AddressInfo;
+  const own = new HttpClient({ host: '127.0.0.1', port }, 1);
+  expect((await own.request(method, path, null, 5000)).status).toBe(503);
+  expect(logged).toMatchObject([{ error: 'RangeError: cause of the failure', event: 'request failed' }]);
+  own.close();
+  failing.close();
+  failing.closeAllConnections();
+});
