--- a/src/controller/failure-detector.ts
+++ b/src/controller/failure-detector.ts
@@ -75,10 +75,10 @@
   /** A worker of the present leader has reported here without having been redirected. */
   recordUnexpectedReport(machine: string): void {
     this.membership.recordUnexpectedReport(machine, this.#now);
-    const strays = this.membership.unexpectedReports(this.#now);
-    if (strays < MIN_UNEXPECTED_REPORTS) this.#announcedReports = 0;
-    if (strays < Math.max(MIN_UNEXPECTED_REPORTS, 2 * this.#announcedReports)) return;
-    this.#announcedReports = strays;
+    const reports = this.membership.unexpectedReports(this.#now);
+    if (reports < MIN_UNEXPECTED_REPORTS) this.#announcedReports = 0;
+    if (reports < Math.max(MIN_UNEXPECTED_REPORTS, 2 * this.#announcedReports)) return;
+    this.#announcedReports = reports;
     this.actions.broadcastStatus();
     this.#assess();
   }
@@ -205,9 +205,9 @@
       addresses.slice(0, MAX_PROBED_MACHINES).map((address) => this.common.ports.workers.isThere(address)),
     );
     if (this.membership.probeRound.round !== round) return;
-    const met = found.filter((one) => one === true).length;
-    const unmet = found.filter((one) => one === false).length;
-    this.membership.setProbeRound({ ...this.membership.probeRound, reachable: met, unreachable: unmet });
+    const reachable = found.filter((one) => one === true).length;
+    const unreachable = found.filter((one) => one === false).length;
+    this.membership.setProbeRound({ ...this.membership.probeRound, reachable, unreachable });
     this.#assess();
   }
 
--- a/src/controller/heartbeat-intake.ts
+++ b/src/controller/heartbeat-intake.ts
@@ -2,7 +2,7 @@
  * A follower's intake of workers' heartbeats for the leader. A heartbeat with news is forwarded, and the leader's
  * answer handed back; one that repeats what was answered is answered here with the leader's fencing token, and
  * passed on as a keepalive. A local answer never carries a command, and is given only within the authority window of the
- * leader's own proven view, and only for machines to which the leader has nothing to tell.
+ * leader's own confirmed view, and only for machines for which the leader has no command.
  */
 import type { Clock } from '../clock.js';
 import type { Keepalive } from '../core/fleet/index.js';
@@ -172,7 +172,7 @@
     return age > this.context.timing.authorityWindowMs || !isSameContent(report.tasks, known.tasks);
   }
 
-  /** Whether the view that the leader has told of is proven freshly enough to answer by. */
+  /** Whether the leader's view was confirmed recently enough to answer by. */
   #mayAnswerLocally({ confirmedAt }: LeaderView): boolean {
     const { clock, timing, maxClockSkewMs } = this.context;
     return clock.epochMs() < confirmedAt + timing.authorityWindowMs - maxClockSkewMs;
--- a/src/controller/shared-heartbeats.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -244,7 +244,7 @@
     if (leadership === null) return;
     const nodes = this.#updateLoads();
     const { clock } = this.common.ports;
-    const provenAt = clock.epochMs() - (clock.monotonicMs() - leadership.viewConfirmedAt);
+    const confirmedAt = clock.epochMs() - (clock.monotonicMs() - leadership.viewConfirmedAt);
     const attention = [...state.attention].map(({ name }) => name);
     const isTold = this.#isSharing && leadership.isTransferring !== true;
     for (const node of nodes) {
@@ -256,7 +256,7 @@
       this.#send(node, outbox, {
         ...content,
         // Without a proof nothing may be answered: the lead is handed over.
-        snapshot: isTold ? provenAt : 0,
+        snapshot: isTold ? confirmedAt : 0,
         ...(redirect === undefined ? {} : { redirect }),
       });
     }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -49,7 +49,7 @@
 export class Membership {
   readonly #peers = new Map<string, Peer>();
   readonly #suspicions = new Map<string, SuspicionState>();
-  /** How often a peer was doubted of late, and when last. */
+  /** How often a peer was recently suspected, and when last. */
   readonly #recentSuspicions = new Map<string, { times: number; at: number }>();
   readonly #unexpectedReports = new Map<string, number>();
   readonly processingRate: ProcessingRateMonitor;
@@ -194,7 +194,7 @@
     );
   }
 
-  /** Whether this node has stood still and not caught up: it doubts itself before it doubts others. */
+  /** Whether this node has stood still and not caught up: it suspects nobody meanwhile. */
   isStalled(now: number): boolean {
     return now < this.#stalledUntil;
   }
@@ -292,11 +292,11 @@
     this.#recentSuspicions.set(node, { times: times + 1, at: now });
   }
 
-  /** Doubts are forgotten one by one, each in eight leases of a worker. */
+  /** Suspicions are forgotten one by one, each in eight leases of a worker. */
   #suspicionCount(node: string, now: number): number {
-    const doubts = this.#recentSuspicions.get(node);
-    if (doubts === undefined) return 0;
-    return Math.max(0, doubts.times - Math.floor((now - doubts.at) / (8 * this.timing.workerLeaseMs)));
+    const recent = this.#recentSuspicions.get(node);
+    if (recent === undefined) return 0;
+    return Math.max(0, recent.times - Math.floor((now - recent.at) / (8 * this.timing.workerLeaseMs)));
   }
 
   /** The level of every peer. */
@@ -311,7 +311,7 @@
 
   /**
    * Whether a peer has been heard and trusted without a gap for so long, and longer the more often it
-   * was doubted of late: leadership is not handed back to one that flaps.
+   * was recently suspected: the leadership is not transferred to one that flaps.
    */
   isStable(node: string, settled: number, now: number): boolean {
     const peer = this.#peers.get(node);
@@ -372,7 +372,7 @@
       const row = this.table.transfer.find(({ holds }) => holds(peer, context));
       if (row !== undefined) best.push({ peer, why: row.name });
     }
-    // All of them are fit. One that is not to lead, though it met one machine more, would hand over again.
+    // All of them are eligible. One that is not preferred would transfer the leadership again.
     const rank = ({ peer: { node } }: { peer: Peer }): number => (preferred.has(node) ? 1 : 0);
     const reach = ({ peer: { status } }: { peer: Peer }): number =>
       (status?.reachable ?? 0) + (status?.unexpectedReports ?? 0);
--- a/src/membership/worker-router.ts
+++ b/src/membership/worker-router.ts
@@ -63,7 +63,7 @@
     const sent = this.#redirectedAt.get(machine);
     // It takes a worker some seconds to try a node that does not answer: back after so long, it
     // has tried the leader in vain, even if this node hears it; as have others of its zone if
-    // the leader calls that quiet. It is answered once and then redirected again: kept here
+    // the leader calls that silent. It is answered once and then redirected again: kept here
     // for longer, it would be silent to a leader that may reach it again, and be terminated alive.
     const inVain =
       sent === undefined
