--- a/bench/between.ts
+++ b/bench/between.ts
@@ -3,12 +3,12 @@
  * again, what is given back alive, what loses its lease. One JSON line a kind of fault.
  */
 import { build as buildHistogram, type Histogram } from 'hdr-histogram-js';
-import { seeded, World } from '../test/standins/world.js';
+import { seeded, Simulation } from '../test/emulators/simulation.js';
 
 const FROM = 20_000;
 const LENGTH = 45_000;
 
-type Fault = (world: World, leader: number, size: number) => void;
+type Fault = (world: Simulation, leader: number, size: number) => void;
 
 const others = (leader: number): number[] => [0, 1, 2].filter((node) => node !== leader);
 const cutFromWorkers: Fault = (world, leader, size) => {
@@ -51,7 +51,7 @@
 
 async function play(seed: number, fault: Fault): Promise<Day> {
   const draw = seeded(seed);
-  const world = new World(draw, { keepLog: true });
+  const world = new Simulation(draw, { keepLog: true });
   world.cloud.capacity = 40;
   const wish = {
     team: 'crew',
--- a/build.mjs
+++ b/build.mjs
@@ -68,7 +68,12 @@
     format: 'esm',
     target: 'node20',
   });
-for (const name of ['standins', 'demo', 'fingerprint']) {
+const DEVELOPMENT_PROGRAMS = {
+  emulators: 'demo/serve.ts',
+  demo: 'demo/main.ts',
+  fingerprint: 'test/emulators/fingerprint.ts',
+};
+for (const [name, entryPoint] of Object.entries(DEVELOPMENT_PROGRAMS)) {
   if (!process.argv.includes(`--${name}`)) continue;
-  await build({ ...common, entryPoints: [`test/standins/${name}.ts`], outfile: `target/${name}.cjs` });
+  await build({ ...common, entryPoints: [entryPoint], outfile: `target/${name}.cjs` });
 }
--- a/test/standins/serve.ts
+++ b/demo/emulators.ts
@@ -1,21 +1,21 @@
 /**
- * The stand-ins on loopback, in real time: a state service, a cloud and its workers, and
+ * The emulators on loopback, in real time: a key-value store, a cloud and its workers, and
  * the settings of three controllers, for trying rowanferry out. For development only.
  */
 import express, { type Request, type Response } from 'express';
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { HttpClient } from '../../src/adapters/http.js';
-import type { ListedMachine, Mutation } from '../../src/core/types.js';
-import { parseAddress } from '../../src/settings.js';
-import type { Entry } from '../../src/wire/state.js';
-import { asObject, isText } from '../../src/core/values.js';
-import { Checker } from './checker.js';
-import { VirtualClock } from './clock.js';
-import { CloudStandin, TYPES, Worker } from './cloud.js';
-import { Network } from './network.js';
-import { StateStandin } from './state.js';
-import { seeded, testSettings } from './world.js';
+import { HttpClient } from '../src/adapters/http.js';
+import type { ListedMachine, Mutation } from '../src/core/types.js';
+import { parseAddress } from '../src/settings.js';
+import type { Entry } from '../src/wire/state.js';
+import { asObject, isText } from '../src/core/values.js';
+import { Checker } from '../test/emulators/checker.js';
+import { VirtualClock } from '../test/emulators/clock.js';
+import { CloudEmulator, TYPES, Worker } from '../test/emulators/cloud.js';
+import { Network } from '../test/emulators/network.js';
+import { StateEmulator } from '../test/emulators/state.js';
+import { seeded, testSettings } from '../test/emulators/simulation.js';
 
 const NODES = 3;
 const STEP_MS = 5;
@@ -23,14 +23,14 @@
 
 const clock = new VirtualClock();
 const network = new Network(clock, seeded(1));
-const state = new StateStandin(network);
+const state = new StateEmulator(network);
 const checker = new Checker(30_000, 0);
 export const settings = Array.from({ length: NODES }, (_, i) => testSettings(i));
 const names = settings.map((one) => one.host_name);
 const clients = new Map(
   settings.map((one) => [one.host_name, new HttpClient(parseAddress(one.public_addr), 16)]),
 );
-const cloud = new CloudStandin(network, (listed: ListedMachine) => {
+const cloud = new CloudEmulator(network, (listed: ListedMachine) => {
   const rules = {
     nodes: names,
     reportMs: 1000,
@@ -190,7 +190,7 @@
 };
 
 /** Serves them, and writes settings of three controllers and a job into a folder. */
-export function startStandins(folder: string): Promise<void> {
+export function startEmulators(folder: string): Promise<void> {
   mkdirSync(folder, { recursive: true });
   settings.forEach((one, i) => {
     const { endpoints } = one;
--- a/test/standins/demo.ts
+++ b/demo/main.ts
@@ -1,14 +1,14 @@
 /**
- * The main job, from nothing to its end: the stand-ins, three controllers on loopback, a job
+ * The main job, from nothing to its end: the emulators, three controllers on loopback, a job
  * followed to `done`, its leader killed on the way. Ends what it started, also on Ctrl-C.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createServer } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
-import { HttpClient } from '../../src/adapters/http.js';
-import { asObject, isText } from '../../src/core/values.js';
-import { parseAddress } from '../../src/settings.js';
-import { demoJob, settings, startStandins } from './serve.js';
+import { HttpClient } from '../src/adapters/http.js';
+import { asObject, isText } from '../src/core/values.js';
+import { parseAddress } from '../src/settings.js';
+import { demoJob, settings, startEmulators } from './emulators.js';
 
 const FOLDER = 'target/demo';
 const PROGRAM = 'target/rowanferry.cjs';
@@ -78,8 +78,8 @@
       const reason = await trouble(address);
       if (reason !== null) fail(reason);
     }
-  await startStandins(FOLDER);
-  say('stand-ins for the state service and the cloud are up');
+  await startEmulators(FOLDER);
+  say('emulators of the key-value store and the cloud are up');
   settings.forEach(({ host_name }, i) => start(host_name, i));
   const first = await leader();
   say(`three controllers are up; ${first} leads`);
--- a/test/standins/standins.ts
+++ b/demo/serve.ts
@@ -1,7 +1,7 @@
-/** The stand-ins by themselves, for controllers that are started by hand. */
-import { startStandins } from './serve.js';
+/** The emulators by themselves, for controllers that are started by hand. */
+import { startEmulators } from './emulators.js';
 
 const folder = process.argv[2] ?? 'target/demo';
-void startStandins(folder).then(() =>
+void startEmulators(folder).then(() =>
   process.stdout.write(`state service and cloud on 127.0.0.1:7300; settings and a job in ${folder}\n`),
 );
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { expect, test } from 'vitest';
 import { main } from '../src/cli.js';
-import { testSettings } from './standins/world.js';
+import { testSettings } from './emulators/simulation.js';
 
 const folder = mkdtempSync(join(tmpdir(), 'rowanferry-'));
 const file = (name: string, content: string): string => {
--- a/test/meetings.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -2,10 +2,10 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
-import { CoreBench, job, report, task, TERM } from './standins/core.js';
-import { atWork, CANCEL, DEPUTY_SEED, endsWell, FROM, LEASE, reachOnly } from './standins/at-work.js';
-import { drawMeetings, LONGEST_RUN, partZones } from './standins/troubles.js';
-import { NODES, seeded, TIGHT, World } from './standins/world.js';
+import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { atWork, CANCEL, DEPUTY_SEED, endsWell, FROM, LEASE, reachOnly } from './emulators/busy-cluster.js';
+import { drawMeetings, LONGEST_RUN, partZones } from './emulators/faults.js';
+import { NODES, seeded, TIGHT, Simulation } from './emulators/simulation.js';
 
 // The gap: the leader alone cannot know what another controller confirms; then nobody can tell it.
 test.each([
@@ -59,7 +59,7 @@
 });
 
 test('the gap: a cancellation told while a write of its job is looked up stops its tasks at once', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const commitOf = (effects: readonly Effect[]): number =>
     effects.flatMap((effect) => (effect.kind === 'commit' ? [effect.id] : []))[0] ?? 0;
   bench.hear(report('m', 1));
@@ -90,7 +90,7 @@
 
 // The fleet that had lost its leases was given back, and booted anew, as soon as the state service was back.
 test('the gap: machines that went on reporting through an outage are not silent at its end', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const { workerLeaseMs, tickMs } = bench.state.config.timing;
   const names = ['m', 'n', 'o', 'p'];
   const hear = (seq: number, session: number): Effect[] =>
@@ -120,7 +120,7 @@
   expect(bench.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
   bench.now += 1000;
   const again = names.flatMap((name) =>
-    CoreBench.starts(bench.hear(report(name, 99, [], { agentEpoch: 2 }))),
+    CoreHarness.starts(bench.hear(report(name, 99, [], { agentEpoch: 2 }))),
   );
   expect(again.sort()).toEqual([0, 1, 2, 3].map((i) => `req-1/${i}#2`));
 });
@@ -147,7 +147,7 @@
 });
 
 test('late transactions: claims carried out after newer ones of the same chunk, then a new leader', async () => {
-  const world = new World(seeded(4), { keepLog: true });
+  const world = new Simulation(seeded(4), { keepLog: true });
   const id = 'req-000000';
   // A task fills a machine, and machines come one after another.
   const place = { team: 'crew', cpus: 8, memoryGb: 1, spot: true, zone: null, oneZone: false, spread: false };
@@ -204,7 +204,7 @@
 
 // 3. An old report arrives after newer ones.
 test('old reports: a successor that has heard nothing takes no end of an earlier attempt for the present one', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const claims = { 0: { attempt: 2, machine: 'm', agentEpoch: 3, createdAt: bench.now } };
   bench.takeOver(job('req-1', 1, 4, 50), claims);
   bench.now += 3000;
@@ -340,10 +340,10 @@
 const CALM = 240_000;
 const END = CALM + 3 * LONGEST_RUN;
 
-async function playMeetings(seed: number, meetings: number): Promise<{ world: World; met: string[] }> {
+async function playMeetings(seed: number, meetings: number): Promise<{ world: Simulation; met: string[] }> {
   const cpusMax = seed % 2 === 0 ? 0 : 12;
   // A third of the days have small values and transactions from the start on.
-  const world = new World(seeded(seed), {
+  const world = new Simulation(seeded(seed), {
     copies: true,
     cpusMax,
     ...(seed % 3 === 0 ? { limits: TIGHT } : {}),
--- a/test/fleet.test.ts
+++ b/test/correlated-failures.test.ts
@@ -6,7 +6,7 @@
 import type { Effect } from '../src/core/effects.js';
 import type { ClassObjectives } from '../src/core/model.js';
 import { claimTask } from '../src/core/persistence/index.js';
-import { CoreBench, EIGHT, job, report, task } from './standins/core.js';
+import { CoreHarness, EIGHT, job, report, task } from './emulators/core-harness.js';
 
 const returned = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
@@ -28,7 +28,7 @@
     deadlineMultiples: [1, 1.5],
     finishTargetsMs: [100_000],
   });
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   (bench.state.config.objectives as Map<string, ClassObjectives>).set(
     'rush',
     aims.get('rush') as ClassObjectives,
@@ -48,7 +48,7 @@
 // A cut held back the returns that a leader had asked for on the wrong side of it; carried out
 // when it ended, they took a third of the fleet from its successor, alive and at work.
 test('a leader whose view is not proven fresh asks nothing of the cloud', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   for (const name of names) bench.hear(report(name, 1));
   bench.proven = false;
@@ -72,8 +72,8 @@
 const FAR = ['p', 'q', 'r', 's'];
 
 /** Four machines of zone b, each with a task of a job that has so long; the leader hears only m, of zone a. */
-function apart(deadlineS: number | null, hears = true): CoreBench {
-  const bench = new CoreBench();
+function apart(deadlineS: number | null, hears = true): CoreHarness {
+  const bench = new CoreHarness();
   for (const name of FAR) bench.hear(report(name, 1, [], { zone: 'b' }));
   bench.add(job('req-1', 4, 8, 20, { deadlineS, submittedAt: bench.now }));
   for (const name of FAR) bench.hear(report(name, 2, [], { zone: 'b' }));
@@ -101,7 +101,7 @@
   const { timing } = before.state.config;
   const jobs = [...before.state.jobs.values()].map(({ spec, modRevision }) => ({ value: spec, modRevision }));
   const next = (quiet: Map<string, number>): string[] => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     bench.now = before.now;
     const { layout, legacyChunkTasks } = bench.state;
     const term = {
@@ -140,11 +140,11 @@
 
 // What ran on a machine with a notice was lost with it, and found lost only 10 s after.
 test('a machine with a notice is drained of what would not end there, and goes back when it is taken', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   for (const name of ['m', 'n', 'o', 'p']) bench.hear(report(name, 1));
   bench.add(job('req-1', 2, 4, 100));
   const before = bench.hear(report('m', 2));
-  expect(CoreBench.starts(before)).toHaveLength(2);
+  expect(CoreHarness.starts(before)).toHaveLength(2);
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')];
   bench.hear(report('m', 3, running, { terminationNoticeS: 20 }));
   bench.do({ kind: 'tick' });
@@ -158,7 +158,7 @@
 
 // Fifty machines each three seconds: a fleet of 600 took 13 s to be asked for.
 test('all machines that a plan wants are asked for at once, evenly among zones of one price', () => {
-  const bench = new CoreBench(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
+  const bench = new CoreHarness(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
   bench.now += 1000;
   bench.add(job('req-1', 200, 8, 50));
   const asked = bench.do({ kind: 'tick' }).filter((effect) => effect.kind === 'provision');
@@ -174,7 +174,7 @@
 // A dead machine's tasks waited 11 s to run again: as long as a worker may take that has lost
 // its controller and tries the others.
 test('a machine that twice takes no connection, while most around it are heard, is given up', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs, shortSilenceTimeoutMs } = bench.state.config.timing;
   const others = ['n', 'o', 'p'];
   let seq = 0;
@@ -211,7 +211,7 @@
 
 // A report on its way when the knock met nobody is the newer word.
 test('what a knock met counts for nothing once the machine is heard again', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs } = bench.state.config.timing;
   for (const name of ['m', 'n', 'o']) bench.hear(report(name, 1));
   bench.now += 1.3 * maxHeartbeatIntervalMs;
--- a/test/pipelines.test.ts
+++ b/test/dag-dependencies.test.ts
@@ -3,9 +3,9 @@
 import type { Command, Effect } from '../src/core/effects.js';
 import { resolvedUntil } from '../src/core/jobs/index.js';
 import type { EndedRecord, FinalStage, JobSpec } from '../src/core/types.js';
-import { CoreBench, job, report, task } from './standins/core.js';
+import { CoreHarness, job, report, task } from './emulators/core-harness.js';
 
-const starts = (effects: readonly Effect[]): string[] => CoreBench.starts(effects);
+const starts = (effects: readonly Effect[]): string[] => CoreHarness.starts(effects);
 const questions = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'resolveDependencies' ? effect.ids : []));
 const ended = (stage: FinalStage): EndedRecord => ({ stage, tasks: 1, done: 1, at: 100_000 });
@@ -21,7 +21,7 @@
   #seq = 1;
   #on: ReturnType<typeof task>[] = [];
 
-  constructor(readonly bench: CoreBench) {}
+  constructor(readonly bench: CoreHarness) {}
 
   hear(): string[] {
     const effects = this.bench.hear(report('m', this.#seq++, this.#on));
@@ -43,7 +43,7 @@
 }
 
 function runner(): Runner {
-  const run = new Runner(new CoreBench());
+  const run = new Runner(new CoreHarness());
   run.hear();
   return run;
 }
--- a/test/easy.test.ts
+++ b/test/easy-backfilling.test.ts
@@ -3,10 +3,10 @@
 import { mayBackfill, waitingJobs } from '../src/core/placement/index.js';
 import { isDeadlineAtRisk } from '../src/core/jobs/index.js';
 import type { ClassObjectives } from '../src/core/model.js';
-import { CoreBench, EIGHT, job, report, task } from './standins/core.js';
+import { CoreHarness, EIGHT, job, report, task } from './emulators/core-harness.js';
 
 /** From now on a class has a start aim. */
-function startWithin(bench: CoreBench, jobClass: string, ms: number): void {
+function startWithin(bench: CoreHarness, jobClass: string, ms: number): void {
   const aims = bench.state.config.objectives as Map<string, ClassObjectives>;
   aims.set(jobClass, { startTargetsMs: [ms], deadlineMultiples: [], finishTargetsMs: [] });
 }
@@ -23,8 +23,8 @@
 });
 
 /** One machine of 8 cpus, 4 of them taken for 100 s; the head wants 6 and is blocked until then. */
-function blockedHead(): CoreBench {
-  const bench = new CoreBench();
+function blockedHead(): CoreHarness {
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 4, 100));
   bench.hear(report('m', 2));
@@ -40,7 +40,7 @@
   bench.add(job('req-3', 1, 4, 500)); // neither: 4 cpus past the shadow, extra is 2
   bench.add(job('req-4', 1, 2, 500)); // fits the extra room
   bench.add(job('req-5', 1, 2, 60)); // ends by the shadow time
-  const started = CoreBench.starts(bench.hear(report('m', 4, running)));
+  const started = CoreHarness.starts(bench.hear(report('m', 4, running)));
   expect(started).toEqual(['req-4/0#1', 'req-5/0#1']);
   await bench.keep('backfill');
 });
@@ -50,7 +50,7 @@
   const running = [task('req-1/0', 1, 'running')];
   bench.add(job('req-3', 1, 2, 500));
   bench.add(job('req-4', 1, 2, 500));
-  expect(CoreBench.starts(bench.hear(report('m', 4, running)))).toEqual(['req-3/0#1']);
+  expect(CoreHarness.starts(bench.hear(report('m', 4, running)))).toEqual(['req-3/0#1']);
   await bench.keep('extra-room');
 });
 
@@ -59,7 +59,7 @@
   bench.add(job('req-3', 1, 4, 500));
   bench.now += 10_000;
   const effects = bench.hear(report('m', 4, [task('req-1/0', 1, 'exited', 'done')]));
-  expect(CoreBench.starts(effects)).toEqual(['req-2/0#1']);
+  expect(CoreHarness.starts(effects)).toEqual(['req-2/0#1']);
   await bench.keep('early-end');
 });
 
@@ -67,7 +67,7 @@
   const bench = blockedHead();
   bench.add(job('req-3', 1, 8, 50)); // the second, wants the whole machine
   bench.add(job('req-4', 1, 2, 400)); // delays req-3, but not req-2
-  const started = CoreBench.starts(bench.hear(report('m', 4, [task('req-1/0', 1, 'running')])));
+  const started = CoreHarness.starts(bench.hear(report('m', 4, [task('req-1/0', 1, 'running')])));
   expect(started).toEqual(['req-4/0#1']);
   await bench.keep('second-job');
 });
@@ -90,17 +90,17 @@
 });
 
 test('a head that never fits gets no shadow time and holds nobody up', async () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 8, 50, { zone: 'elsewhere' }));
   bench.add(job('req-2', 1, 8, 5000));
-  const started = CoreBench.starts(bench.hear(report('m', 2)));
+  const started = CoreHarness.starts(bench.hear(report('m', 2)));
   expect(started).toEqual(['req-2/0#1']);
   await bench.keep('never-fits');
 });
 
 test('a service counts as never ending: nobody is promised its room', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 6, 0, { form: 'service' }));
   bench.hear(report('m', 2));
@@ -109,40 +109,40 @@
 });
 
 test('a gang starts whole or not at all', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 3, 4, 50, { form: 'gang' }));
-  expect(CoreBench.starts(bench.hear(report('m', 2)))).toEqual([]);
+  expect(CoreHarness.starts(bench.hear(report('m', 2)))).toEqual([]);
   bench.hear(report('n', 1));
   const both = [...bench.hear(report('m', 3)), ...bench.hear(report('n', 2))];
-  expect(CoreBench.starts(both).sort()).toEqual(['req-1/0#1', 'req-1/1#1', 'req-1/2#1']);
+  expect(CoreHarness.starts(both).sort()).toEqual(['req-1/0#1', 'req-1/1#1', 'req-1/2#1']);
 });
 
 test('jobs of a team at its limit are skipped, and count until proven gone', () => {
-  const bench = new CoreBench(6);
+  const bench = new CoreHarness(6);
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 4, 50));
   bench.add(job('req-2', 1, 4, 50));
-  expect(CoreBench.starts(bench.hear(report('m', 2)))).toEqual(['req-1/0#1']);
+  expect(CoreHarness.starts(bench.hear(report('m', 2)))).toEqual(['req-1/0#1']);
   bench.do({ kind: 'jobRemoved', id: 'req-1' });
   // Cancelled, but still on its machine.
-  expect(CoreBench.starts(bench.hear(report('m', 3, [task('req-1/0', 1, 'running')])))).toEqual([]);
+  expect(CoreHarness.starts(bench.hear(report('m', 3, [task('req-1/0', 1, 'running')])))).toEqual([]);
   const after = bench.hear(report('m', 4, [task('req-1/0', 1, 'exited', 'stopped')]));
-  expect(CoreBench.starts(after)).toEqual(['req-2/0#1']);
+  expect(CoreHarness.starts(after)).toEqual(['req-2/0#1']);
 });
 
 test('a job that can no longer be in time stands behind one that can', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.add(job('req-1', 1, 8, 50, { deadlineS: 60, submittedAt: bench.now - 50_000 }));
   bench.add(job('req-2', 1, 8, 50, { deadlineS: 100, submittedAt: bench.now }));
   bench.hear(report('m', 1));
-  expect(CoreBench.starts(bench.hear(report('m', 2)))).toEqual(['req-2/0#1']);
+  expect(CoreHarness.starts(bench.hear(report('m', 2)))).toEqual(['req-2/0#1']);
 });
 
 /** A small and a large type; a job that only the large one can take waits behind a running one. */
-function scarceLarge(): CoreBench {
+function scarceLarge(): CoreHarness {
   const large = { ...EIGHT, name: 'large', cpus: 32, memoryGb: 256 };
-  const bench = new CoreBench(0, [EIGHT, large]);
+  const bench = new CoreHarness(0, [EIGHT, large]);
   bench.hear(report('l', 1, [], { type: 'large' }));
   bench.add(job('req-1', 1, 16, 100));
   bench.hear(report('l', 2, [], { type: 'large' }));
@@ -150,8 +150,8 @@
   bench.add(job('req-2', 1, 24, 100));
   return bench;
 }
-const onLarge = (bench: CoreBench): string[] =>
-  CoreBench.starts(bench.hear(report('l', 4, [task('req-1/0', 1, 'running')], { type: 'large' })));
+const onLarge = (bench: CoreHarness): string[] =>
+  CoreHarness.starts(bench.hear(report('l', 4, [task('req-1/0', 1, 'running')], { type: 'large' })));
 
 test('room that only one type has is kept from jobs with a choice, by the same two tests', () => {
   const bench = scarceLarge();
@@ -170,7 +170,7 @@
 // In a burst every task was placed just before its start aim ran out, and then lacked the
 // second that a start needs to reach its machine: all were late, where most could be in time.
 test('what can no longer start in time, its way to the machine counted, stands behind what can', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   startWithin(bench, 'class', 5000);
   const { maxHeartbeatIntervalMs } = bench.state.config.timing;
   const old = job('req-1', 1, 8, 50, { submittedAt: bench.now - 5000 + maxHeartbeatIntervalMs });
@@ -183,7 +183,7 @@
 // Once late for its start, a rush job kept off the machines that others need for good, and
 // missed its deadline beside free room.
 test('a job that missed its start aim is pressed again when its deadline comes near', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   startWithin(bench, 'class', 5000);
   const pressedAt = (ageS: number): boolean => {
     const spec = job(`req-${ageS}`, 1, 8, 10, { deadlineS: 30, submittedAt: bench.now - ageS * 1000 });
@@ -197,7 +197,7 @@
 // Most pressed first, a job of many tasks took the room of several that could have been in
 // time, and was late itself.
 test('of pressed jobs, the one with the least work waiting comes first', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const pressed = (id: string, tasks: number, deadlineS: number): void => {
     bench.add(job(id, tasks, 8, 10, { deadlineS, submittedAt: bench.now }));
   };
@@ -214,7 +214,7 @@
 // With the fleet full, freed room went to whoever waited, on whichever machine: a rush task got
 // its turn soon, but on a machine without its image, and was late by the fetch.
 test('room is kept for hurried classes, on the machines with most images', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   startWithin(bench, 'rush', 3000);
   const rush = job('req-9', 1, 2, 20, { jobClass: 'rush', priority: 1 });
   bench.state.demand.set('rush', {
@@ -230,20 +230,20 @@
   bench.state.machines.get('n')?.cachedImages.set('img', 1);
   bench.do({ kind: 'tick' });
   bench.add(job('req-1', 8, 2, 50));
-  const onM = CoreBench.starts(bench.hear(report('m', 2)));
-  const onN = CoreBench.starts(bench.hear(report('n', 2)));
+  const onM = CoreHarness.starts(bench.hear(report('m', 2)));
+  const onN = CoreHarness.starts(bench.hear(report('n', 2)));
   expect([onM.length, onN.length]).toEqual([4, 2]);
   // Those that it is kept for use it, and nobody keeps any once they are there.
   bench.add(job('req-2', 2, 2, 20, { jobClass: 'rush', priority: 1, submittedAt: bench.now }));
   expect(
-    CoreBench.starts(bench.hear(report('n', 3))).filter((name) => name.startsWith('req-2')),
+    CoreHarness.starts(bench.hear(report('n', 3))).filter((name) => name.startsWith('req-2')),
   ).toHaveLength(2);
 });
 
 test('room for those with a choice is not kept on a type that others can run on nothing else', () => {
   // Large machines stood half empty for small rush tasks while large jobs waited.
   const large = { ...EIGHT, name: 'large', cpus: 64, memoryGb: 256 };
-  const bench = new CoreBench(0, [EIGHT, large]);
+  const bench = new CoreHarness(0, [EIGHT, large]);
   startWithin(bench, 'rush', 3000);
   const came = {
     peak: 4,
@@ -256,5 +256,5 @@
   bench.state.demand.set('mix', { ...came, spec: job('req-8', 1, 32, 20, { jobClass: 'mix' }) });
   bench.hear(report('m', 1, [], { type: 'large' }));
   bench.add(job('req-1', 2, 32, 50, { jobClass: 'mix' }));
-  expect(CoreBench.starts(bench.hear(report('m', 2, [], { type: 'large' })))).toHaveLength(2);
+  expect(CoreHarness.starts(bench.hear(report('m', 2, [], { type: 'large' })))).toHaveLength(2);
 });
--- a/test/explore.test.ts
+++ b/test/election-model.test.ts
@@ -1,6 +1,6 @@
 /** Model checking of the election: every interleaving up to a depth, and a mutant for each guard. */
 import { expect, test } from 'vitest';
-import { explore, type Bounds, type Mutant } from './standins/explore.js';
+import { explore, type Bounds, type Mutant } from './emulators/election-explorer.js';
 
 const deep = Number(process.env['DEPTH'] ?? 0);
 const BOUNDS: Bounds =
--- a/test/standins/at-work.ts
+++ b/test/emulators/busy-cluster.ts
@@ -1,8 +1,8 @@
 /** A world in which jobs of a few long tasks are all out: what the tests of meetings begin with. */
 import { expect } from 'vitest';
-import { NODES, seeded, World } from './world.js';
+import { NODES, seeded, Simulation } from './simulation.js';
 
-/** The stand-ins' cancel_s and the lease of a worker, in milliseconds. */
+/** The emulators' cancel_s and the lease of a worker, in milliseconds. */
 export const CANCEL = 30_000;
 export const LEASE = 10_000;
 export const FROM = 20_000;
@@ -10,7 +10,7 @@
 export const DEPUTY_SEED = 7;
 
 interface AtWork {
-  readonly world: World;
+  readonly world: Simulation;
   readonly leader: number;
   /** The other nodes. */
   readonly others: readonly number[];
@@ -31,7 +31,7 @@
     sharing = false,
   } = {},
 ): Promise<AtWork> {
-  const world = new World(seeded(seed), { keepLog: true, ...(sharing ? { sharing } : {}) });
+  const world = new Simulation(seeded(seed), { keepLog: true, ...(sharing ? { sharing } : {}) });
   if (copies > 0) world.keepCopies(1, copies);
   world.cloud.capacity = machines;
   const ids = Array.from({ length: jobs }, (_, i) => `req-${String(i).padStart(6, '0')}`);
@@ -47,12 +47,12 @@
 }
 
 /** Machines whose reports, and their answers, pass between them and one node alone. */
-export function reachOnly(world: World, node: string, ms: number): void {
+export function reachOnly(world: Simulation, node: string, ms: number): void {
   for (const name of world.cloud.workers.keys())
     for (const other of NODES) if (other !== node) world.network.cut(name, other, ms);
 }
 
-export async function endsWell(world: World, ms = 250_000): Promise<void> {
+export async function endsWell(world: Simulation, ms = 250_000): Promise<void> {
   await world.clock.runUntil(world.clock.now + ms);
   expect(world.checker.broken).toEqual([]);
   expect(world.checker.unfinished()).toEqual([]);
--- a/test/standins/cloud.ts
+++ b/test/emulators/cloud.ts
@@ -289,7 +289,7 @@
   }
 }
 
-export class CloudStandin {
+export class CloudEmulator {
   readonly workers = new Map<string, Worker>();
   readonly #machines = new Map<
     string,
--- a/test/standins/core.ts
+++ b/test/emulators/core-harness.ts
@@ -7,7 +7,7 @@
 import type { Claim, JobSpec, MachineType, Heartbeat, ReportedTask } from '../../src/core/types.js';
 import { rulesFor } from '../../src/rules.js';
 import { createPolicy } from '../../src/policy.js';
-import { testSettings } from './world.js';
+import { testSettings } from './simulation.js';
 
 export const TERM = 5;
 const TERM_STAMP = 100;
@@ -131,7 +131,7 @@
   }
 }
 
-export class CoreBench {
+export class CoreHarness {
   readonly state: CoreState;
   readonly lines: string[] = [];
   now = 100_000;
--- a/test/standins/explore.ts
+++ b/test/emulators/election-explorer.ts
@@ -15,7 +15,7 @@
 } from '../../src/membership/election.js';
 import type { LeaderRecord } from '../../src/core/persistence/index.js';
 import { timing } from '../../src/settings.js';
-import { testSettings } from './world.js';
+import { testSettings } from './simulation.js';
 
 const NODES = ['n-0', 'n-1', 'n-2'];
 const TIMES = timing(testSettings(0));
--- a/test/standins/troubles.ts
+++ b/test/emulators/faults.ts
@@ -3,36 +3,37 @@
  * effects, at a moment that matters, not merely on the same day.
  */
 import type { SubmittedJob } from './checker.js';
-import { NODES, playPipeline, TEAMS, type World } from './world.js';
+import { NODES, playPipeline, TEAMS, type Simulation } from './simulation.js';
 
 /** Begins a trouble and says for how long, in milliseconds, it goes on. */
-type Trouble = (world: World) => number;
+type Trouble = (world: Simulation) => number;
 
-/** As of the settings of the stand-ins' world. */
+/** As of the emulators' settings. */
 const CANCEL = 30_000;
 const WORKER_LEASE = 10_000;
 const LEADER_LEASE = 2000;
 
-const pick = <T>(world: World, from: readonly T[]): T => from[Math.floor(world.draw() * from.length)] as T;
+const pick = <T>(world: Simulation, from: readonly T[]): T =>
+  from[Math.floor(world.draw() * from.length)] as T;
 
 /** The node that leads, or any. */
-const leaderOf = (world: World): string => pick(world, world.leaders()) ?? pick(world, NODES);
+const leaderOf = (world: Simulation): string => pick(world, world.leaders()) ?? pick(world, NODES);
 const nodeAt = (name: string): number => NODES.indexOf(name);
-const between = (world: World, from: number, to: number): number => from + (to - from) * world.draw();
+const between = (world: Simulation, from: number, to: number): number => from + (to - from) * world.draw();
 
 /** Some of the machines, and at least one. */
-function someMachines(world: World, share: number): string[] {
+function someMachines(world: Simulation, share: number): string[] {
   const names = [...world.cloud.workers.keys()];
   const some = names.filter(() => world.draw() < share);
   return some.length > 0 || names.length === 0 ? some : [pick(world, names)];
 }
 
-function cutAll(world: World, from: string, to: readonly string[], ms: number): void {
+function cutAll(world: Simulation, from: string, to: readonly string[], ms: number): void {
   for (const other of to) if (other !== from) world.network.cut(from, other, ms);
 }
 
 /** Zone b is cut off from all of zone a. */
-export function partZones(world: World, ms: number): void {
+export function partZones(world: Simulation, ms: number): void {
   const inB = (name: string): boolean => world.zoneOf(name) === 'b';
   const hosts = [...NODES, ...world.cloud.workers.keys()];
   for (const one of hosts.filter(inB))
@@ -279,7 +280,7 @@
 ];
 
 /** When the next trouble begins, once this one has: a moment that something hangs on. */
-const MOMENTS: readonly ((world: World, lasts: number, begin: () => void) => void)[] = [
+const MOMENTS: readonly ((world: Simulation, lasts: number, begin: () => void) => void)[] = [
   (world, _, begin) => world.clock.in(between(world, 0, 2000), begin),
   (world, lasts, begin) => world.clock.in(lasts * world.draw(), begin),
   (world, lasts, begin) => world.clock.in(Math.max(0, lasts + between(world, -500, 500)), begin),
@@ -294,7 +295,7 @@
 ];
 
 /** Begins troubles one within another; while they last users cancel, now and then. */
-export function meet(world: World, names: readonly string[], met: (name: string) => void): void {
+export function meet(world: Simulation, names: readonly string[], met: (name: string) => void): void {
   const [name, ...more] = names;
   if (name === undefined) return;
   met(name);
@@ -311,7 +312,7 @@
  * A day on which troubles meet: jobs of a few tasks whose ends lie far apart, so that what is cancelled
  * would run on, and some of many short ones.
  */
-export function drawMeetings(world: World, meetings: number, met: (name: string) => void): void {
+export function drawMeetings(world: Simulation, meetings: number, met: (name: string) => void): void {
   const { draw, clock, cloud } = world;
   cloud.capacity = 10;
   for (let i = 0; i < 14; i += 1) {
--- a/test/standins/days.ts
+++ b/test/emulators/fingerprint-days.ts
@@ -1,11 +1,19 @@
 /**
- * Seeded days whose whole traffic is hashed. A hash covers what passes the wire encoders and what the stand-ins
+ * Seeded days whose whole traffic is hashed. A hash covers what passes the wire encoders and what the emulators
  * keep, and no internal name: it stays the same through any change that keeps the behaviour.
  */
 import { createHash } from 'node:crypto';
 import type { SubmittedJob } from './checker.js';
-import { drawMeetings, LONGEST_RUN } from './troubles.js';
-import { drawDay, seeded, TEAMS, TIGHT, World, type DaySize, type WorldOptions } from './world.js';
+import { drawMeetings, LONGEST_RUN } from './faults.js';
+import {
+  drawDay,
+  seeded,
+  TEAMS,
+  TIGHT,
+  Simulation,
+  type DaySize,
+  type SimulationOptions,
+} from './simulation.js';
 
 const DAY_MS = 90_000;
 const REST_MS = 150_000;
@@ -19,13 +27,13 @@
 
 interface Kind {
   readonly seeds: readonly number[];
-  options?(seed: number): WorldOptions;
+  options?(seed: number): SimulationOptions;
   /** Draws what comes; the result: how long the day is, in milliseconds. */
-  draw(world: World, seed: number): number;
+  draw(world: Simulation, seed: number): number;
 }
 
 /** Gangs and services of every priority, some of them cancelled. */
-function drawForms(world: World): void {
+function drawForms(world: Simulation): void {
   const { draw, clock } = world;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
   for (let i = 0; i < 10; i += 1) {
@@ -52,7 +60,7 @@
 }
 
 /** Long idle-time arrays fill a few machines; what is urgent comes later and needs their room. */
-function drawPreemption(world: World): void {
+function drawPreemption(world: Simulation): void {
   const { draw, clock, cloud } = world;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
   cloud.capacity = 4;
@@ -77,7 +85,7 @@
   }
 }
 
-function drawUpgrade(world: World): number {
+function drawUpgrade(world: Simulation): number {
   const { draw, clock } = world;
   const crashAny = (): void => world.crash(Math.floor(draw() * 3), 2000);
   drawDay(world, DAY_MS, 4, WIDE);
@@ -90,12 +98,12 @@
   return DAY_MS + REST_MS;
 }
 
-function drawUsual(world: World, faults: number, size?: DaySize): number {
+function drawUsual(world: Simulation, faults: number, size?: DaySize): number {
   drawDay(world, DAY_MS, faults, size);
   return DAY_MS + REST_MS;
 }
 
-function drawMet(world: World, seed: number): number {
+function drawMet(world: Simulation, seed: number): number {
   drawMeetings(world, 1 + (seed % 3), () => undefined);
   return MEETINGS_MS + 2 * LONGEST_RUN;
 }
@@ -180,7 +188,7 @@
     lines += 1;
     note(line);
   };
-  const world = new World(seeded(seed), { sharing: false, ...plan.options?.(seed), tap });
+  const world = new Simulation(seeded(seed), { sharing: false, ...plan.options?.(seed), tap });
   now = () => world.clock.now;
   const pages = (): void => {
     for (const page of world.pages()) tap('page', 'operators', JSON.stringify(page));
--- a/test/standins/fingerprint.ts
+++ b/test/emulators/fingerprint.ts
@@ -12,7 +12,7 @@
  */
 import { closeSync, openSync, readFileSync, writeFileSync, writeSync } from 'node:fs';
 import { parseArgs } from 'node:util';
-import { fingerprintDay, SEEDED_DAYS, type SeededDay } from './days.js';
+import { fingerprintDay, SEEDED_DAYS, type SeededDay } from './fingerprint-days.js';
 
 const RECORD = 'test/data/fingerprint.txt';
 
--- a/test/standins/golden-messages.ts
+++ b/test/emulators/golden-messages.ts
@@ -21,12 +21,12 @@
 import { encodeIntake, encodeStatus, type PeerStatus } from '../../src/wire/peers.js';
 import { encodeJobView, parseSubmission } from '../../src/wire/users.js';
 import { encodeDirect, encodeRedirect, encodeReply, parseReport } from '../../src/wire/workers.js';
-import { atWork } from './at-work.js';
+import { atWork } from './busy-cluster.js';
 import { VirtualClock } from './clock.js';
 import { TYPES } from './cloud.js';
 import { Network } from './network.js';
-import { StateStandin } from './state.js';
-import { seeded, testSettings } from './world.js';
+import { StateEmulator } from './state.js';
+import { seeded, testSettings } from './simulation.js';
 
 const json = (value: unknown): string => JSON.stringify(value);
 const hex = (bytes: Uint8Array): string => Buffer.from(bytes).toString('hex');
@@ -577,7 +577,7 @@
 }
 
 function userWorld(): UserWorld {
-  const state = new StateStandin(new Network(new VirtualClock(), seeded(1)));
+  const state = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
   const known = new Map(TYPES.map((type) => [type.name, type]));
   const service: StateService = {
     read: (key) => Promise.resolve(world.down ? 'unknown' : { entry: state.read(key) }),
--- a/test/standins/network.ts
+++ b/test/emulators/network.ts
@@ -3,7 +3,7 @@
 
 export type Draw = () => number;
 
-/** Sees each message as its sender writes it on the wire, or as the stand-in that takes it keeps it. */
+/** Sees each message as its sender writes it on the wire, or as the emulator that takes it keeps it. */
 export type Tap = (from: string, to: string, message: string) => void;
 
 export class Network {
--- a/test/standins/world.ts
+++ b/test/emulators/simulation.ts
@@ -1,4 +1,4 @@
-/** The whole service against the stand-ins, with users of its own and faults drawn from a seed. */
+/** The whole service against the emulators on a virtual clock, with users of its own and faults drawn from a seed. */
 import { pino } from 'pino';
 import { ControllerNode } from '../../src/controller/node.js';
 import { createPolicy } from '../../src/policy.js';
@@ -8,9 +8,9 @@
 import { encodeIntake, encodeStatus, StatusReader } from '../../src/wire/peers.js';
 import { Checker, type OnMachine, type SubmittedJob } from './checker.js';
 import { ProcessClock, VirtualClock } from './clock.js';
-import { CloudStandin, TYPES, Worker } from './cloud.js';
+import { CloudEmulator, TYPES, Worker } from './cloud.js';
 import { Network, type Draw, type Tap } from './network.js';
-import { EarlierStateClient, StateClient, StateStandin } from './state.js';
+import { EarlierStateClient, StateClient, StateEmulator } from './state.js';
 
 export const NODES = ['n-0', 'n-1', 'n-2'];
 const ZONES = ['a', 'b', 'a'];
@@ -66,7 +66,7 @@
 const SHARES_ALWAYS = process.env['SHARING'] !== undefined;
 
 /** What differs from the usual world. */
-export interface WorldOptions {
+export interface SimulationOptions {
   readonly cpusMax?: number;
   /** Limits of the state service, as the settings tell of them. */
   readonly limits?: object;
@@ -97,11 +97,11 @@
   readonly clock: ProcessClock;
 }
 
-export class World {
+export class Simulation {
   readonly clock = new VirtualClock();
   readonly network: Network;
-  readonly state: StateStandin;
-  readonly cloud: CloudStandin;
+  readonly state: StateEmulator;
+  readonly cloud: CloudEmulator;
   readonly checker: Checker;
   readonly jobs = new Map<string, SubmittedJob>();
   readonly accepted = new Set<string>();
@@ -138,16 +138,16 @@
 
   constructor(
     readonly draw: Draw,
-    private readonly options: WorldOptions = {},
+    private readonly options: SimulationOptions = {},
   ) {
     this.cpusMax = options.cpusMax ?? 0;
     const cpusMax = this.cpusMax;
     if (options.earlier === true) NODES.forEach((_, i) => this.#earlier.add(i));
     this.network = new Network(this.clock, draw);
     this.network.tap = options.tap ?? null;
-    this.state = new StateStandin(this.network);
+    this.state = new StateEmulator(this.network);
     this.checker = new Checker(30_000, cpusMax);
-    this.cloud = new CloudStandin(this.network, (listed) => this.#worker(listed));
+    this.cloud = new CloudEmulator(this.network, (listed) => this.#worker(listed));
     for (let i = 0; i < NODES.length; i += 1) this.start(i);
     this.#gossip();
   }
@@ -635,7 +635,7 @@
  * The jobs of one pipeline, each submitted as soon as those that it needs are accepted: a
  * chain with branches, some of its jobs cancelled, and at times one job more that comes late.
  */
-export async function playPipeline(world: World, index: number, mostTasks: number): Promise<void> {
+export async function playPipeline(world: Simulation, index: number, mostTasks: number): Promise<void> {
   const { draw, clock } = world;
   const ids: string[] = [];
   const length = 2 + Math.floor(draw() * 5);
@@ -655,7 +655,7 @@
 }
 
 /** Draws a day: jobs arriving, and troubles of every kind the protocol tells of. */
-export function drawDay(world: World, lengthMs: number, faults: number, size = SMALL_DAY): void {
+export function drawDay(world: Simulation, lengthMs: number, faults: number, size = SMALL_DAY): void {
   const { draw, clock, network, state, cloud } = world;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
   cloud.capacity = size.machines;
--- a/test/standins/state.ts
+++ b/test/emulators/state.ts
@@ -14,7 +14,7 @@
 
 const KEPT_CHANGES = 200;
 
-export class StateStandin {
+export class StateEmulator {
   revision = 1;
   readonly keys = new Map<string, Kept>();
   readonly #leases = new Map<number, { life: number; endsAt: number }>();
@@ -288,7 +288,7 @@
 
   constructor(
     private readonly node: string,
-    private readonly service: StateStandin,
+    private readonly service: StateEmulator,
     private readonly timeoutMs: number,
     private readonly clock: { monotonicMs(): number; awake(call: () => void): void },
   ) {}
--- a/test/suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -1,14 +1,14 @@
 /** Faults between controllers: who suspects whom, who leads then, when work goes on. Traces are read by people. */
 import { expect, test } from 'vitest';
-import { seeded, testSettings, World, type Logged } from './standins/world.js';
+import { seeded, testSettings, Simulation, type Logged } from './emulators/simulation.js';
 import { timing } from '../src/settings.js';
 
 const TIMES = timing(testSettings(0));
 const FROM = 20_000;
 
 /** A service at work: a stream of small jobs, so that something starts many times a second. */
-async function atWork(seed = 5): Promise<{ world: World; leader: number }> {
-  const world = new World(seeded(seed), { keepLog: true });
+async function atWork(seed = 5): Promise<{ world: Simulation; leader: number }> {
+  const world = new Simulation(seeded(seed), { keepLog: true });
   world.cloud.capacity = 40;
   const wish = { team: 'crew', tasks: 8, cpus: 2, memoryGb: 1, spot: true };
   for (let i = 0; i < 220; i += 1) {
@@ -26,7 +26,7 @@
 const others = (leader: number): number[] => [0, 1, 2].filter((node) => node !== leader);
 
 /** Lets time pass; the longest time without a start, from a moment on. */
-async function pauseIn(world: World, from: number, to: number): Promise<number> {
+async function pauseIn(world: Simulation, from: number, to: number): Promise<number> {
   let longest = 0;
   let last = from;
   let started = world.checker.started;
@@ -67,13 +67,13 @@
   return `${((at - FROM) / 1000).toFixed(1).padStart(5)} s  ${node}  ${[msg, ...rest, ...loaded].join(': ')}`;
 }
 
-const trace = (world: World): string =>
+const trace = (world: Simulation): string =>
   `${world.logged
     .filter(({ at, msg }) => at >= FROM && TOLD.has(msg))
     .map(told)
     .join('\n')}\n`;
 
-async function endsWell(world: World, name: string): Promise<void> {
+async function endsWell(world: Simulation, name: string): Promise<void> {
   await expect(trace(world)).toMatchFileSnapshot(`traces/between-${name}.txt`);
   await world.clock.runUntil(FROM + 160_000);
   expect(world.checker.broken).toEqual([]);
@@ -81,9 +81,9 @@
   expect([...world.cloud.workers.values()].filter(({ session }) => session > 1)).toEqual([]);
 }
 
-const changes = (world: World): number =>
+const changes = (world: Simulation): number =>
   world.logged.filter(({ at, msg }) => at >= FROM && msg === 'elected').length;
-const givenBack = (world: World): Logged[] =>
+const givenBack = (world: Simulation): Logged[] =>
   world.logged.filter(({ at, msg, reason }) => at >= FROM && msg === 'give back' && reason !== 'idle');
 
 // A crash cost the lease and a report's hearing, whatever all others knew at once.
--- a/test/faults.test.ts
+++ b/test/fault-attribution.test.ts
@@ -3,11 +3,11 @@
 import type { Effect } from '../src/core/effects.js';
 import { isFaultyJob } from '../src/core/placement/index.js';
 import type { ReportedTask } from '../src/core/types.js';
-import { CoreBench, job, report, task } from './standins/core.js';
+import { CoreHarness, job, report, task } from './emulators/core-harness.js';
 
 /** Machines of 8 cpus; tasks of `broken` jobs fail wherever they start, and all do on `faulty` machines. */
 class Floor {
-  readonly bench = new CoreBench();
+  readonly bench = new CoreHarness();
   readonly #on = new Map<string, ReportedTask[]>();
   readonly #seq = new Map<string, number>();
   readonly broken = new Set<string>();
@@ -33,7 +33,7 @@
       this.#seq.set(name, seq);
       const effects = this.bench.hear(report(name, seq, this.#on.get(name) ?? []));
       const on: ReportedTask[] = [];
-      for (const start of CoreBench.starts(effects)) {
+      for (const start of CoreHarness.starts(effects)) {
         const [key = '', attempt = ''] = start.split('#');
         const id = key.split('/')[0] ?? '';
         const fails = this.broken.has(id) || this.faulty.has(name);
--- a/test/guards.test.ts
+++ b/test/fencing.test.ts
@@ -2,11 +2,11 @@
 import { expect, test } from 'vitest';
 import type { JobSpec, Transaction } from '../src/core/types.js';
 import type { Command, Effect } from '../src/core/effects.js';
-import { VirtualClock } from './standins/clock.js';
-import { CoreBench, job, report, task, TERM } from './standins/core.js';
-import { Network } from './standins/network.js';
-import { StateStandin } from './standins/state.js';
-import { seeded } from './standins/world.js';
+import { VirtualClock } from './emulators/clock.js';
+import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { Network } from './emulators/network.js';
+import { StateEmulator } from './emulators/state.js';
+import { seeded } from './emulators/simulation.js';
 
 const commitOf = (effects: readonly Effect[]): { id: number; transaction: Transaction } => {
   const commit = effects.find((effect) => effect.kind === 'commit');
@@ -16,8 +16,8 @@
 const kinds = (effects: readonly Effect[]): string[] => effects.map(({ kind }) => kind);
 
 /** The state service with a term and a job in it, their stamps as the core knows them. */
-function stateService(termRevision: number): StateStandin {
-  const state = new StateStandin(new Network(new VirtualClock(), seeded(1)));
+function stateService(termRevision: number): StateEmulator {
+  const state = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
   state.revision = termRevision - 1;
   state.commit({ preconditions: [], mutations: [{ put: 'term', value: { term: TERM } }] });
   state.commit({ preconditions: [], mutations: [{ put: 'job/req-1', value: { id: 'req-1', tasks: 1 } }] });
@@ -25,8 +25,8 @@
 }
 
 /** A leader that has just put req-1/0 on a machine, its commit on the way. */
-function claimed(): { bench: CoreBench; commit: { id: number; transaction: Transaction } } {
-  const bench = new CoreBench();
+function claimed(): { bench: CoreHarness; commit: { id: number; transaction: Transaction } } {
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   const added = bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), modRevision: 101 } });
   return { bench, commit: commitOf(added) };
@@ -66,7 +66,7 @@
       chunks: new Map(),
     },
   });
-  expect(CoreBench.starts(bench.hear(report('m', 2)))).toEqual([]);
+  expect(CoreHarness.starts(bench.hear(report('m', 2)))).toEqual([]);
 });
 
 test('late transactions: one without an answer and its successor are never both applied', () => {
@@ -87,11 +87,13 @@
 
 test('write before start: nothing is sent before its commit is known', () => {
   const { bench, commit } = claimed();
-  expect(CoreBench.starts(bench.raw({ kind: 'heartbeat', reply: 7, heartbeat: report('m', 2) }))).toEqual([]);
+  expect(CoreHarness.starts(bench.raw({ kind: 'heartbeat', reply: 7, heartbeat: report('m', 2) }))).toEqual(
+    [],
+  );
   bench.now += 1000;
-  expect(CoreBench.starts(bench.raw({ kind: 'tick' }))).toEqual([]); // answered, but without the start
+  expect(CoreHarness.starts(bench.raw({ kind: 'tick' }))).toEqual([]); // answered, but without the start
   bench.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 102 } });
-  expect(CoreBench.starts(bench.raw({ kind: 'heartbeat', reply: 8, heartbeat: report('m', 3) }))).toEqual([
+  expect(CoreHarness.starts(bench.raw({ kind: 'heartbeat', reply: 8, heartbeat: report('m', 3) }))).toEqual([
     'req-1/0#1',
   ]);
 });
@@ -115,8 +117,8 @@
 });
 
 /** req-1/0 runs on machine m. */
-function runningOn(): CoreBench {
-  const bench = new CoreBench();
+function runningOn(): CoreHarness {
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 4, 50));
   bench.hear(report('m', 2));
@@ -124,7 +126,7 @@
   bench.hear(report('n', 1));
   return bench;
 }
-const isFree = (bench: CoreBench): boolean => bench.state.jobs.get('req-1')?.claims.get(0)?.machine !== 'm';
+const isFree = (bench: CoreHarness): boolean => bench.state.jobs.get('req-1')?.claims.get(0)?.machine !== 'm';
 
 test('proof: a report that has not seen our token does not free a task', () => {
   const bench = runningOn();
@@ -159,7 +161,7 @@
 // Work on a machine taken without notice waited a whole lease before it ran elsewhere. But
 // a leader that hears few of its machines has likely lost them for a while, not for good.
 test('a silent machine goes back before its lease ends while most others are heard', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   const hear = (heard: readonly string[], seq: number): Effect[] =>
     heard.flatMap((name) => bench.hear(report(name, seq, [], { zone: name < 'o' ? 'a' : 'b' })));
@@ -169,7 +171,7 @@
   hear(['n', 'o', 'p'], 2);
   expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m'] });
 
-  const few = new CoreBench();
+  const few = new CoreHarness();
   for (const name of names) few.hear(report(name, 1, [], { zone: name < 'o' ? 'a' : 'b' }));
   few.now += shortSilenceTimeoutMs + 500;
   for (const name of ['n', 'p']) few.hear(report(name, 2, [], { zone: name < 'o' ? 'a' : 'b' }));
@@ -181,7 +183,7 @@
 
 test('a zone whose machines all fall silent at once is waited for, not given back', () => {
   // With two zones apart, half of the fleet was given back and booted anew.
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const far = ['p', 'q', 'r', 's'];
   for (const name of far) bench.hear(report(name, 1, [], { zone: 'b' }));
   const silence = bench.state.config.timing.silenceTimeoutMs;
@@ -196,7 +198,7 @@
 
 test('a new leader waits likewise for a zone of which it hears nobody', () => {
   // A crash of the leader while zones were apart had ten machines given back with their tasks.
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const listed = ['p', 'q', 'r', 's'].map((name) => ({
     name,
     address: '10.0.0.1:1',
@@ -214,7 +216,7 @@
 
 test('a wave that takes most machines of a zone is not taken for a cut', () => {
   // Waiting for machines that were gone held their tasks back for 19 s more.
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const far = ['p', 'q', 'r', 's', 't', 'u'];
   for (const name of far) bench.hear(report(name, 1, [], { zone: 'b' }));
   bench.now += bench.state.config.timing.silenceTimeoutMs + 1000;
@@ -223,8 +225,8 @@
 });
 
 /** A new leader that knows its machines from the claims of one job alone, a task on each. */
-function ledOver(spec: JobSpec, machines: readonly string[]): CoreBench {
-  const bench = new CoreBench();
+function ledOver(spec: JobSpec, machines: readonly string[]): CoreHarness {
+  const bench = new CoreHarness();
   const claims = Object.fromEntries(
     machines.map((machine, i) => [i, { attempt: 1, machine, agentEpoch: 1, createdAt: bench.now }]),
   );
@@ -273,7 +275,7 @@
 });
 
 test('authority: the window ends early enough for every lease to run out within cancel_s', () => {
-  const { timing } = new CoreBench().state.config;
+  const { timing } = new CoreHarness().state.config;
   expect(timing.authorityWindowMs + timing.workerLeaseMs).toBeLessThan(timing.cancelTimeoutMs);
 });
 
@@ -307,7 +309,7 @@
 // With hundreds of tasks ending each second, a write for each exit took the whole write
 // budget, and starts waited seconds for theirs.
 test('completion: exits of a job share a write, a start or the end of the job does not wait for them', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 4, 2, 50));
   bench.hear(report('m', 2));
@@ -339,14 +341,14 @@
 });
 
 test('a new leader starts nothing anew that an earlier one may have started', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const claims = { 0: { attempt: 3, machine: 'm', agentEpoch: 1, createdAt: bench.now } };
   bench.takeOver(job('req-1', 1, 4, 50), claims);
   bench.now += 3000;
   // Another machine has room, but the task may be on m: it stays put, with its attempt.
-  expect(CoreBench.starts(bench.hear(report('n', 1)))).toEqual([]);
-  expect(CoreBench.starts(bench.hear(report('m', 1, [], { token: TERM - 1 })))).toEqual([]);
-  expect(CoreBench.starts(bench.hear(report('m', 2)))).toEqual(['req-1/0#3']);
+  expect(CoreHarness.starts(bench.hear(report('n', 1)))).toEqual([]);
+  expect(CoreHarness.starts(bench.hear(report('m', 1, [], { token: TERM - 1 })))).toEqual([]);
+  expect(CoreHarness.starts(bench.hear(report('m', 2)))).toEqual(['req-1/0#3']);
 });
 
 test('a job that failed on the only machine gets another one', () => {
@@ -361,7 +363,7 @@
 
 // A flood of reports under invented names would otherwise take every socket of the leader.
 test('the token is carried only to machines that the cloud or a claim knows', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs } = bench.state.config.timing;
   bench.hear(report('invented', 1, [], { token: 0 }));
   bench.hear(report('listed', 1, [], { token: 0 }));
@@ -404,7 +406,7 @@
 
 // Its record stayed in the state service for ever, with claims that no later leader needed.
 test('a job withdrawn while a write of its chunk is under way: the record goes in the end', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   const commit = commitOf(
     bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), modRevision: 300 } }),
@@ -422,7 +424,7 @@
 
 // It counted for no zone: the machine hung in zone a, and started its task beside two others there.
 test('zones: a claim on a machine that a new leader has not heard of may be in any zone', () => {
-  const lead = (spread: boolean): CoreBench => {
+  const lead = (spread: boolean): CoreHarness => {
     const bench = ledOver(job('req-1', 4, 1, 50, { spread, oneZone: !spread }), ['hung']);
     bench.now += 2000;
     for (const [name, zone] of [
@@ -433,7 +435,7 @@
     bench.do({ kind: 'tick' });
     return bench;
   };
-  const on = (bench: CoreBench): string[] =>
+  const on = (bench: CoreHarness): string[] =>
     [...(bench.state.jobs.get('req-1')?.claims.values() ?? [])].map(({ machine }) => machine).sort();
   expect(on(lead(true))).toEqual(['hung', 'm', 'n']);
   expect(on(lead(false))).toEqual(['hung']);
--- a/test/fingerprint.test.ts
+++ b/test/fingerprint.test.ts
@@ -1,7 +1,7 @@
 /** A day of each kind against the record of all traffic; `npm run fingerprint` compares every recorded day. */
 import { readFileSync } from 'node:fs';
 import { expect, test } from 'vitest';
-import { fingerprintDay, SEEDED_DAYS } from './standins/days.js';
+import { fingerprintDay, SEEDED_DAYS } from './emulators/fingerprint-days.js';
 
 const recorded = readFileSync(new URL('data/fingerprint.txt', import.meta.url), 'utf8')
   .trimEnd()
--- a/test/golden.test.ts
+++ b/test/golden.test.ts
@@ -4,7 +4,7 @@
  */
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { expect, test } from 'vitest';
-import * as messages from './standins/golden-messages.js';
+import * as messages from './emulators/golden-messages.js';
 
 const FILES: readonly (readonly [string, () => string[] | Promise<string[]>])[] = [
   ['peers', messages.peers],
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -29,9 +29,9 @@
 import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../src/wire/peers.js';
 import type { Heartbeat } from '../src/core/types.js';
-import { CoreBench, EIGHT, job, report, task, TERM } from './standins/core.js';
-import { ProcessClock, VirtualClock } from './standins/clock.js';
-import { testSettings, UNSEEN } from './standins/world.js';
+import { CoreHarness, EIGHT, job, report, task, TERM } from './emulators/core-harness.js';
+import { ProcessClock, VirtualClock } from './emulators/clock.js';
+import { testSettings, UNSEEN } from './emulators/simulation.js';
 
 const FLEET = 8000;
 const NAMES = Array.from({ length: FLEET }, (_, i) => `machine-zone-a-${i + 100_000}`);
@@ -223,7 +223,7 @@
 });
 
 /** A node's surroundings, with a core that leads 8,000 machines. */
-function leaderOf(bench: CoreBench): Common {
+function leaderOf(bench: CoreHarness): Common {
   const clock = new ProcessClock(new VirtualClock(), 1, 0);
   return {
     settings: testSettings(0),
@@ -241,7 +241,7 @@
 
 describe('what a controller says of 8,000 machines is the whole', () => {
   test('a leader tells the counts of 8,000 jobs, with the proof', () => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     for (const name of NAMES)
       bench.state.jobs.set(name, {
         finalStage: null,
@@ -262,7 +262,7 @@
   });
 
   test('a follower tells of 8,000 machines that it answers', () => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     bench.state.leadership = null;
     const peering = new Peering(
       leaderOf(bench),
@@ -275,7 +275,7 @@
   });
 
   test('a leader shares reports though 8,000 machines need attention', () => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     for (const name of NAMES) {
       const machine = getOrCreateMachine(bench.state, name, bench.time());
       bench.state.attention.add(machine);
@@ -296,7 +296,7 @@
   });
 
   test('what is added to a follower’s list goes in messages that an earlier one takes', () => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     for (const name of NAMES) getOrCreateMachine(bench.state, name, bench.time());
     const common = leaderOf(bench);
     const sent: AnswersMessage[] = [];
@@ -383,7 +383,7 @@
   });
 
   test('machines that were given back are not taken on again from a list that lags', () => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     const effects: Effect[] = [];
     removeTerminated(bench.state, NAMES, effects);
     const listed = NAMES.map((name) => ({
@@ -400,7 +400,7 @@
   });
 
   test('the ends of as many jobs as are live are remembered', () => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     const asking = Array.from({ length: FLEET }, (_, i) => job(`req-${i}`, 1, 2, 50));
     for (const { id } of asking) bench.state.jobs.set(id, { over: 'done' } as never);
     for (const spec of asking)
@@ -409,7 +409,7 @@
   });
 
   test('a plan covers as many tasks of a job as a fleet of 8,000 has machines', () => {
-    const bench = new CoreBench(0, [EIGHT]);
+    const bench = new CoreHarness(0, [EIGHT]);
     for (const name of NAMES) {
       const machine = getOrCreateMachine(bench.state, name, bench.time());
       Object.assign(machine, { type: 'eight', zone: 'a', spot: true, heardAt: bench.now, whole: true });
--- a/test/leading.test.ts
+++ b/test/leader-role.test.ts
@@ -3,12 +3,12 @@
 import type { StateService } from '../src/adapters/state.js';
 import { Deputy } from '../src/controller/deputy.js';
 import { timing as timingOf } from '../src/settings.js';
-import type { Worker } from './standins/cloud.js';
-import { report, task } from './standins/core.js';
-import { seeded, testSettings, World } from './standins/world.js';
+import type { Worker } from './emulators/cloud.js';
+import { report, task } from './emulators/core-harness.js';
+import { seeded, testSettings, Simulation } from './emulators/simulation.js';
 
 test('a crashed leader is followed by another well within a worker lease', async () => {
-  const world = new World(seeded(5));
+  const world = new Simulation(seeded(5));
   await world.clock.runUntil(10_000);
   const [first] = world.leaders();
   const index = Number(first?.slice(2));
@@ -21,7 +21,7 @@
 test('the badly placed node leads only until a better placed one is back', async () => {
   // With the node after the leader in the leader's own zone, workers of a zone that was cut
   // off tried two nodes in vain and lost their leases before they found the deputy.
-  const world = new World(seeded(5));
+  const world = new Simulation(seeded(5));
   await world.clock.runUntil(10_000);
   world.crash(0, 5000);
   world.crash(1, 5000);
@@ -35,7 +35,7 @@
 // Each change of leader began the wait for silent machines anew: on a recorded day two of
 // them cost 50 tasks on dead machines 9 s more.
 test('no hand-over while machines with tasks have not been heard', async () => {
-  const world = new World(seeded(5));
+  const world = new Simulation(seeded(5));
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 8, cpus: 4, memoryGb: 2, spot: true };
   void world.user({ ...job, zone: null, oneZone: false, spread: false }, null);
@@ -52,7 +52,7 @@
 
 // Reports under invented names cost a leader a connection to each, and the plan its patience.
 test('a flood of malformed requests and invented machines costs no leadership and no lease', async () => {
-  const world = new World(seeded(5), { keepLog: true });
+  const world = new Simulation(seeded(5), { keepLog: true });
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 30, cpus: 2, memoryGb: 2, spot: true };
   void world.user({ ...job, zone: null, oneZone: false, spread: false }, null);
@@ -73,8 +73,8 @@
 });
 
 /** Workers of one zone, all at work for one job. */
-async function atWork(): Promise<{ world: World; workers: Worker[] }> {
-  const world = new World(seeded(8));
+async function atWork(): Promise<{ world: Simulation; workers: Worker[] }> {
+  const world = new Simulation(seeded(8));
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 60, cpus: 8, memoryGb: 2, spot: true };
   void world.user({ ...job, zone: 'a', oneZone: false, spread: false }, null);
@@ -84,7 +84,7 @@
   return { world, workers };
 }
 
-async function endsWell(world: World): Promise<void> {
+async function endsWell(world: Simulation): Promise<void> {
   await world.clock.runUntil(120_000);
   expect(world.checker.broken).toEqual([]);
   expect(world.checker.unfinished()).toEqual([]);
--- a/test/handover.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
 import { claimTask } from '../src/core/persistence/index.js';
-import { CoreBench, job, report, task } from './standins/core.js';
+import { CoreHarness, job, report, task } from './emulators/core-harness.js';
 
 const returned = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
@@ -14,8 +14,8 @@
 function silentAfter(
   deadlineS: number | null,
   silent: readonly string[],
-): { bench: CoreBench; pass: (ms: number) => string[] } {
-  const bench = new CoreBench();
+): { bench: CoreHarness; pass: (ms: number) => string[] } {
+  const bench = new CoreHarness();
   const all = names(10);
   let seq = 1;
   for (const name of all) bench.hear(report(name, seq));
@@ -70,8 +70,8 @@
 });
 
 /** The leader of the next term, which finds machines with tasks by claims and list, and hears some. */
-function successor(hears: number, haunted: boolean): CoreBench {
-  const bench = new CoreBench();
+function successor(hears: number, haunted: boolean): CoreHarness {
+  const bench = new CoreHarness();
   const { layout, legacyChunkTasks } = bench.state;
   const spec = job('req-1', 10, 8, 60);
   bench.do({
@@ -151,7 +151,7 @@
 });
 
 test('a leader that hands over begins nothing new, and answers its workers on', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.hear(report('vm-1', 1));
   bench.do({ kind: 'transferLeadership' });
   bench.add(job('req-1', 1, 8, 60));
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -6,7 +6,7 @@
 import { TABLE, toldEvery, type Table } from '../src/membership/table.js';
 import type { View } from '../src/membership/views.js';
 import { timing } from '../src/settings.js';
-import { testSettings, UNSEEN } from './standins/world.js';
+import { testSettings, UNSEEN } from './emulators/simulation.js';
 
 const TIMES = timing(testSettings(0));
 const TOLD = toldEvery(TIMES);
--- a/test/capacity.test.ts
+++ b/test/planning-equivalence.test.ts
@@ -5,7 +5,7 @@
 import { reserveAcrossMachines, earliestShadow, fits, freeResources } from '../src/core/placement/index.js';
 import { claimTask, addJob } from '../src/core/persistence/index.js';
 import { getOrCreateMachine } from '../src/core/fleet/index.js';
-import { CoreBench, EIGHT, job } from './standins/core.js';
+import { CoreHarness, EIGHT, job } from './emulators/core-harness.js';
 
 const room = fc.record({ cpus: fc.integer({ min: 1, max: 8 }), memoryGb: fc.integer({ min: 1, max: 64 }) });
 const need = room.map((amounts) => ({ ...amounts, gpus: 0 }));
@@ -59,7 +59,7 @@
   const machines = fc.array(fc.array(fc.record({ need, at }), { maxLength: 5 }), { maxLength: 8 });
   fc.assert(
     fc.property(machines, need, (all, of) => {
-      const bench = new CoreBench();
+      const bench = new CoreHarness();
       const { state } = bench;
       const now = bench.time();
       const capacityIndex = all.map((tasks, i) => {
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -1,8 +1,8 @@
 /** Operators' own settings: what the checker finds, and what a sound policy changes. */
 import { describe, expect, test } from 'vitest';
 import { createPolicy, FIGURES, readPolicy, tellFault } from '../src/policy.js';
-import { job } from './standins/core.js';
-import { testSettings } from './standins/world.js';
+import { job } from './emulators/core-harness.js';
+import { testSettings } from './emulators/simulation.js';
 
 const settings = testSettings(0);
 const faults = (text: string): string[] => readPolicy(text, settings).faults.map(tellFault);
--- a/test/reads.test.ts
+++ b/test/read-consistency.test.ts
@@ -6,18 +6,18 @@
 import { JobReads, type FoundJob } from '../src/adapters/reads.js';
 import { HttpStateService, type StateService, type Watch } from '../src/adapters/state.js';
 import { systemClock } from '../src/clock.js';
-import { VirtualClock } from './standins/clock.js';
-import { job } from './standins/core.js';
-import { Network } from './standins/network.js';
-import { StateStandin } from './standins/state.js';
-import { seeded, testSettings } from './standins/world.js';
+import { VirtualClock } from './emulators/clock.js';
+import { job } from './emulators/core-harness.js';
+import { Network } from './emulators/network.js';
+import { StateEmulator } from './emulators/state.js';
+import { seeded, testSettings } from './emulators/simulation.js';
 
 const RPS = 100;
 
 /** A state service that takes some time for each answer, which is as of the moment it is given. */
 class Slow {
   readonly clock = new VirtualClock();
-  readonly store = new StateStandin(new Network(this.clock, seeded(1)));
+  readonly store = new StateEmulator(new Network(this.clock, seeded(1)));
   readonly asked: string[] = [];
   down = false;
   readonly reads: JobReads;
--- a/test/ready.test.ts
+++ b/test/readiness.test.ts
@@ -1,10 +1,10 @@
 /** When a node says that it can take requests. */
 import { expect, test } from 'vitest';
-import { seeded, World } from './standins/world.js';
+import { seeded, Simulation } from './emulators/simulation.js';
 
 test('followers without users stay ready while the state service answers them', async () => {
   // They heard of it only when their long watch ended, and called themselves refused.
-  const world = new World(seeded(3));
+  const world = new Simulation(seeded(3));
   for (let at = 2000; at <= 40_000; at += 500) {
     await world.clock.runUntil(at);
     expect(world.ready(), `at ${at} ms`).toEqual([true, true, true]);
@@ -12,7 +12,7 @@
 });
 
 test('a node that alone is refused by the state service goes unready, and comes back', async () => {
-  const world = new World(seeded(3));
+  const world = new Simulation(seeded(3));
   await world.clock.runUntil(10_000);
   world.state.refuse('n-1', 8000);
   await world.clock.runUntil(16_000);
@@ -22,7 +22,7 @@
 });
 
 test('in an outage that hits all, nodes stay ready and answer 503', async () => {
-  const world = new World(seeded(3));
+  const world = new Simulation(seeded(3));
   await world.clock.runUntil(10_000);
   world.state.outage(10_000);
   await world.clock.runUntil(18_000);
@@ -31,7 +31,7 @@
 
 // It stayed in the load balancer's list, and answered each user 503, while the others could have served them.
 test('a node that neither the state service nor a peer answers says that it is not ready', async () => {
-  const world = new World(seeded(3));
+  const world = new Simulation(seeded(3));
   await world.clock.runUntil(10_000);
   world.state.refuse('n-1', 8000);
   for (const other of ['n-0', 'n-2']) world.network.cut('n-1', other, 8000);
--- a/test/hearing.test.ts
+++ b/test/response-tracking.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest';
 import { isSchedulable } from '../src/core/fleet/index.js';
 import type { Effect } from '../src/core/effects.js';
-import { CoreBench, job, report, task, TERM } from './standins/core.js';
+import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
 
 const returned = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
@@ -10,24 +10,24 @@
 /** A worker without an answer gives it up after 4 s, and tries another controller a second later. */
 const UNANSWERED = 5000;
 
-function usable(bench: CoreBench, name: string): boolean {
+function usable(bench: CoreHarness, name: string): boolean {
   const machine = bench.state.machines.get(name);
   return machine !== undefined && isSchedulable(bench.state, machine, bench.time());
 }
 
 /** Others report in their rhythm, so that only one machine is in question. */
-function others(bench: CoreBench, seq: number): void {
+function others(bench: CoreHarness, seq: number): void {
   for (const name of ['n', 'o', 'p', 'q']) bench.hear(report(name, seq));
 }
 
 /** Machine m reports, and hears nothing of what it is told. */
-function deaf(): { bench: CoreBench; seq: number } {
-  const bench = new CoreBench();
+function deaf(): { bench: CoreHarness; seq: number } {
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.now += 1000;
   bench.hear(report('m', 2));
   bench.add(job('req-1', 1, 8, 60));
-  expect(CoreBench.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
+  expect(CoreHarness.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
   others(bench, 1);
   return { bench, seq: 3 };
 }
@@ -82,7 +82,7 @@
 });
 
 test('a session that moves on although it was answered is a reason for doubt', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.now += UNANSWERED;
   bench.hear(report('m', 2));
@@ -96,7 +96,7 @@
 
 // Where this node's own words get lost, all machines seem deaf: none of them is to blame.
 test('many that do not hear are one event: none is given back for it', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   let gone: string[] = [];
   for (let seq = 1; seq < 9; seq += 1) {
@@ -123,7 +123,7 @@
 
 // Copies of a dead machine's reports come in order: to a leader that never heard it they look like its own.
 test('late copies after a takeover: a machine that never shows our token is not kept alive by them', async () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const { workerLeaseMs, silenceTimeoutMs } = bench.state.config.timing;
   others(bench, 1);
   const gone: string[] = [];
--- a/test/retransmission.test.ts
+++ b/test/retransmission.test.ts
@@ -8,7 +8,7 @@
 import { HttpStateService } from '../src/adapters/state.js';
 import { systemClock } from '../src/clock.js';
 import { timing } from '../src/settings.js';
-import { testSettings } from './standins/world.js';
+import { testSettings } from './emulators/simulation.js';
 
 test('the timer follows what answers take, doubles without one, and stays within its bounds', () => {
   const timer = new RetransmissionTimer(500, 2000);
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -8,14 +8,14 @@
 import { Users } from '../src/adapters/users.js';
 import { systemClock } from '../src/clock.js';
 import { parseReport } from '../src/wire/workers.js';
-import { TYPES } from './standins/cloud.js';
-import { VirtualClock } from './standins/clock.js';
-import { Network } from './standins/network.js';
-import { StateStandin } from './standins/state.js';
-import { seeded } from './standins/world.js';
+import { TYPES } from './emulators/cloud.js';
+import { VirtualClock } from './emulators/clock.js';
+import { Network } from './emulators/network.js';
+import { StateEmulator } from './emulators/state.js';
+import { seeded } from './emulators/simulation.js';
 import type { StateService } from '../src/adapters/state.js';
 
-const state = new StateStandin(new Network(new VirtualClock(), seeded(1)));
+const state = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
 let down = false;
 const service: StateService = {
   read: (key) => Promise.resolve(down ? 'unknown' : { entry: state.read(key) }),
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -12,10 +12,10 @@
 import { timing } from '../src/settings.js';
 import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
 import { encodeIntake, StatusReader } from '../src/wire/peers.js';
-import { atWork, CANCEL, DEPUTY_SEED, endsWell } from './standins/at-work.js';
-import { ProcessClock, VirtualClock } from './standins/clock.js';
-import { CoreBench, job, report, task, TERM } from './standins/core.js';
-import { drawDay, NODES, seeded, testSettings, World } from './standins/world.js';
+import { atWork, CANCEL, DEPUTY_SEED, endsWell } from './emulators/busy-cluster.js';
+import { ProcessClock, VirtualClock } from './emulators/clock.js';
+import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { drawDay, NODES, seeded, testSettings, Simulation } from './emulators/simulation.js';
 
 const TIMES = timing(testSettings(0));
 const RUNNING = [task('req-1/0', 1, 'running')];
@@ -251,11 +251,11 @@
 
 describe('a heartbeat', () => {
   const machineOf = (
-    bench: CoreBench,
+    bench: CoreHarness,
   ): { lastHeartbeatAt: number | null; heartbeatSequence: number; claims: ReadonlyMap<string, unknown> } =>
     bench.state.machines.get('m') as never;
-  const running = (): CoreBench => {
-    const bench = new CoreBench();
+  const running = (): CoreHarness => {
+    const bench = new CoreHarness();
     bench.hear(report('m', 1));
     bench.add(job('req-1', 1, 4, 50));
     bench.hear(report('m', 2));
@@ -283,7 +283,7 @@
   });
 
   test('of a machine that has not shown this leader its token changes nothing', () => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     bench.hear(report('m', 1, [], { token: TERM - 1 }));
     const { lastHeartbeatAt } = machineOf(bench);
     bench.now += 1000;
@@ -295,8 +295,8 @@
 describe('followers learn of a machine to which there is something to say', () => {
   const told = (effects: readonly Effect[]): string[] =>
     effects.flatMap((effect) => (effect.kind === 'attention' ? effect.machines : []));
-  const idle = (): CoreBench => {
-    const bench = new CoreBench();
+  const idle = (): CoreHarness => {
+    const bench = new CoreHarness();
     bench.hear(report('m', 1));
     bench.hear(report('m', 2));
     return bench;
@@ -335,7 +335,7 @@
 
 /** A leader's side of shared reports over a core with machines, and followers that are driven by hand. */
 class LeaderBench {
-  readonly core = new CoreBench();
+  readonly core = new CoreHarness();
   readonly world = new VirtualClock();
   readonly clock = new ProcessClock(this.world, 1, 0);
   readonly pushed: string[] = [];
@@ -431,7 +431,7 @@
 });
 
 test('a report forwarded late was heard when it came to the follower', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.do({ kind: 'heartbeat', reply: 1, heartbeat: report('m', 1), ageMs: 800 });
   expect(bench.state.machines.get('m')?.lastHeartbeatAt).toBe(bench.now - 800);
 });
@@ -552,7 +552,7 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 2, max: 14 }),
       async (seed, faults) => {
-        const world = new World(seeded(seed), { copies: true, sharing: true });
+        const world = new Simulation(seeded(seed), { copies: true, sharing: true });
         drawDay(world, 90_000, faults, { jobs: 16, mostTasks: 6, machines: 8, onCall: true });
         await world.clock.runUntil(240_000);
         world.checker.lookForForgotten(130_000, 240_000);
--- a/test/days.test.ts
+++ b/test/simulated-runs.test.ts
@@ -1,15 +1,15 @@
 /** The whole service through drawn days, every rule of the protocol checked by an outsider. */
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
-import { Checker } from './standins/checker.js';
-import { drawDay, seeded, TIGHT, World, type DaySize } from './standins/world.js';
+import { Checker } from './emulators/checker.js';
+import { drawDay, seeded, TIGHT, Simulation, type DaySize } from './emulators/simulation.js';
 
 const DAY = 90_000;
 /** Long enough after the last fault for every lease, boot and return. */
 const REST = 150_000;
 
-async function playDay(seed: number, faults: number, cpusMax: number, size?: DaySize): Promise<World> {
-  const world = new World(seeded(seed), { cpusMax, copies: size?.onCall === true });
+async function playDay(seed: number, faults: number, cpusMax: number, size?: DaySize): Promise<Simulation> {
+  const world = new Simulation(seeded(seed), { cpusMax, copies: size?.onCall === true });
   drawDay(world, DAY, faults, size);
   await world.clock.runUntil(DAY + REST);
   // The last trouble lasts no longer than this.
@@ -76,8 +76,8 @@
  * An upgrade: all controllers begin as the version before, end and come back new one by one,
  * die in between, and some time after the last the state service's limits shrink.
  */
-async function playUpgrade(seed: number, faults: number): Promise<World> {
-  const world = new World(seeded(seed), { limits: TIGHT, earlier: true });
+async function playUpgrade(seed: number, faults: number): Promise<Simulation> {
+  const world = new Simulation(seeded(seed), { limits: TIGHT, earlier: true });
   const { draw, clock } = world;
   const wide: DaySize = { jobs: 12, mostTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
   drawDay(world, DAY, faults, wide);
--- a/test/closer.test.ts
+++ b/test/stale-reads.test.ts
@@ -3,10 +3,10 @@
 import type { Transaction } from '../src/core/types.js';
 import { createElection, electionStep, type ElectionEffect } from '../src/membership/election.js';
 import { timing } from '../src/settings.js';
-import { atWork, CANCEL, endsWell, FROM, LEASE } from './standins/at-work.js';
-import { CoreBench, job, report, task } from './standins/core.js';
-import { partZones } from './standins/troubles.js';
-import { NODES, seeded, testSettings, World } from './standins/world.js';
+import { atWork, CANCEL, endsWell, FROM, LEASE } from './emulators/busy-cluster.js';
+import { CoreHarness, job, report, task } from './emulators/core-harness.js';
+import { partZones } from './emulators/faults.js';
+import { NODES, seeded, testSettings, Simulation } from './emulators/simulation.js';
 
 const PLACE = { team: 'crew', cpus: 2, memoryGb: 1, spot: true, zone: null, oneZone: false, spread: false };
 
@@ -15,11 +15,11 @@
   ({ mutations }: Transaction): boolean =>
     mutations.some((write) => 'put' in write && write.put.startsWith(prefix));
 
-const crashLeader = (world: World, downMs: number): void =>
+const crashLeader = (world: Simulation, downMs: number): void =>
   world.crash(NODES.indexOf(world.leaders()[0] ?? ''), downMs);
 
 /** Lets time pass, a little at a time, until something holds. */
-async function passUntil(world: World, holds: () => boolean, mostMs = 60_000): Promise<void> {
+async function passUntil(world: Simulation, holds: () => boolean, mostMs = 60_000): Promise<void> {
   const until = world.clock.now + mostMs;
   while (!holds()) {
     expect(world.clock.now).toBeLessThan(until);
@@ -29,7 +29,7 @@
 
 // 1. Users ask at all nodes, and repeat the submission, within milliseconds after each answer that is news.
 test.each([3, 5, 8])('close looks: no node answers anything older (%d)', async (seed) => {
-  const world = new World(seeded(seed));
+  const world = new Simulation(seeded(seed));
   world.closeLooks(60_000);
   world.cancelAtEnd(0.5, 60_000);
   for (let i = 0; i < 30; i += 1) {
@@ -47,7 +47,7 @@
   ['claims', 'run/'],
   ['an ending', 'ended/'],
 ])('only the answer is lost: %s', async (_, prefix) => {
-  const world = new World(seeded(4), { keepLog: true });
+  const world = new Simulation(seeded(4), { keepLog: true });
   await world.clock.runUntil(3000);
   let lost = 0;
   world.state.onceLost(() => (lost = world.clock.now));
@@ -146,7 +146,7 @@
   ['hanging', 3],
 ] as const)('at the limit: cancelled work on machines %s counts through %d leaders', async (how, leaders) => {
   const limit = 6;
-  const world = new World(seeded(6), { cpusMax: limit });
+  const world = new Simulation(seeded(6), { cpusMax: limit });
   world.cloud.capacity = 8;
   const { clock, checker, network, cloud } = world;
   const teams = ['crew', 'guests'];
@@ -183,7 +183,7 @@
 });
 
 test('odd requests: repeats cost no changes, nothing impossible or incomplete is accepted', async () => {
-  const world = new World(seeded(5), { cpusMax: 6 });
+  const world = new Simulation(seeded(5), { cpusMax: 6 });
   const { clock, state } = world;
   await clock.runUntil(3000);
   for (let i = 0; i < 6; i += 1) {
@@ -276,7 +276,7 @@
 test.each([11, 12, 13, 14])(
   'machines up before any list tells of them, writes that lag, the leader ends (%d)',
   async (seed) => {
-    const world = new World(seeded(seed));
+    const world = new Simulation(seeded(seed));
     const { clock, checker, cloud, state } = world;
     cloud.capacity = 12;
     cloud.quick(60_000);
@@ -334,7 +334,7 @@
 
 // 7. One-task jobs come four a second, a quarter of them cancelled.
 test('one-task jobs, four a second, a quarter cancelled: each costs five changes, and all keep up', async () => {
-  const world = new World(seeded(9));
+  const world = new Simulation(seeded(9));
   const { clock, state, checker, cloud } = world;
   cloud.capacity = 8;
   state.limits = { rps: 250, write_rps: 40, value_kb: 32, txn_ops: 32 };
@@ -373,22 +373,22 @@
 
 // Cancelled meanwhile, as another controller confirmed, it would start all the same.
 test('a leader whose view is not fresh starts nothing that was claimed before', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 4, 50));
   bench.proven = false;
   bench.now += bench.state.config.timing.leaderLeaseMs + 1;
   const blind = bench.hear(report('m', 2));
   expect(blind.some((effect) => effect.kind === 'reply' && effect.body.kind === 'commands')).toBe(true);
-  expect(CoreBench.starts(blind)).toEqual([]);
+  expect(CoreHarness.starts(blind)).toEqual([]);
   bench.proven = true;
   bench.now += 1000;
-  expect(CoreBench.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
+  expect(CoreHarness.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
 });
 
 // Called directly it answered, so it was never given back; its tasks had long lost their lease.
 test('a machine that reaches no controller, and lost its lease, is given back although it answers calls', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const { silenceTimeoutMs, tickMs, workerLeaseMs } = bench.state.config.timing;
   for (const name of ['n', 'o', 'p']) bench.hear(report(name, 1));
   bench.takeOver(job('req-1', 1, 4, 50), {
@@ -428,9 +428,9 @@
 
 // Each new leader began to wait anew: through ten leaders in two minutes a cancelled task kept its place.
 test('a machine that no leader has heard is given back sooner if it holds cancelled work', () => {
-  const { shortSilenceTimeoutMs, tickMs } = new CoreBench().state.config.timing;
+  const { shortSilenceTimeoutMs, tickMs } = new CoreHarness().state.config.timing;
   const returnedAfter = (cancelled: boolean): number => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     bench.takeOver(job('req-1', 1, 4, 50), {
       0: { attempt: 1, machine: 'm', agentEpoch: 1, createdAt: bench.now },
     });
--- a/test/promises.test.ts
+++ b/test/starvation.test.ts
@@ -4,7 +4,7 @@
 import { waitingJobs, whyWaits } from '../src/core/placement/index.js';
 import type { JobState } from '../src/core/model.js';
 import type { JobSpec, ReportedTask } from '../src/core/types.js';
-import { CoreBench, job, report, task } from './standins/core.js';
+import { CoreHarness, job, report, task } from './emulators/core-harness.js';
 
 const stops = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) =>
@@ -19,10 +19,10 @@
 
 /** One machine of 8 cpus, whose reports are answered, and a tick before each. */
 class Shift {
-  readonly bench: CoreBench;
+  readonly bench: CoreHarness;
   #seq = 0;
   constructor(cpusMax = 0) {
-    this.bench = new CoreBench(cpusMax);
+    this.bench = new CoreHarness(cpusMax);
     this.hear([]);
   }
   add(spec: JobSpec): void {
@@ -51,11 +51,11 @@
   // One is enough, with as long as it needs to save; its room is not free before it is gone.
   expect(stops(told)).toHaveLength(1);
   expect(stops(told)[0]).toMatch(/^req-1\/[01] grace 3$/);
-  expect(CoreBench.starts(told)).toEqual([]);
+  expect(CoreHarness.starts(told)).toEqual([]);
   const [stopped, other] = stops(told)[0]?.startsWith('req-1/0') === true ? [0, 1] : [1, 0];
   const left = task(`req-1/${other}`, 1, 'running');
-  expect(CoreBench.starts(shift.hear([left, task(`req-1/${stopped}`, 1, 'saving')], 1000))).toEqual([]);
-  expect(CoreBench.starts(shift.hear([left, task(`req-1/${stopped}`, 1, 'exited', 'stopped')]))).toEqual([
+  expect(CoreHarness.starts(shift.hear([left, task(`req-1/${stopped}`, 1, 'saving')], 1000))).toEqual([]);
+  expect(CoreHarness.starts(shift.hear([left, task(`req-1/${stopped}`, 1, 'exited', 'stopped')]))).toEqual([
     'req-2/0#1',
   ]);
   shift.hear([left, task('req-2/0', 1, 'running')], 1000);
@@ -63,7 +63,7 @@
   expect(['req-1', 'req-2', 'req-3'].map(why)).toEqual(['first in the queue', null, 'waits for room']);
   // What was stopped goes on before what came after it.
   const after = shift.hear([left, task('req-2/0', 1, 'exited', 'done')]);
-  expect(CoreBench.starts(after)).toEqual([`req-1/${stopped}#2`]);
+  expect(CoreHarness.starts(after)).toEqual([`req-1/${stopped}#2`]);
   await shift.bench.keep('preemption');
 });
 
@@ -128,7 +128,7 @@
   while (begun < 0 && bench.now - from < 400_000) {
     shift.add(job(`req-${100 + next}`, 1, 4, 25));
     next += 1;
-    const starts = CoreBench.starts(shift.hear(on, 1000));
+    const starts = CoreHarness.starts(shift.hear(on, 1000));
     on = on.filter(({ job: id }) => id !== 'done');
     for (const start of starts) {
       const [, id = '', index = '', attempt = ''] = /^(.+)\/(\d+)#(\d+)$/.exec(start) ?? [];
@@ -142,7 +142,7 @@
     if (ended.length > 0) {
       const rest = on.filter((one) => !ended.includes(one));
       const said = ended.map(({ job: id, attempt }) => task(`${id}/0`, attempt, 'exited', 'done'));
-      const more = CoreBench.starts(shift.hear([...rest, ...said]));
+      const more = CoreHarness.starts(shift.hear([...rest, ...said]));
       if (more.some((start) => start.startsWith('req-9'))) begun = bench.now - from;
       for (const start of more)
         on.push(task(start.split('#')[0] ?? '', Number(start.split('#')[1]), 'running'));
@@ -202,7 +202,7 @@
   expect([...bench.state.guaranteedJobs].map(({ spec }) => spec.id)).toEqual(['req-2']);
   const left = task('req-1/1', 1, 'running');
   const gone = task('req-1/0', 1, 'exited', 'stopped');
-  expect(CoreBench.starts(shift.hear([left, gone]))).toEqual(['req-2/0#1']);
+  expect(CoreHarness.starts(shift.hear([left, gone]))).toEqual(['req-2/0#1']);
   // The second exceeds the guarantee together with the first: it waits like any other.
   expect(stops(shift.hear([left, task('req-2/0', 1, 'running')], 5000))).toEqual([]);
   await bench.keep('guarantee');
@@ -224,7 +224,7 @@
 
 // An array of 20,000 short tasks took the processor that the leader needed to hear its workers.
 test('a leader behind its timers places only so many of what could wait, and all that cannot', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   const names = Array.from({ length: 20 }, (_, i) => `m${i}`);
   for (const name of names) bench.hear(report(name, 1));
   bench.state.isOverloaded = true;
@@ -254,7 +254,7 @@
   shift.add(job('req-1', 100_000, 1, 3));
   let on: ReportedTask[] = [];
   for (let round = 0; round < 40; round += 1) {
-    const starts = CoreBench.starts(shift.hear(on, 1000));
+    const starts = CoreHarness.starts(shift.hear(on, 1000));
     on = starts.map((start) =>
       task(start.split('#')[0] ?? '', Number(start.split('#')[1]), 'exited', 'done'),
     );
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -17,8 +17,8 @@
   packDemand,
   parseChunkKey,
 } from '../src/core/persistence/index.js';
-import { CoreBench, job, report, task, TERM } from './standins/core.js';
-import { seeded, testSettings, TIGHT, UNSEEN, World } from './standins/world.js';
+import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { seeded, testSettings, TIGHT, UNSEEN, Simulation } from './emulators/simulation.js';
 
 interface Kept {
   readonly revision: number;
@@ -28,7 +28,7 @@
 const production = JSON.parse(readFileSync(new URL('data/production.json', import.meta.url), 'utf8')) as Kept;
 
 test('what production has stored is taken over, narrowed, and brought to its end', async () => {
-  const world = new World(seeded(3), { limits: TIGHT });
+  const world = new Simulation(seeded(3), { limits: TIGHT });
   world.shrink();
   world.cloud.capacity = 12;
   world.state.revision = production.revision;
@@ -83,7 +83,7 @@
 });
 
 test('a controller that is not known to be new keeps the format back; service goes on', async () => {
-  const world = new World(seeded(6), { limits: TIGHT, earlier: true });
+  const world = new Simulation(seeded(6), { limits: TIGHT, earlier: true });
   world.upgrade(0, 2000);
   world.upgrade(1, 2000);
   const place = { cpus: 1, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
@@ -188,8 +188,8 @@
   );
 
 /** A leader with eight tasks of a large job on a machine, as production writes them. */
-function leading(): CoreBench {
-  const bench = new CoreBench(0, undefined, TIGHT);
+function leading(): CoreHarness {
+  const bench = new CoreHarness(0, undefined, TIGHT);
   bench.hear(report('m', 1));
   bench.add(job('req-1', 60, 1, 500));
   bench.hear(report('m', 2));
@@ -212,7 +212,7 @@
 });
 
 test('after a crash on the way over, each task counts as its narrowest record says', () => {
-  const bench = new CoreBench(0, undefined, TIGHT);
+  const bench = new CoreHarness(0, undefined, TIGHT);
   const settings = testSettings(0, 0, TIGHT);
   const format = formatRecord(settings, null);
   const of = { team: 'crew', cpus: 1, gpus: 0, memoryGb: 1, attempts: {} };
@@ -242,7 +242,7 @@
 
 // A transaction that the state service will never take was sent again at every tick.
 test('what is refused for its size is split, then left for a while, and never sent for ever', () => {
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   let sent = 0;
   let effects = bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 8, 1, 50), modRevision: 101 } });
