--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -1,4 +1,4 @@
-/** The command line, as its user sees it. */
+/** The command line as users see it. */
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -21,7 +21,7 @@
   return { code, out, err };
 }
 
-test('help and version end well', async () => {
+test('help and version exit with 0', async () => {
   const help = await run('--help');
   expect(help.code).toBe(0);
   for (const verb of ['serve', 'check', 'submit', 'show', 'withdraw', 'status'])
@@ -41,7 +41,7 @@
   expect(err).toHaveLength(1);
 });
 
-test('bad settings end a start with one line that names the field, exit 2', async () => {
+test('serve refuses invalid settings with one line that names the field and exits with 2', async () => {
   const bad = file('bad.json', JSON.stringify({ ...testSettings(0), peer_bind: 'here' }));
   expect(await run('serve', '--settings', bad)).toEqual({
     code: 2,
@@ -51,14 +51,14 @@
   expect((await run('serve', '--settings', join(folder, 'none.json'))).code).toBe(2);
 });
 
-test('a policy fault refuses the start', async () => {
+test('serve refuses an invalid policy', async () => {
   const policy = file('bad.policy', 'headroom = 99.0\n');
   const { code, err } = await run('serve', '--settings', good, '--policy', policy);
   expect(code).toBe(2);
   expect(err).toEqual(['rowanferry: 1:12: headroom can be 99, and must be 0 to 10']);
 });
 
-test('check lists all faults, or says that there are none', async () => {
+test('check lists every fault, or states that there are none', async () => {
   expect(await run('check', '--settings', good)).toEqual({ code: 0, out: ['no faults'], err: [] });
   const bad = file(
     'two.json',
@@ -69,7 +69,7 @@
   expect(err.map((line) => line.split(': ')[1])).toEqual(['host_name', 'zone']);
 });
 
-test('an unreachable service: one line, exit 1', async () => {
+test('an unreachable service is reported in one line and exits with 1', async () => {
   const { code, err } = await run('show', 'req-1', '--server', '127.0.0.1:1');
   expect(code).toBe(1);
   expect(err).toEqual(['rowanferry: no answer from 127.0.0.1:1']);
--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -1,4 +1,4 @@
-/** When two troubles meet: the users' list, and days on which any two or three of all troubles do. */
+/** Two or three faults at the same time: named combinations and randomly drawn ones. */
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
@@ -11,10 +11,10 @@
 test.each([
   ['one follower', 0, 'none'],
   ['the other follower', 1, 'none'],
-  ['one, and machines that reach the leader alone', 0, 'alone'],
-  ['one, and the leader ends in the outage and is back within a second', 1, 'back'],
-  ['one, and a deputy in the other zone that is refused as well', 0, 'deputy'],
-])('the gap: refused alone, cancellations confirmed by %s, then down for all', async (_, follower, more) => {
+  ['one follower, machines reach only the leader', 0, 'alone'],
+  ['one follower, the leader restarts within a second', 1, 'back'],
+  ['one follower, the one in the other zone is refused too', 0, 'deputy'],
+])('cancelled tasks stop in a store outage: cancellation confirmed by %s', async (_, follower, more) => {
   // The deputy is to stand alone in its zone, so that another seed's leader serves.
   const { world, leader, others, ids } = await atWork(more === 'deputy' ? DEPUTY_SEED : 3);
   const { clock, state, checker } = world;
@@ -58,7 +58,7 @@
   await endsWell(world, 400_000);
 });
 
-test('the gap: a cancellation told while a write of its job is looked up stops its tasks at once', () => {
+test('a cancellation learned while a write of its job is reconciled stops its tasks at once', () => {
   const bench = new CoreHarness();
   const commitOf = (effects: readonly Effect[]): number =>
     effects.flatMap((effect) => (effect.kind === 'commit' ? [effect.id] : []))[0] ?? 0;
@@ -89,7 +89,7 @@
 });
 
 // The fleet that had lost its leases was given back, and booted anew, as soon as the state service was back.
-test('the gap: machines that went on reporting through an outage are not silent at its end', () => {
+test('machines that kept reporting through a store outage are not silent at its end', () => {
   const bench = new CoreHarness();
   const { workerLeaseMs, tickMs } = bench.state.config.timing;
   const names = ['m', 'n', 'o', 'p'];
@@ -126,7 +126,7 @@
 });
 
 // 1. A transaction without an answer is carried out late, after newer ones.
-test('late transactions: a withdrawal carried out after the job was called done changes nothing', async () => {
+test('delayed transactions: a cancellation applied after the job was reported done changes nothing', async () => {
   const { world, others, ids } = await atWork(3, { jobs: 1, runs: [24_000, 0] });
   const [id = ''] = ids;
   const at = NODES[others[0] ?? 0] ?? '';
@@ -146,7 +146,7 @@
   await endsWell(world);
 });
 
-test('late transactions: claims carried out after newer ones of the same chunk, then a new leader', async () => {
+test('delayed transactions: claims applied after newer ones of the same chunk survive a failover', async () => {
   const world = new Simulation(seeded(4), { keepLog: true });
   const id = 'req-000000';
   // A task fills a machine, and machines come one after another.
@@ -184,7 +184,7 @@
 });
 
 // 2. Jobs of two or three tasks end far apart across a change of leader.
-test('ends far apart: each end known to one leader alone, `done` neither early nor lost nor counted twice', async () => {
+test('task ends seen by different leaders make a job done exactly once, neither early nor lost', async () => {
   const { world, ids } = await atWork(3, { jobs: 2, runs: [22_000, 14_000] });
   const { clock, checker } = world;
   const started = checker.started;
@@ -203,7 +203,7 @@
 });
 
 // 3. An old report arrives after newer ones.
-test('old reports: a successor that has heard nothing takes no end of an earlier attempt for the present one', () => {
+test('stale heartbeats: a new leader does not take the end of an earlier attempt for the current one', () => {
   const bench = new CoreHarness();
   const claims = { 0: { attempt: 2, machine: 'm', agentEpoch: 3, createdAt: bench.now } };
   bench.takeOver(job('req-1', 1, 4, 50), claims);
@@ -226,7 +226,7 @@
 });
 
 // 4. A leader is cut from the state service and its peers; workers and users still reach it.
-test('a leader cut off with its workers and users: cancelled elsewhere, gone in time, no older answer', async () => {
+test('a leader partitioned with its workers and users: cancelled tasks stop in time, no stale read', async () => {
   const { world, leader, others, ids } = await atWork();
   const { clock, checker } = world;
   const alone = NODES[leader] ?? '';
@@ -255,7 +255,7 @@
 test.each([
   ['within its lease', 0.7 * LEASE],
   ['across its lease', 1.2 * LEASE],
-])('a machine that hangs %s, its leader gone meanwhile: nothing runs twice', async (_, hangs) => {
+])('a machine paused %s during a leader crash runs nothing twice', async (_, hangs) => {
   const { world, leader } = await atWork();
   const { clock, cloud, checker } = world;
   const [name = ''] = cloud.workers.keys();
@@ -280,7 +280,7 @@
 // 6. Leaders end while machines with long tasks cannot be reached. Whether a worker finds a controller within its
 // lease after such a cut is a matter of its own rhythm; what the service does must not add to what is lost by it.
 test.each([3, 4, 5, 6, 7, 8])(
-  'machines out of reach through three leaders: their claims outlive them all, nothing else is started anew (%d)',
+  'claims of unreachable machines survive three failovers, and no task is restarted needlessly (%d)',
   async (seed) => {
     const { world } = await atWork(seed);
     const { clock, cloud, checker } = world;
@@ -300,7 +300,7 @@
 );
 
 // 7. The state service answers slowly, or refuses the leader and then everybody, while users cancel and ask.
-test('a slow state service, withdrawals of unknown outcome: no older answer, and answers come back', async () => {
+test('a slow store and cancellations of unknown outcome cause no stale read, and answers resume', async () => {
   const { world, ids } = await atWork();
   const { clock, state } = world;
   state.slow(3500, 25_000);
@@ -320,7 +320,7 @@
 
 // 8. Controllers hand over and back, all end, and one returns, also within a second.
 test.each([100, 900, 5000])(
-  'all end, one returns alone after %d ms and serves; its tasks go on',
+  'after a crash of all, one node back alone after %d ms serves; tasks go on',
   async (after) => {
     const { world, ids } = await atWork();
     const { clock, checker } = world;
@@ -356,7 +356,7 @@
   return { world, met };
 }
 
-test('days on which two or three troubles meet: no rule is broken, all that was accepted ends', async () => {
+test('under two or three concurrent faults no rule is violated and every accepted job ends', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
--- a/test/correlated-failures.test.ts
+++ b/test/correlated-failures.test.ts
@@ -1,4 +1,4 @@
-/** Many machines lost at once: what is given back, what runs again, and what a cut-off leader must not ask for. */
+/** Many machines lost at once: what is terminated, what runs again, and what a partitioned leader must not request. */
 import { expect, test } from 'vitest';
 import { RetryBudget } from '../src/adapters/limiter.js';
 import { countLostObjectives, isStartSensitive, latestStart } from '../src/core/jobs/index.js';
@@ -15,7 +15,7 @@
 
 // Of two start aims of a class the last one in the settings won: a class that must start within
 // three seconds was served as one that may wait for fifty.
-test('a class may have any number of aims of each kind, and each counts by itself', () => {
+test('a class may have several objectives of each kind, and each counts separately', () => {
   const aims = classAims([
     { kind: 'wait', class: 'rush', within_s: 3 },
     { kind: 'wait', class: 'rush', within_s: 50 },
@@ -47,7 +47,7 @@
 
 // A cut held back the returns that a leader had asked for on the wrong side of it; carried out
 // when it ended, they took a third of the fleet from its successor, alive and at work.
-test('a leader whose view is not proven fresh asks nothing of the cloud', () => {
+test('a leader whose view is stale requests nothing from the cloud', () => {
   const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   for (const name of names) bench.hear(report(name, 1));
@@ -87,7 +87,7 @@
 }
 
 // Rush work waited 41 s for a zone to come back whose leases had long ended.
-test('of a zone that is cut off, what would be late by waiting runs again once its leases are over', () => {
+test('tasks of a partitioned zone that waiting would make late run again after lease expiry', () => {
   expect(returned(apart(50).do({ kind: 'tick' }))).toEqual(FAR);
   expect(returned(apart(null).do({ kind: 'tick' }))).toEqual([]);
   // One that hears nobody at all has lost the workers, not they their zone.
@@ -96,7 +96,7 @@
 
 // Each change of leader during a cut began the wait anew: a zone was given back six seconds
 // before it came back.
-test('how long a zone has been quiet outlives the leader that saw it', () => {
+test('the time since a zone fell silent survives a change of leader', () => {
   const before = apart(45);
   const { timing } = before.state.config;
   const jobs = [...before.state.jobs.values()].map(({ spec, modRevision }) => ({ value: spec, modRevision }));
@@ -139,7 +139,7 @@
 });
 
 // What ran on a machine with a notice was lost with it, and found lost only 10 s after.
-test('a machine with a notice is drained of what would not end there, and goes back when it is taken', () => {
+test('a machine with a termination notice is drained of tasks that cannot finish, and terminated when reclaimed', () => {
   const bench = new CoreHarness();
   for (const name of ['m', 'n', 'o', 'p']) bench.hear(report(name, 1));
   bench.add(job('req-1', 2, 4, 100));
@@ -157,7 +157,7 @@
 });
 
 // Fifty machines each three seconds: a fleet of 600 took 13 s to be asked for.
-test('all machines that a plan wants are asked for at once, evenly among zones of one price', () => {
+test('scale-out requests all planned machines at once, evenly over zones of equal price', () => {
   const bench = new CoreHarness(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
   bench.now += 1000;
   bench.add(job('req-1', 200, 8, 50));
@@ -173,7 +173,7 @@
 
 // A dead machine's tasks waited 11 s to run again: as long as a worker may take that has lost
 // its controller and tries the others.
-test('a machine that twice takes no connection, while most around it are heard, is given up', () => {
+test('a machine that fails two probes while most of its neighbours report is terminated', () => {
   const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs, shortSilenceTimeoutMs } = bench.state.config.timing;
   const others = ['n', 'o', 'p'];
@@ -210,7 +210,7 @@
 });
 
 // A report on its way when the knock met nobody is the newer word.
-test('what a knock met counts for nothing once the machine is heard again', () => {
+test('a probe result is discarded once the machine reports again', () => {
   const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs } = bench.state.config.timing;
   for (const name of ['m', 'n', 'o']) bench.hear(report(name, 1));
@@ -228,7 +228,7 @@
 
 // In an outage of the state service each poll and submission went out to it, and all that waited
 // for the cloud was asked anew every second.
-test('a service in trouble is asked only so often, until it answers', () => {
+test('the retry budget limits requests to a failing service until it answers', () => {
   let now = 0;
   const budget = new RetryBudget(
     {
--- a/test/dag-dependencies.test.ts
+++ b/test/dag-dependencies.test.ts
@@ -1,4 +1,4 @@
-/** Jobs that wait for others: kept traces, and a test for each guard. */
+/** Jobs with dependencies: kept traces, and a test for each guard. */
 import { expect, test } from 'vitest';
 import type { Command, Effect } from '../src/core/effects.js';
 import { resolvedUntil } from '../src/core/jobs/index.js';
@@ -48,7 +48,7 @@
   return run;
 }
 
-test('a chain: each job starts at once when the one before it is committed as done', async () => {
+test('chain: each job starts as soon as its predecessor is committed as done', async () => {
   const run = runner();
   const { bench } = run;
   bench.add(piped('req-1', []));
@@ -62,7 +62,7 @@
   await bench.keep('chain');
 });
 
-test('a diamond: the last job waits for both branches', async () => {
+test('diamond: the last job waits for both branches', async () => {
   const run = runner();
   const { bench } = run;
   bench.add(piped('req-1', []));
@@ -79,7 +79,7 @@
   await bench.keep('diamond');
 });
 
-test('a fan: a cancelled job takes along all that need it, in as many transactions as it takes', async () => {
+test('fan-out: cancelling a job cancels all its dependents, in as many transactions as needed', async () => {
   const run = runner();
   const { bench } = run;
   bench.add(piped('req-1', []));
@@ -98,7 +98,7 @@
   await bench.keep('fan-cancelled');
 });
 
-test('too early: a job whose last exit is seen but not committed is not done', () => {
+test('a job whose last exit is reported but not committed is not done', () => {
   const run = runner();
   const { bench } = run;
   bench.add(piped('req-1', []));
@@ -117,7 +117,7 @@
   expect(bench.state.jobs.get('req-2')?.claims.size).toBe(0);
 });
 
-test('what is awaited and not known is asked for; only a committed done makes ready', () => {
+test('an unknown dependency is looked up, and only a committed done satisfies it', () => {
   const { bench } = runner();
   expect(questions(bench.add(piped('req-2', ['req-1'])))).toEqual(['req-1']);
   const claims = (): number => bench.state.jobs.get('req-2')?.claims.size ?? 0;
@@ -135,7 +135,7 @@
   expect(claims()).toBe(1);
 });
 
-test('a job that waits is neither the head nor counted as waiting, and blocks nobody', async () => {
+test('a job with open dependencies is neither head nor counted as waiting, and blocks no other', async () => {
   const run = runner();
   const { bench } = run;
   bench.add(job('req-1', 1, 6, 100));
@@ -147,7 +147,7 @@
   await bench.keep('waiting-job');
 });
 
-test('priority and deadline are passed back through the pipeline', () => {
+test('priority and deadline propagate to the dependencies of a job', () => {
   const { bench } = runner();
   bench.add(piped('req-1', [], { priority: 3 }));
   bench.add(piped('req-2', ['req-1'], { priority: 3 }));
@@ -160,7 +160,7 @@
   expect(first?.inheritedDeadline).toBeGreaterThan(last - 160_000);
 });
 
-test('a leader vouches for cancellations only up to what it has carried through', () => {
+test('a leader confirms cancellations only up to those it has propagated to dependents', () => {
   const { bench } = runner();
   bench.add(piped('req-1', []));
   bench.add(piped('req-2', ['req-1']));
--- a/test/easy-backfilling.test.ts
+++ b/test/easy-backfilling.test.ts
@@ -1,4 +1,4 @@
-/** The paper's rule, as traces kept beside: commands in (>), effects out (<). */
+/** EASY backfilling and the order of the queue. Traces in test/traces/: commands in (>), effects out (<). */
 import { expect, test } from 'vitest';
 import { mayBackfill, waitingJobs } from '../src/core/placement/index.js';
 import { isDeadlineAtRisk } from '../src/core/jobs/index.js';
@@ -13,11 +13,11 @@
 
 const room = (cpus: number) => ({ cpus, gpus: 0, memoryGb: cpus });
 
-test('a task that ends by the shadow time may pass the head whatever it takes', () => {
+test('a task that ends by the shadow time may be backfilled whatever resources it needs', () => {
   expect(mayBackfill({ shadow: 100, extra: room(0) }, room(8), 100)).toBe(true);
 });
 
-test('a task that runs past the shadow time may pass only within the extra room', () => {
+test('a task that runs past the shadow time may be backfilled only within the extra resources', () => {
   expect(mayBackfill({ shadow: 100, extra: room(4) }, room(4), 500)).toBe(true);
   expect(mayBackfill({ shadow: 100, extra: room(4) }, room(5), 101)).toBe(false);
 });
@@ -34,7 +34,7 @@
   return bench;
 }
 
-test('backfilling: short enough for the shadow time, or small enough for the extra room', async () => {
+test('a job is backfilled if it ends by the shadow time or fits the extra resources', async () => {
   const bench = blockedHead();
   const running = [task('req-1/0', 1, 'running')];
   bench.add(job('req-3', 1, 4, 500)); // neither: 4 cpus past the shadow, extra is 2
@@ -45,7 +45,7 @@
   await bench.keep('backfill');
 });
 
-test('extra room is used up: a second long task that would fit it alone must wait', async () => {
+test('extra resources are consumed: a second long task that would fit them alone waits', async () => {
   const bench = blockedHead();
   const running = [task('req-1/0', 1, 'running')];
   bench.add(job('req-3', 1, 2, 500));
@@ -54,7 +54,7 @@
   await bench.keep('extra-room');
 });
 
-test('an early end lets the head start at once, ahead of what stands behind it', async () => {
+test('an early task end starts the head job at once, ahead of the jobs behind it', async () => {
   const bench = blockedHead();
   bench.add(job('req-3', 1, 4, 500));
   bench.now += 10_000;
@@ -63,7 +63,7 @@
   await bench.keep('early-end');
 });
 
-test('only the head is protected: the second job may be passed again and again', async () => {
+test('only the head job holds a reservation: the second job may be overtaken repeatedly', async () => {
   const bench = blockedHead();
   bench.add(job('req-3', 1, 8, 50)); // the second, wants the whole machine
   bench.add(job('req-4', 1, 2, 400)); // delays req-3, but not req-2
@@ -72,7 +72,7 @@
   await bench.keep('second-job');
 });
 
-test('an overrunning task goes on, and is expected to end an allowance from now', () => {
+test('a task past its estimate continues and is expected to end one allowance from now', () => {
   const bench = blockedHead();
   const before = bench.state.head?.shadowTime ?? 0;
   bench.now += 150_000;
@@ -89,7 +89,7 @@
   expect(before).toBeLessThan(bench.now);
 });
 
-test('a head that never fits gets no shadow time and holds nobody up', async () => {
+test('a head job that can never fit gets no shadow time and blocks no other job', async () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 8, 50, { zone: 'elsewhere' }));
@@ -99,7 +99,7 @@
   await bench.keep('never-fits');
 });
 
-test('a service counts as never ending: nobody is promised its room', () => {
+test('a service is taken to run for ever: its resources are in no reservation', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 6, 0, { form: 'service' }));
@@ -108,7 +108,7 @@
   expect(bench.state.head).toMatchObject({ job: 'req-2', shadowTime: null });
 });
 
-test('a gang starts whole or not at all', () => {
+test('gang scheduling starts all tasks of a gang or none', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 3, 4, 50, { form: 'gang' }));
@@ -118,7 +118,7 @@
   expect(CoreHarness.starts(both).sort()).toEqual(['req-1/0#1', 'req-1/1#1', 'req-1/2#1']);
 });
 
-test('jobs of a team at its limit are skipped, and count until proven gone', () => {
+test('jobs of a team at its quota are skipped, and tasks count until proven gone', () => {
   const bench = new CoreHarness(6);
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 4, 50));
@@ -131,7 +131,7 @@
   expect(CoreHarness.starts(after)).toEqual(['req-2/0#1']);
 });
 
-test('a job that can no longer be in time stands behind one that can', () => {
+test('a job that can no longer meet its deadline queues behind one that can', () => {
   const bench = new CoreHarness();
   bench.add(job('req-1', 1, 8, 50, { deadlineS: 60, submittedAt: bench.now - 50_000 }));
   bench.add(job('req-2', 1, 8, 50, { deadlineS: 100, submittedAt: bench.now }));
@@ -153,7 +153,7 @@
 const onLarge = (bench: CoreHarness): string[] =>
   CoreHarness.starts(bench.hear(report('l', 4, [task('req-1/0', 1, 'running')], { type: 'large' })));
 
-test('room that only one type has is kept from jobs with a choice, by the same two tests', () => {
+test('resources that only one machine type has are reserved for constrained jobs by the same two tests', () => {
   const bench = scarceLarge();
   bench.add(job('req-3', 1, 8, 500, { priority: 1, submittedAt: bench.now, deadlineS: 5000 })); // fits the extra room
   bench.add(job('req-4', 1, 8, 500, { priority: 1, submittedAt: bench.now, deadlineS: 5000 })); // does not any more
@@ -161,7 +161,7 @@
   expect(onLarge(bench)).toEqual(['req-3/0#1', 'req-5/0#1']);
 });
 
-test('a job of higher priority that must start now goes before what the room is kept for', () => {
+test('a job of higher priority that must start now precedes the job that resources are reserved for', () => {
   const bench = scarceLarge();
   bench.add(job('req-3', 1, 16, 500, { priority: 1, submittedAt: bench.now, deadlineS: 600 }));
   expect(onLarge(bench)).toEqual(['req-3/0#1']);
@@ -169,7 +169,7 @@
 
 // In a burst every task was placed just before its start aim ran out, and then lacked the
 // second that a start needs to reach its machine: all were late, where most could be in time.
-test('what can no longer start in time, its way to the machine counted, stands behind what can', () => {
+test('a job that can no longer start in time, with its start latency, queues behind one that can', () => {
   const bench = new CoreHarness();
   startWithin(bench, 'class', 5000);
   const { maxHeartbeatIntervalMs } = bench.state.config.timing;
@@ -182,7 +182,7 @@
 
 // Once late for its start, a rush job kept off the machines that others need for good, and
 // missed its deadline beside free room.
-test('a job that missed its start aim is pressed again when its deadline comes near', () => {
+test('a job that missed its start objective is at risk again when its deadline approaches', () => {
   const bench = new CoreHarness();
   startWithin(bench, 'class', 5000);
   const pressedAt = (ageS: number): boolean => {
@@ -196,7 +196,7 @@
 
 // Most pressed first, a job of many tasks took the room of several that could have been in
 // time, and was late itself.
-test('of pressed jobs, the one with the least work waiting comes first', () => {
+test('of jobs whose deadline is at risk, the one with the least waiting work comes first', () => {
   const bench = new CoreHarness();
   const pressed = (id: string, tasks: number, deadlineS: number): void => {
     bench.add(job(id, tasks, 8, 10, { deadlineS, submittedAt: bench.now }));
@@ -213,7 +213,7 @@
 
 // With the fleet full, freed room went to whoever waited, on whichever machine: a rush task got
 // its turn soon, but on a machine without its image, and was late by the fetch.
-test('room is kept for hurried classes, on the machines with most images', () => {
+test('headroom is reserved for start-sensitive classes on the machines with most cached images', () => {
   const bench = new CoreHarness();
   startWithin(bench, 'rush', 3000);
   const rush = job('req-9', 1, 2, 20, { jobClass: 'rush', priority: 1 });
@@ -240,7 +240,7 @@
   ).toHaveLength(2);
 });
 
-test('room for those with a choice is not kept on a type that others can run on nothing else', () => {
+test('headroom for unconstrained jobs is not reserved on a type that others solely depend on', () => {
   // Large machines stood half empty for small rush tasks while large jobs waited.
   const large = { ...EIGHT, name: 'large', cpus: 64, memoryGb: 256 };
   const bench = new CoreHarness(0, [EIGHT, large]);
--- a/test/election-model.test.ts
+++ b/test/election-model.test.ts
@@ -8,7 +8,7 @@
     ? { depth: deep, faults: 4, states: 700_000, settleEvery: 50 }
     : { depth: 9, faults: 3, states: 60_000, settleEvery: 20 };
 
-test('no two leaders write, leadership settles: every interleaving up to a depth', () => {
+test('in every interleaving up to a depth no two leaders write and leadership settles', () => {
   const found = explore(BOUNDS);
   if (deep > 0) console.log(`${found.states} states`);
   expect(found.path).toEqual([]);
@@ -17,16 +17,16 @@
 }, 3_600_000);
 
 const MUTANTS: readonly Mutant[] = [
-  'stands without the condition on the term',
-  'names without the condition on the record',
-  'takes an unknown outcome for its own',
+  'campaigns without the term precondition',
+  'transfers leadership without the record precondition',
+  'takes an unknown outcome for success',
   'takes any record of the term for its own',
-  'goes on after its lease has ended',
-  'hands over for ever',
+  'continues after its lease has expired',
+  'transfers leadership for ever',
   'follows no record',
 ];
 
-test.each(MUTANTS)('the explorer catches a machine that %s', (mutant) => {
+test.each(MUTANTS)('the explorer detects a mutant that %s', (mutant) => {
   const found = explore({ ...BOUNDS, settleEvery: 1 }, mutant);
   expect(found.broken.length).toBeGreaterThan(0);
 });
--- a/test/emulators/election-explorer.ts
+++ b/test/emulators/election-explorer.ts
@@ -52,12 +52,12 @@
 
 /** A guard left out; each must be caught. */
 export type Mutant =
-  | 'stands without the condition on the term'
-  | 'names without the condition on the record'
-  | 'takes an unknown outcome for its own'
+  | 'campaigns without the term precondition'
+  | 'transfers leadership without the record precondition'
+  | 'takes an unknown outcome for success'
   | 'takes any record of the term for its own'
-  | 'goes on after its lease has ended'
-  | 'hands over for ever'
+  | 'continues after its lease has expired'
+  | 'transfers leadership for ever'
   | 'follows no record';
 
 export interface Found {
@@ -119,9 +119,9 @@
 
   /** Some guards are left out by what the machine is told. */
   #bend(election: ElectionState, event: ElectionEvent): ElectionEvent {
-    if (this.mutant === 'takes an unknown outcome for its own' && event.kind === 'stood')
+    if (this.mutant === 'takes an unknown outcome for success' && event.kind === 'stood')
       return event.outcome === 'unknown' ? { ...event, outcome: 'applied', revision: 1 } : event;
-    if (this.mutant === 'goes on after its lease has ended' && event.kind === 'renewed')
+    if (this.mutant === 'continues after its lease has expired' && event.kind === 'renewed')
       return { ...event, alive: true };
     if (this.mutant === 'takes any record of the term for its own' && event.kind === 'checked') {
       const { leader } = event;
@@ -132,7 +132,7 @@
         };
     }
     if (
-      this.mutant === 'goes on after its lease has ended' &&
+      this.mutant === 'continues after its lease has expired' &&
       event.kind === 'read' &&
       election.holding !== null
     )
@@ -148,8 +148,9 @@
   #apply({ store }: Scene, txn: Transaction): number | null {
     const leaderRevision = store.leader?.modRevision ?? 0;
     const termRevision = store.term?.modRevision ?? 0;
-    const free = this.mutant === 'stands without the condition on the term' && txn.kind === 'stand';
-    const loose = this.mutant === 'names without the condition on the record' && txn.kind === 'name';
+    const free = this.mutant === 'campaigns without the term precondition' && txn.kind === 'stand';
+    const loose =
+      this.mutant === 'transfers leadership without the record precondition' && txn.kind === 'name';
     if (!free && txn.termRevision !== termRevision && !loose) return null;
     if (!free && !loose && txn.leaderRevision !== leaderRevision) return null;
     if (!store.leases.includes(txn.lease)) return null;
@@ -336,7 +337,7 @@
     const round = (): void => {
       const renewed = new Set<number>();
       for (const node of scene.nodes) {
-        if (this.mutant === 'hands over for ever' && node.election.phase === 'holding')
+        if (this.mutant === 'transfers leadership for ever' && node.election.phase === 'holding')
           this.tell(scene, node, {
             kind: 'handOver',
             to: NODES.find((name) => name !== node.election.node) as string,
--- a/test/failure-suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -1,4 +1,4 @@
-/** Faults between controllers: who suspects whom, who leads then, when work goes on. Traces are read by people. */
+/** Faults between controllers: suspicion, failover, and when starts continue. Traces are in test/traces/. */
 import { expect, test } from 'vitest';
 import { seeded, testSettings, Simulation, type Logged } from './emulators/simulation.js';
 import { timing } from '../src/settings.js';
@@ -87,7 +87,7 @@
   world.logged.filter(({ at, msg, reason }) => at >= FROM && msg === 'give back' && reason !== 'idle');
 
 // A crash cost the lease and a report's hearing, whatever all others knew at once.
-test('a crashed leader is followed before its lease is over, and starts go on', async () => {
+test('a crashed leader is replaced before its lease expires, and starts continue', async () => {
   const { world, leader } = await atWork();
   world.crash(leader, 60_000);
   expect(await pauseIn(world, FROM, FROM + 15_000)).toBeLessThan(
@@ -101,7 +101,7 @@
 });
 
 // It kept its lease for 45 s, and nothing was started while two healthy controllers stood by.
-test('a leader that hears no worker hands over to one that can reach them', async () => {
+test('a leader without heartbeats transfers leadership to a node that reaches the workers', async () => {
   const { world, leader } = await atWork();
   for (const name of world.cloud.workers.keys()) world.network.cut(`n-${leader}`, name, 40_000);
   expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(
@@ -113,7 +113,7 @@
 });
 
 // The one that had handed over was elected again, heard nobody, and 1,787 tasks lost their lease.
-test('a node that reaches no machine is not elected again while another is left', async () => {
+test('a node that reaches no machine is not re-elected while another candidate is left', async () => {
   const { world, leader } = await atWork();
   // No new machine, which could reach it.
   world.cloud.capacity = 0;
@@ -134,7 +134,7 @@
 });
 
 // The old leader knew nothing of it and answered the workers for 28 s; the new one gave 200 machines back.
-test('peers refused, then a change of leader: the new one gets the workers, and gives none back', async () => {
+test('when peer links are refused, a new leader takes over the workers and terminates none', async () => {
   const { world, leader } = await atWork();
   world.refusePeers(45_000);
   await world.clock.runUntil(FROM + 3000);
@@ -145,7 +145,7 @@
   await endsWell(world, 'refused-peers');
 });
 
-test('peers refused and nothing else: nobody stands, nobody is judged, no worker is kept', async () => {
+test('refused peer links alone cause no election, no suspicion and no lost worker', async () => {
   const { world, leader } = await atWork();
   world.refusePeers(30_000);
   expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(2 * TIMES.maxHeartbeatIntervalMs);
@@ -153,7 +153,7 @@
   await endsWell(world, 'only-refused');
 });
 
-test('a stall of half a lease changes nothing; one of two leases changes the leader once', async () => {
+test('a pause of half a lease changes nothing; one of two leases changes the leader once', async () => {
   const short = await atWork();
   short.world.freeze(short.leader, 0.5 * TIMES.leaderLeaseMs);
   await pauseIn(short.world, FROM, FROM + 10_000);
@@ -170,7 +170,7 @@
 });
 
 // A leader that computed four times slower kept the lead however far it was behind.
-test('a leader that falls behind its own timers hands over, and once only', async () => {
+test('an overloaded leader transfers leadership exactly once', async () => {
   const { world, leader } = await atWork();
   world.slow(leader, 2 * TIMES.tickMs);
   await pauseIn(world, FROM, FROM + 15_000);
@@ -182,7 +182,7 @@
 });
 
 // Each time it came back it got the lead, and was frozen again.
-test('leadership is not handed back at once to a node that flaps', async () => {
+test('leadership is not transferred back at once to a flapping node', async () => {
   const { world, leader } = await atWork();
   for (const at of [0, 9000, 18_000])
     world.clock.in(at, () => world.freeze(leader, 1.5 * TIMES.leaderLeaseMs));
@@ -193,7 +193,7 @@
 
 // The state service keeps only so many changes: a watch of the record from when it was written ended at
 // once, again and again, and three controllers asked 280,000 times on a day.
-test('however many changes there were, the leader record is asked for only so often', async () => {
+test('the rate of leader record watches is bounded, whatever the number of revisions', async () => {
   const { world } = await atWork();
   while (world.state.revision < 500) await world.clock.runUntil(world.clock.now + 1000);
   let asked = 0;
@@ -206,7 +206,7 @@
   expect(asked).toBeLessThan(150);
 });
 
-test('two of three controllers crash at once: the third leads, and starts go on', async () => {
+test('when two of three controllers crash at once, the third leads and starts continue', async () => {
   const { world, leader } = await atWork();
   world.crash(leader, 8000);
   world.crash(others(leader)[0] as number, 8000);
@@ -216,7 +216,7 @@
 });
 
 // Its workers reach it, nobody else does: each second in which it keeps them is one in which nothing starts.
-test('a leader alone with its workers lets them go to its successor, which gives none of them back', async () => {
+test('a leader partitioned with its workers releases them to its successor, which terminates none', async () => {
   const { world, leader } = await atWork();
   const alone = `n-${leader}`;
   world.state.refuse(alone, 30_000);
@@ -230,7 +230,7 @@
   await endsWell(world, 'alone');
 });
 
-test('a leader that is back within a tenth of a second, again and again in the election, holds nothing up', async () => {
+test('a leader that restarts within 100 ms, repeatedly during the election, delays nothing', async () => {
   const { world, leader } = await atWork();
   for (const at of [0, 150, 400, 900]) world.clock.in(at, () => world.crash(leader, 60));
   world.clock.in(500, () => world.crash(others(leader)[0] as number, 60));
--- a/test/fault-attribution.test.ts
+++ b/test/fault-attribution.test.ts
@@ -1,4 +1,4 @@
-/** Jobs with a mistake and faulty machines, told apart by what fails where. */
+/** Faulty jobs and faulty machines are told apart by which tasks fail where. */
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
 import { isFaultyJob } from '../src/core/placement/index.js';
@@ -62,7 +62,7 @@
 const MACHINES = ['m', 'n', 'o', 'p', 'q'];
 
 // Two jobs with a mistake cost each machine they met its place, and what ran there: 20 machines in a day.
-test('jobs that fail on every machine cost no machine its place', () => {
+test('jobs that fail on every machine have no machine terminated', () => {
   const floor = new Floor(MACHINES);
   for (const id of ['req-1', 'req-2', 'req-3']) {
     floor.broken.add(id);
@@ -73,7 +73,7 @@
   expect(['req-1', 'req-2', 'req-3'].map((id) => floor.isAtFault(id))).toEqual([true, true, true]);
 });
 
-test('what a job was a witness to is taken back once it fails elsewhere too', () => {
+test('evidence against a machine is withdrawn once the job fails on other machines too', () => {
   const floor = new Floor(['m', 'n', 'o', 'p', 'q']);
   const { state } = floor.bench;
   const machine = (name: string) => state.machines.get(name);
@@ -87,7 +87,7 @@
   expect(floor.names.filter((name) => machine(name)?.failedJobs.size !== 0)).toEqual([]);
 });
 
-test('a machine on which several jobs fail that complete elsewhere goes back', () => {
+test('a machine on which several jobs fail that complete elsewhere is terminated', () => {
   const floor = new Floor(MACHINES);
   floor.faulty.add('o');
   for (const id of ['req-1', 'req-2', 'req-3', 'req-4']) floor.add(id, 12, 2, 20);
@@ -96,7 +96,7 @@
   expect(['req-1', 'req-2', 'req-3', 'req-4'].some((id) => floor.isAtFault(id))).toBe(false);
 });
 
-test('both kinds at once are told apart', () => {
+test('faulty jobs and faulty machines at the same time are told apart', () => {
   const floor = new Floor(MACHINES);
   floor.faulty.add('o');
   floor.broken.add('req-9');
@@ -113,7 +113,7 @@
   expect([[...fresh.returned], fresh.isAtFault('req-9')]).toEqual([[], true]);
 });
 
-test('one at fault is tried one task at a time, ever more rarely, and holds no room', () => {
+test('a faulty job is retried one task at a time with backoff, and reserves no resources', () => {
   const floor = new Floor(MACHINES);
   const { state } = floor.bench;
   floor.broken.add('req-1');
@@ -140,7 +140,7 @@
   expect(gaps.every((gap, i) => i === 0 || gap >= (gaps[i - 1] ?? 0))).toBe(true);
 });
 
-test('one at fault that succeeds later is a job like any other', async () => {
+test('a faulty job that succeeds later is scheduled normally again', async () => {
   const floor = new Floor(MACHINES);
   floor.broken.add('req-1');
   floor.add('req-1', 4, 8, 20);
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -1,4 +1,4 @@
-/** One test for each guard that docs/safety.md argues with; each fails when its guard is taken out. */
+/** One test for each guard of docs/safety.md; each fails without its guard. */
 import { expect, test } from 'vitest';
 import type { JobSpec, Transaction } from '../src/core/types.js';
 import type { Command, Effect } from '../src/core/effects.js';
@@ -32,14 +32,14 @@
   return { bench, commit: commitOf(added) };
 }
 
-test('term: what an earlier leader has sent fails once a later one is elected', () => {
+test('term: a write of an earlier leader fails once a later one is elected', () => {
   const { commit } = claimed();
   const state = stateService(100);
   state.commit({ preconditions: [], mutations: [{ put: 'term', value: { term: TERM + 1 } }] });
   expect(state.commit(commit.transaction)).toEqual({ kind: 'failed', keys: ['term'] });
 });
 
-test('term: a leader whose commit fails for its term steps down', () => {
+test('term: a leader whose commit fails on the term precondition steps down', () => {
   const { bench, commit } = claimed();
   const effects = bench.raw({
     kind: 'committed',
@@ -49,7 +49,7 @@
   expect(kinds(effects)).toContain('steppedDown');
 });
 
-test('cancellation: a start that is committed after it fails, and is never sent', () => {
+test('cancellation: a start committed after it fails and is never sent', () => {
   const { bench, commit } = claimed();
   const state = stateService(100);
   state.commit({
@@ -69,7 +69,7 @@
   expect(CoreHarness.starts(bench.hear(report('m', 2)))).toEqual([]);
 });
 
-test('late transactions: one without an answer and its successor are never both applied', () => {
+test('delayed transactions: one with unknown outcome and its retry are never both applied', () => {
   const { bench, commit: lost } = claimed();
   const state = stateService(100);
   expect(kinds(bench.raw({ kind: 'committed', id: lost.id, outcome: { kind: 'unknown' } }))).toContain(
@@ -85,7 +85,7 @@
   expect(state.commit(lost.transaction).kind).toBe('failed');
 });
 
-test('write before start: nothing is sent before its commit is known', () => {
+test('write-ahead: no start is sent before its commit is known', () => {
   const { bench, commit } = claimed();
   expect(CoreHarness.starts(bench.raw({ kind: 'heartbeat', reply: 7, heartbeat: report('m', 2) }))).toEqual(
     [],
@@ -106,7 +106,7 @@
   ],
 });
 
-test('direct commands never carry a start', () => {
+test('direct commands never carry a task start', () => {
   const { bench } = claimed();
   bench.hear(report('other', 1, [], { token: TERM - 1 }));
   bench.do(listedAs('other'));
@@ -128,25 +128,25 @@
 }
 const isFree = (bench: CoreHarness): boolean => bench.state.jobs.get('req-1')?.claims.get(0)?.machine !== 'm';
 
-test('proof: a report that has not seen our token does not free a task', () => {
+test('release: a heartbeat without the current fencing token does not release a task', () => {
   const bench = runningOn();
   bench.hear(report('m', 4, [], { token: TERM - 1 }));
   expect(isFree(bench)).toBe(false);
 });
 
-test('proof: an older report that arrives late changes nothing', () => {
+test('release: a stale heartbeat that arrives late changes nothing', () => {
   const bench = runningOn();
   expect(kinds(bench.hear(report('m', 2)))).toEqual(['reply']);
   expect(isFree(bench)).toBe(false);
 });
 
-test('proof: the answer to a direct command does not free a task', () => {
+test('release: the response to a direct command does not release a task', () => {
   const bench = runningOn();
   bench.do({ kind: 'directAnswer', heartbeat: report('m', 9) });
   expect(isFree(bench)).toBe(false);
 });
 
-test('proof: silence frees nothing; the machine is given back, and the confirmation frees it', async () => {
+test('release: silence releases nothing; the machine is terminated, and the confirmation releases its task', async () => {
   const bench = runningOn();
   bench.now += 12_000;
   bench.hear(report('n', 2));
@@ -160,7 +160,7 @@
 
 // Work on a machine taken without notice waited a whole lease before it ran elsewhere. But
 // a leader that hears few of its machines has likely lost them for a while, not for good.
-test('a silent machine goes back before its lease ends while most others are heard', () => {
+test('a silent machine is terminated before its lease expires while most others report', () => {
   const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   const hear = (heard: readonly string[], seq: number): Effect[] =>
@@ -181,7 +181,7 @@
   expect(few.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m', 'o'] });
 });
 
-test('a zone whose machines all fall silent at once is waited for, not given back', () => {
+test('a zone whose machines all fall silent at once is treated as partitioned, not terminated', () => {
   // With two zones apart, half of the fleet was given back and booted anew.
   const bench = new CoreHarness();
   const far = ['p', 'q', 'r', 's'];
@@ -196,7 +196,7 @@
   expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: far });
 });
 
-test('a new leader waits likewise for a zone of which it hears nobody', () => {
+test('a new leader also treats a zone without any heartbeat as partitioned', () => {
   // A crash of the leader while zones were apart had ten machines given back with their tasks.
   const bench = new CoreHarness();
   const listed = ['p', 'q', 'r', 's'].map((name) => ({
@@ -214,7 +214,7 @@
   expect(kinds(bench.do({ kind: 'tick' }))).not.toContain('terminate');
 });
 
-test('a wave that takes most machines of a zone is not taken for a cut', () => {
+test('the loss of most machines of a zone is not taken for a partition', () => {
   // Waiting for machines that were gone held their tasks back for 19 s more.
   const bench = new CoreHarness();
   const far = ['p', 'q', 'r', 's', 't', 'u'];
@@ -234,14 +234,14 @@
   return bench;
 }
 
-test('machines that a new leader knows from claims alone are no zone of their own', () => {
+test('machines that a new leader knows only from claims do not count as a partitioned zone', () => {
   // They had been withdrawn, stood in no list, and were waited for like a zone cut off.
   const bench = ledOver(job('req-1', 3, 4, 50), ['p', 'q', 'r']);
   bench.now += bench.state.config.timing.silenceTimeoutMs + 1000;
   expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['p', 'q', 'r'] });
 });
 
-test('proof: a failed return frees nothing and is tried again', () => {
+test('release: a failed termination releases nothing and is retried', () => {
   const bench = runningOn();
   bench.now += 12_000;
   bench.do({ kind: 'tick' });
@@ -250,7 +250,7 @@
   expect(bench.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m'] });
 });
 
-test('proof: a new session, or a newer report with our token, frees what it lacks', () => {
+test('release: a new agent epoch, or a newer heartbeat with the fencing token, releases tasks it does not list', () => {
   const bench = runningOn();
   bench.hear(report('m', 1, [], { agentEpoch: 2, token: 0 }));
   expect(isFree(bench) || bench.state.jobs.get('req-1')?.claims.get(0)?.agentEpoch === 2).toBe(true);
@@ -259,7 +259,7 @@
   expect(other.state.jobs.get('req-1')?.attempts.get(0)).toBe(2);
 });
 
-test('authority: past its window a leader answers 503, and a fresh read renews it', () => {
+test('authority: after its window a leader answers 503 until a fresh read renews it', () => {
   const bench = runningOn();
   const { authorityWindowMs } = bench.state.config.timing;
   bench.proven = false;
@@ -274,19 +274,19 @@
   );
 });
 
-test('authority: the window ends early enough for every lease to run out within cancel_s', () => {
+test('authority: the window ends early enough for every lease to expire within cancel_s', () => {
   const { timing } = new CoreHarness().state.config;
   expect(timing.authorityWindowMs + timing.workerLeaseMs).toBeLessThan(timing.cancelTimeoutMs);
 });
 
-test('a higher token seen by a worker, or told by a peer, ends the leadership at once', () => {
+test('a higher fencing token from a worker or a peer ends the leadership at once', () => {
   const seen = runningOn();
   expect(kinds(seen.hear(report('m', 4, [], { token: TERM + 1 })))).toEqual(['steppedDown', 'reply']);
   const told = runningOn();
   expect(kinds(told.do({ kind: 'higherTokenSeen', token: TERM + 1 }))).toContain('steppedDown');
 });
 
-test('completion: an exit is committed before the worker may forget it', () => {
+test('completion: an exit is committed before the worker is told to forget it', () => {
   const bench = runningOn();
   const exited = [task('req-1/0', 1, 'exited', 'done')];
   const effects = bench.raw({ kind: 'heartbeat', reply: 50, heartbeat: report('m', 4, exited) });
@@ -308,7 +308,7 @@
 
 // With hundreds of tasks ending each second, a write for each exit took the whole write
 // budget, and starts waited seconds for theirs.
-test('completion: exits of a job share a write, a start or the end of the job does not wait for them', () => {
+test('completion: exits of a job are batched, and neither a start nor the job end waits for the batch', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 4, 2, 50));
@@ -330,7 +330,7 @@
   expect(last.transaction.mutations).toContainEqual(expect.objectContaining({ put: 'ended/req-1' }));
 });
 
-test('a cancelled task is stopped, and its record stays until it is gone', async () => {
+test('a cancelled task is stopped, and its record is kept until the task is gone', async () => {
   const bench = runningOn();
   bench.do({ kind: 'jobRemoved', id: 'req-1' });
   bench.hear(report('m', 4, [task('req-1/0', 1, 'running')]));
@@ -340,7 +340,7 @@
   await bench.keep('cancelled');
 });
 
-test('a new leader starts nothing anew that an earlier one may have started', () => {
+test('a new leader does not restart tasks that an earlier one may have started', () => {
   const bench = new CoreHarness();
   const claims = { 0: { attempt: 3, machine: 'm', agentEpoch: 1, createdAt: bench.now } };
   bench.takeOver(job('req-1', 1, 4, 50), claims);
@@ -351,7 +351,7 @@
   expect(CoreHarness.starts(bench.hear(report('m', 2)))).toEqual(['req-1/0#3']);
 });
 
-test('a job that failed on the only machine gets another one', () => {
+test('a job that failed on the only machine is placed on a new one', () => {
   // Placing avoided the machine while the plan counted on it: the job waited for ever.
   const bench = runningOn();
   bench.do({ kind: 'terminated', machines: ['n'], ok: true });
@@ -362,7 +362,7 @@
 });
 
 // A flood of reports under invented names would otherwise take every socket of the leader.
-test('the token is carried only to machines that the cloud or a claim knows', () => {
+test('the fencing token is sent only to machines known from the cloud or a claim', () => {
   const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs } = bench.state.config.timing;
   bench.hear(report('invented', 1, [], { token: 0 }));
@@ -376,7 +376,7 @@
 });
 
 // A recorded day: given back 2 s before a hand-over, with four exits that were not written yet.
-test('a machine goes back idle only once what it completed is written', () => {
+test('an idle machine is terminated only after its completed tasks are committed', () => {
   const bench = runningOn();
   bench.now += 100_000;
   bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
@@ -405,7 +405,7 @@
 });
 
 // Its record stayed in the state service for ever, with claims that no later leader needed.
-test('a job withdrawn while a write of its chunk is under way: the record goes in the end', () => {
+test('the record of a job cancelled during a write of its chunk is removed eventually', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   const commit = commitOf(
@@ -423,7 +423,7 @@
 });
 
 // It counted for no zone: the machine hung in zone a, and started its task beside two others there.
-test('zones: a claim on a machine that a new leader has not heard of may be in any zone', () => {
+test('zones: a claim on a machine that a new leader has not heard from may be in any zone', () => {
   const lead = (spread: boolean): CoreHarness => {
     const bench = ledOver(job('req-1', 4, 1, 50, { spread, oneZone: !spread }), ['hung']);
     bench.now += 2000;
--- a/test/fingerprint.test.ts
+++ b/test/fingerprint.test.ts
@@ -7,7 +7,7 @@
   .trimEnd()
   .split('\n');
 
-test('every recorded day is one that is played, and the other way round', () => {
+test('the recorded days are exactly those that are played', () => {
   expect(recorded.map((line) => line.split(' ').slice(0, 2).join(' '))).toEqual(
     SEEDED_DAYS.map(({ seed, kind }) => `${seed} ${kind}`),
   );
@@ -15,7 +15,7 @@
 
 const kinds = [...new Set(SEEDED_DAYS.map(({ kind }) => kind))];
 
-test.each(kinds)('%s: the traffic is as recorded', async (kind) => {
+test.each(kinds)('the traffic of a day of kind %s is as recorded', async (kind) => {
   const day = SEEDED_DAYS.findLast((one) => one.kind === kind);
   if (day === undefined) throw new Error(`no day of kind ${kind}`);
   expect(recorded).toContain(await fingerprintDay(day));
--- a/test/golden.test.ts
+++ b/test/golden.test.ts
@@ -22,7 +22,7 @@
   ['policies', messages.policies],
 ];
 
-test.each(FILES)('%s: byte for byte as recorded', async (name, made) => {
+test.each(FILES)('%s are encoded byte for byte as recorded', async (name, made) => {
   const file = new URL(`golden/${name}.txt`, import.meta.url);
   const text = `${(await made()).join('\n')}\n`;
   if (!existsSync(file) && process.env['GOLDEN_RECORD'] === '1') writeFileSync(file, text);
--- a/test/lab.test.ts
+++ b/test/lab.test.ts
@@ -1,4 +1,4 @@
-/** The scale run's own parts: every check catches a planted fault, bad scenarios are refused, the store holds. */
+/** Parts of the scale runs: each check detects a planted violation, bad scenarios are rejected, the store keeps its contract. */
 import { describe, expect, test } from 'vitest';
 import type { JobDescription, LabEvent } from '../lab/events.js';
 import { Store } from '../lab/emulator/store.js';
@@ -61,8 +61,8 @@
   { kind: 'cancelled', at: 15, job: 'req-1', stage: 'withdrawn' },
 ];
 
-describe('a run’s rules', () => {
-  test('hold where nothing is wrong', () => {
+describe('the rules of a run', () => {
+  test('hold in a correct history', () => {
     expect(rulesBroken(SOUND)).toEqual([]);
   });
 
@@ -87,12 +87,12 @@
     ['went_back', [...SOUND.slice(0, 6), told(30, 200, 'withdrawn')]],
     ['nothing_ran', SOUND.slice(0, 2)],
   ];
-  test.each(planted)('%s is caught', (rule, events) => {
+  test.each(planted)('detect a violation of %s', (rule, events) => {
     expect(rulesBroken(events)).toEqual([rule]);
   });
 });
 
-test('a task that was cancelled just before a run ends has its time, and no longer', () => {
+test('a task cancelled just before a run ends has the cancel timeout, and no longer', () => {
   const checker = new RuleChecker({ cancelMs: 100, limitOf: () => 8 });
   checker.add([...SOUND.slice(0, 4), ...CANCELLED]);
   checker.checkUntil(50);
@@ -106,7 +106,7 @@
 describe('scenarios', () => {
   const small = readScenario('lab/scenarios/small.json');
 
-  test.each(['ordinary', 'peak', 'failures'])('%s is sound', (name) => {
+  test.each(['ordinary', 'peak', 'failures'])('%s is valid', (name) => {
     expect(readScenario(`lab/scenarios/${name}.json`).workers).toBe(1100);
   });
 
@@ -121,14 +121,14 @@
     expect(() => parseScenario({ ...small, ...more }, 'some.json')).toThrow(field);
   });
 
-  test('at another size limits and rates grow alike', () => {
+  test('limits and rates scale with the size', () => {
     const double = atSize(small, 40);
     expect(double.teams[0]?.cpusMax).toBe(2 * (small.teams[0]?.cpusMax ?? 0));
     expect(double.classes[0]?.jobsPerS).toBe(2 * (small.classes[0]?.jobsPerS ?? 0));
   });
 });
 
-describe('the state service', () => {
+describe('the key-value store emulator', () => {
   const limits = { writeRps: 10, valueKb: 1, txnOps: 4 };
   const put = (key: string, data: unknown, permit?: number): object => ({
     put: key,
@@ -136,7 +136,7 @@
     ...(permit === undefined ? {} : { permit }),
   });
 
-  test('carries out a transaction whole or not at all, within its limits', () => {
+  test('applies a transaction atomically and within its limits', () => {
     const store = new Store(limits, () => 0);
     const first = store.commit(
       { when: [{ key: 'a/1', stamp: 0 }], apply: [put('a/1', 1), put('a/2', 2)] as never },
@@ -157,7 +157,7 @@
     expect(store.commit({ apply: [...many, ...many] as never }, 10).kind).toBe('invalid');
   });
 
-  test('removes the keys of a lease that is over, and no earlier', () => {
+  test('removes the keys of a lease at its expiry, and no earlier', () => {
     let now = 0;
     const store = new Store({ ...limits, writeRps: 100 }, () => now);
     const lease = store.grant(1000);
@@ -201,7 +201,7 @@
     readonly movements: readonly { movement: string; stage: string; cadence?: string }[];
   }
 
-  test('executes commands of the highest token alone, and refuses what does not fit', async () => {
+  test('executes only commands of the highest fencing token, and refuses tasks that do not fit', async () => {
     const bodies: Body[] = [];
     const answers = [
       { baton: 5, cues: [start('req-1/0'), start('req-1/1'), start('req-1/0', 2), start('req-9/0')] },
@@ -235,7 +235,7 @@
     expect(worker.direct({ cues: [] }).status).toBe(400);
   });
 
-  test('loses its tasks with its lease, and follows redirects', async () => {
+  test('loses its tasks at lease expiry, and follows redirects', async () => {
     const asked: string[] = [];
     let silent = false;
     const worker = new HollowWorker(
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,4 @@
-/** Fleets of 8,000 machines: no message and no memory has a limit that stands below. */
+/** Fleets of 8,000 machines: every limit of messages and memory is above what they need. */
 import protobuf from 'protobufjs/light.js';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
 import { createServer, Agent, request, type Server, type ServerResponse } from 'node:http';
@@ -132,8 +132,8 @@
   shed: null,
 };
 
-describe('a message about 8,000 machines goes in portions', () => {
-  test('the machines that a follower answers', () => {
+describe('a message about 8,000 machines is split into frames', () => {
+  test('lists the machines that a follower answers', () => {
     const status = { ...STATUS, hears: NAMES };
     const bytes = encodeStatus(status);
     expect(readStatus(bytes)).toEqual([status]);
@@ -157,7 +157,7 @@
       expect(intake?.attention.length ?? 0).toBeLessThanOrEqual(EARLIER_NAMES);
   });
 
-  test('the counts of 8,000 jobs, proven only as a whole', () => {
+  test('carries the counts of 8,000 jobs, confirmed only once complete', () => {
     const counts = NAMES.map((name) => ({ id: `req-${name}`, done: 90_000, running: 9000, why: 3 }));
     const status = { ...STATUS, leading: true, counts, provenAt: 13.5 };
     const bytes = encodeStatus(status);
@@ -167,7 +167,7 @@
     expect(first?.counts.length).toBeGreaterThan(700);
   });
 
-  test('a stream that is cut anywhere, and one that ends within a message', () => {
+  test('is decoded from a stream split anywhere, and from one that ends within a message', () => {
     const status = { ...STATUS, hears: NAMES };
     const bytes = Buffer.concat([encodeStatus(status), encodeStatus({ ...STATUS, term: 8 })]);
     const reader = new StatusReader();
@@ -177,7 +177,7 @@
     expect(readStatus(bytes.subarray(0, EARLIER_FRAME_BYTES))).toEqual([]);
   });
 
-  test('the machines to which a leader has something to say; an earlier follower answers by no part', () => {
+  test('lists the machines that need attention; an earlier version answers from no partial list', () => {
     const bytes = encodeIntake(SNAPSHOT);
     expect(readIntake(bytes)).toEqual([SNAPSHOT]);
     const [first, ...others] = readAsEarlier(bytes);
@@ -185,7 +185,7 @@
     for (const { node, intake } of others) expect([node, intake]).toEqual(['', null]);
   });
 
-  test('the heartbeats and reports of a second, in messages that an earlier leader takes', () => {
+  test('carries the keepalives and heartbeats of a second in a form that an earlier version accepts', () => {
     const heartbeats = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 900_000, ageMs: 500 }));
     const reports = NAMES.slice(0, 100).map((machine, i) => ({
       reference: i,
@@ -213,7 +213,7 @@
     expect(references.sort((a, b) => a - b)).toEqual(reports.map(({ reference }) => reference));
   });
 
-  test('a message of more frames than any fleet needs is refused', () => {
+  test('is rejected if it has more frames than any fleet needs', () => {
     const type = protobuf.Root.fromJSON({
       nested: { Frame: { fields: { continuations: { type: 'uint32', id: 24 } } } },
     }).lookupType('Frame');
@@ -239,8 +239,8 @@
   } as unknown as Common;
 }
 
-describe('what a controller says of 8,000 machines is the whole', () => {
-  test('a leader tells the counts of 8,000 jobs, with the proof', () => {
+describe('the status of 8,000 machines is complete', () => {
+  test('a leader sends the counts of 8,000 jobs with their confirmation', () => {
     const bench = new CoreHarness();
     for (const name of NAMES)
       bench.state.jobs.set(name, {
@@ -261,7 +261,7 @@
     expect(provenAt).not.toBe(0);
   });
 
-  test('a follower tells of 8,000 machines that it answers', () => {
+  test('a follower lists the 8,000 machines that it answers', () => {
     const bench = new CoreHarness();
     bench.state.leadership = null;
     const peering = new Peering(
@@ -295,7 +295,7 @@
     expect(sent.at(-1)?.provenAt).not.toBe(0);
   });
 
-  test('what is added to a follower’s list goes in messages that an earlier one takes', () => {
+  test('additions to a follower’s list are sent in a form that an earlier version accepts', () => {
     const bench = new CoreHarness();
     for (const name of NAMES) getOrCreateMachine(bench.state, name, bench.time());
     const common = leaderOf(bench);
@@ -331,8 +331,8 @@
   });
 });
 
-describe('8,000 machines are remembered', () => {
-  test('a follower that sent a worker on knows it when it comes back', () => {
+describe('caches hold 8,000 machines', () => {
+  test('a follower recognises a worker that it redirected', () => {
     const routing = new Routing(TIMES);
     const reach: Reach = {
       leader: 'n-0',
@@ -347,7 +347,7 @@
     expect(NAMES.filter((name) => routing.isStray(name, TERM, reach, 1000))).toEqual([]);
   });
 
-  test('a follower that answers workers in the leader’s place hears all of them', async () => {
+  test('a follower that answers workers for the leader tracks all of them', async () => {
     const clock = new ProcessClock(new VirtualClock(), 1, 0);
     const state = { list: () => Promise.resolve('unknown') } as never;
     const deputy = new Deputy('n-1', state, clock, TIMES, 32 * 1024, 100);
@@ -356,7 +356,7 @@
     expect(deputy.hears()).toEqual(NAMES);
   });
 
-  test('a follower that shares reports keeps 8,000 waiting, and knows 30,000', () => {
+  test('a follower that shares heartbeats holds 8,000 pending and knows 30,000 machines', () => {
     const clock = new ProcessClock(new VirtualClock(), 1, 0);
     const sent: ReportsMessage[] = [];
     const intake = new ReportIntake({
@@ -382,7 +382,7 @@
     expect(intake.leaveHome(NAMES[0] ?? '')).toBe(true);
   });
 
-  test('machines that were given back are not taken on again from a list that lags', () => {
+  test('terminated machines are not registered again from a stale listing', () => {
     const bench = new CoreHarness();
     const effects: Effect[] = [];
     removeTerminated(bench.state, NAMES, effects);
@@ -399,7 +399,7 @@
     expect(bench.state.machines.size).toBe(0);
   });
 
-  test('the ends of as many jobs as are live are remembered', () => {
+  test('as many ended jobs as live ones are remembered', () => {
     const bench = new CoreHarness();
     const asking = Array.from({ length: FLEET }, (_, i) => job(`req-${i}`, 1, 2, 50));
     for (const { id } of asking) bench.state.jobs.set(id, { over: 'done' } as never);
@@ -408,7 +408,7 @@
     expect(bench.state.finalOutcomes.size).toBe(FLEET);
   });
 
-  test('a plan covers as many tasks of a job as a fleet of 8,000 has machines', () => {
+  test('a plan covers one task of a job for each of 8,000 machines', () => {
     const bench = new CoreHarness(0, [EIGHT]);
     for (const name of NAMES) {
       const machine = getOrCreateMachine(bench.state, name, bench.time());
@@ -443,8 +443,8 @@
   };
 }
 
-describe('answers of the services around it', () => {
-  test('a page of the state service with values as large as it allows is read', async () => {
+describe('responses of the store and the cloud', () => {
+  test('a store page with values of the maximum size is read', async () => {
     const value = 'x'.repeat(32 * 1024 - 100);
     const rows = Array.from({ length: 500 }, (_, i) => ({ key: `run/${i}`, data: { value }, stamp: 3 }));
     const body = JSON.stringify({ rows, ledgerRev: 9, more: false });
@@ -453,7 +453,7 @@
     expect(found === 'unknown' ? found : found.entries.length).toBe(500);
   });
 
-  test('the cloud’s list of 8,000 machines is read in pages', async () => {
+  test('the cloud’s listing of 8,000 machines is read in pages', async () => {
     const settings = await settingsFor((url, response) => {
       const from = NAMES.indexOf(url.searchParams.get('after') ?? '') + 1;
       const skiffs = NAMES.slice(from, from + Number(url.searchParams.get('page'))).map((nameId) => ({
@@ -471,7 +471,7 @@
     expect(found?.map(({ name }) => name)).toEqual(NAMES);
   });
 
-  test('ended jobs are remembered though 8,000 are live, until memory is short', async () => {
+  test('ended jobs are cached beside 8,000 live ones until memory is short', async () => {
     const entries = NAMES.map((name) => ({ key: `job/req-${name}`, value: {}, stamp: 1 }));
     const state = { list: () => Promise.resolve({ entries, revision: 3 }) } as never;
     const reads = new JobReads(state, systemClock, 10_000, 10);
@@ -482,7 +482,7 @@
     expect(NAMES.filter((name) => reads.knowsEnded(`gone-${name}`))).toEqual([]);
   });
 
-  test('a job whose question was refused goes first though 8,000 others were refused since', () => {
+  test('a refused read takes precedence although 8,000 others were refused since', () => {
     const admission = new Admission(systemClock, 16);
     const ask = (name: string): number | null => admission.enter('show', name);
     for (let held = 0; held < 12; held += 1) admission.enter('show');
@@ -491,7 +491,7 @@
   });
 });
 
-test('more workers than sockets share the connections by turns', async () => {
+test('more workers than sockets take turns on the connections', async () => {
   const workers = 200;
   const server = createPublicServer(
     {
@@ -541,7 +541,7 @@
     return { watch, dropped: () => dropped };
   };
 
-  test('near the quota caches are dropped, and one warning has both figures', async () => {
+  test('near the memory quota caches are dropped and one warning is logged with both figures', async () => {
     const { watch, dropped } = watchOf({ quotaMb: 400, usedMb: 360, machines: 8000 });
     watch.check();
     watch.check();
@@ -554,13 +554,13 @@
     expect(dropped()).toBe(2);
   });
 
-  test('far from the quota nothing is said', () => {
+  test('far below the memory quota nothing is logged', () => {
     const { watch, dropped } = watchOf({ quotaMb: 95, usedMb: 50, machines: 100 });
     watch.check();
     expect([dropped(), logged]).toEqual([0, []]);
   });
 
-  test('a leader says when the quota is too small for the machines that it sees', () => {
+  test('a leader warns when the memory quota is too small for its machines', () => {
     const { watch } = watchOf({ quotaMb: 95, usedMb: 50, machines: 8000 });
     watch.check();
     watch.check();
@@ -569,7 +569,7 @@
     ]);
   });
 
-  test('`check --machines` says so before a start', async () => {
+  test('`check --machines` warns of it before a start', async () => {
     const path = join(mkdtempSync(join(tmpdir(), 'rowanferry-')), 'settings.json');
     writeFileSync(path, JSON.stringify(testSettings(0)));
     const lines: string[] = [];
@@ -581,14 +581,14 @@
     expect(lines.slice(1)[0]).toBe('no faults');
   });
 
-  test('the heap’s ceiling as deployed is above what 8,000 machines need', () => {
+  test('the deployed heap limit exceeds what 8,000 machines need', () => {
     const deployed = readFileSync('deploy/service.toml', 'utf8');
     const ceilingMb = Number(/--max-old-space-size=(\d+)/.exec(deployed)?.[1]);
     expect(ceilingMb).toBeGreaterThan(estimatedMemoryMb(8000));
   });
 });
 
-test('a scenario of 8,000 workers may be played', () => {
+test('a scenario of 8,000 workers is accepted', () => {
   const path = join(mkdtempSync(join(tmpdir(), 'rowanferry-')), 'scenario.json');
   const large = JSON.parse(readFileSync('lab/scenarios/large.json', 'utf8')) as object;
   writeFileSync(path, JSON.stringify({ ...large, workers: FLEET, sizes: [FLEET] }));
--- a/test/leader-role.test.ts
+++ b/test/leader-role.test.ts
@@ -7,7 +7,7 @@
 import { report, task } from './emulators/core-harness.js';
 import { seeded, testSettings, Simulation } from './emulators/simulation.js';
 
-test('a crashed leader is followed by another well within a worker lease', async () => {
+test('a crashed leader is replaced well within a worker lease', async () => {
   const world = new Simulation(seeded(5));
   await world.clock.runUntil(10_000);
   const [first] = world.leaders();
@@ -18,7 +18,7 @@
   expect(second).toBeDefined();
 });
 
-test('the badly placed node leads only until a better placed one is back', async () => {
+test('a less suitable node leads only until a more suitable one is back', async () => {
   // With the node after the leader in the leader's own zone, workers of a zone that was cut
   // off tried two nodes in vain and lost their leases before they found the deputy.
   const world = new Simulation(seeded(5));
@@ -34,7 +34,7 @@
 
 // Each change of leader began the wait for silent machines anew: on a recorded day two of
 // them cost 50 tasks on dead machines 9 s more.
-test('no hand-over while machines with tasks have not been heard', async () => {
+test('leadership is not transferred while machines with tasks have not reported', async () => {
   const world = new Simulation(seeded(5));
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 8, cpus: 4, memoryGb: 2, spot: true };
@@ -51,7 +51,7 @@
 });
 
 // Reports under invented names cost a leader a connection to each, and the plan its patience.
-test('a flood of malformed requests and invented machines costs no leadership and no lease', async () => {
+test('a flood of malformed requests and unknown machines costs neither leadership nor a lease', async () => {
   const world = new Simulation(seeded(5), { keepLog: true });
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 30, cpus: 2, memoryGb: 2, spot: true };
@@ -93,7 +93,7 @@
 // The leader learned of what its deputies answered up to 17 s late, and gave back 61 machines
 // alive with 441 tasks, which it alone could not hear.
 // It kept its lease for the whole of the cut, and nothing was started.
-test('a leader that loses all workers hands over: none is given back, and hardly any loses its lease', async () => {
+test('a leader that loses all workers transfers leadership; none is terminated and hardly any lease expires', async () => {
   const { world, workers } = await atWork();
   const [leader] = world.leaders();
   for (const { listed } of workers) world.network.cut(leader ?? '', listed.name, 25_000);
@@ -108,7 +108,7 @@
 
 // Nobody can follow a leader that dies while the state service is away: every worker in the fleet
 // lost its lease, and all its work with it, before the outage was over.
-test('a leader dies in an outage: its deputies answer by what it has told them, and no lease is lost', async () => {
+test('when the leader crashes in a store outage, followers answer workers from its snapshots and no lease expires', async () => {
   const { world, workers } = await atWork();
   world.state.outage(17_000);
   await world.clock.runUntil(15_500);
@@ -120,7 +120,7 @@
 
 // Counted from when it came, a word that a cut had held back would keep tasks alive that were
 // cancelled long before.
-test('a deputy answers by what it was told as long as a leader might, from when that was proven', async () => {
+test('a follower answers workers from a snapshot for the authority window since the snapshot was proven', async () => {
   const timing = timingOf(testSettings(1));
   let now = 0;
   const clock = {
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -1,4 +1,4 @@
-/** Machines after a change of leader, and machines that hang: what is one event is not judged as many. */
+/** Machines after a failover, and unresponsive machines: correlated silence is judged as one event. */
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
 import { claimTask } from '../src/core/persistence/index.js';
@@ -49,20 +49,20 @@
 }
 
 // Of 150 machines that hung for 12 s, 149 were given back with 640 tasks, 1 to 3 s before they went on.
-test('a machine whose host takes connections hangs: it is waited for until its lease must be over', () => {
+test('an unresponsive machine whose host accepts connections is kept until its lease has expired', () => {
   const { bench, pass } = silentAfter(null, ['vm-3']);
   const { workerLeaseMs, silenceTimeoutMs } = bench.state.config.timing;
   expect(pass(workerLeaseMs)).toEqual([]);
   expect(pass(silenceTimeoutMs - workerLeaseMs + 1000)).toEqual(['vm-3']);
 });
 
-test('what would be late by waiting does not wait for a machine that hangs', () => {
+test('tasks that waiting would make late do not wait for an unresponsive machine', () => {
   // The task can still be done in time if it runs again now, and no longer once the lease is over.
   const { bench, pass } = silentAfter(73, ['vm-3']);
   expect(pass(bench.state.config.timing.workerLeaseMs)).toEqual(['vm-3']);
 });
 
-test('a leader that stood still judges nobody before it has caught up', () => {
+test('a leader that was paused terminates no machine before it has caught up', () => {
   const { bench } = silentAfter(null, ['vm-3']);
   bench.now += 3 * bench.state.config.timing.silenceTimeoutMs;
   expect(returned(bench.do({ kind: 'tick', isStalled: true }))).toEqual([]);
@@ -111,7 +111,7 @@
 }
 
 // A new leader gave back 200 machines alive with 773 tasks: the one before was blind, and held them.
-test('many that a new leader never heard are one event: the leader before may hold them', () => {
+test('many machines unheard by a new leader are one event: the previous leader may serve them', () => {
   const after = (hears: number): number => {
     const bench = successor(hears, false);
     bench.now += bench.state.config.timing.silenceTimeoutMs + 500;
@@ -128,7 +128,7 @@
   expect(returned(bench.do({ kind: 'tick' }))).toHaveLength(6);
 });
 
-test('a machine that answers a call is alive, whoever hears its reports', () => {
+test('a machine that answers a direct call is alive, whichever controller gets its heartbeats', () => {
   const bench = successor(9, false);
   const { silenceTimeoutMs } = bench.state.config.timing;
   bench.now += silenceTimeoutMs - 1000;
@@ -139,7 +139,7 @@
 });
 
 // All unheard machines were called at each tick: a leader of a twelfth of a core could not hear the others.
-test('a few scouts go out after a leader that may be alive, none after one that is gone', () => {
+test('a new leader sends a few direct calls if its predecessor may be alive, none at first if it is gone', () => {
   const { maxDirectCallsPerInterval, timing } = successor(0, true).state.config;
   const scouts = called(successor(0, true).do({ kind: 'tick' }));
   expect(scouts.length).toBeGreaterThan(0);
@@ -150,7 +150,7 @@
   expect(called(bench.do({ kind: 'tick' })).length).toBeLessThanOrEqual(maxDirectCallsPerInterval);
 });
 
-test('a leader that hands over begins nothing new, and answers its workers on', () => {
+test('during a leadership transfer a leader starts nothing new and still answers its workers', () => {
   const bench = new CoreHarness();
   bench.hear(report('vm-1', 1));
   bench.do({ kind: 'transferLeadership' });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,4 +1,4 @@
-/** Suspicion before verdict: what each row of the evidence table guards against, and routing of workers. */
+/** Suspicion and failure detection: what each row of the evidence table guards against; routing of workers. */
 import { expect, test } from 'vitest';
 import { Gaps } from '../src/membership/accrual.js';
 import { Membership } from '../src/membership/membership.js';
@@ -171,20 +171,20 @@
   };
 };
 
-test('every row of the evidence table has its scene', () => {
+test('every row of the evidence table has a test case', () => {
   const names = Object.values(TABLE as unknown as Record<string, Table['fit']>).flatMap((rows) =>
     rows.map(({ name }) => name),
   );
   expect(Object.keys(ROWS).sort()).toEqual([...names].sort());
 });
 
-test.each(Object.keys(ROWS))('evidence: %s', (name) => {
+test.each(Object.keys(ROWS))('evidence decides, and only with its row: %s', (name) => {
   const [play, comes] = ROWS[name] as (typeof ROWS)[string];
   expect(play(new Scene(TABLE))).toEqual(comes);
   expect(play(new Scene(without(name)))).not.toEqual(comes);
 });
 
-test('all the evidence of a crash together is a verdict, and a word of its own takes it back', () => {
+test('all evidence of a crash gives a node up, and a message of its own restores trust', () => {
   const scene = crash(new Scene(TABLE)).strays(3);
   expect(scene.inherits).toBe(true);
   scene.a.assess(scene.now, scene.stateAgeMs);
@@ -194,7 +194,7 @@
 });
 
 // A peer that was frozen again and again got the lead back seven seconds after each time.
-test('a node that flaps is trusted at once, and handed over to ever later', () => {
+test('a flapping node is trusted at once, but leadership is transferred to it with growing backoff', () => {
   const scene = new Scene(TABLE);
   const settledAfter = (): number => {
     scene.link('c', 'lost').wait(10);
@@ -209,7 +209,7 @@
   expect(waits[2]).toBeGreaterThan(1.8 * (waits[1] as number));
 });
 
-test('silence becomes unusual by the gaps that are usual', () => {
+test('the failure detector adapts to the usual gaps between messages', () => {
   const usual = (gap: number): number => {
     const gaps = new Gaps(500);
     for (let i = 0; i < 20; i += 1) gaps.note(i * gap + (i % 2 === 0 ? 0 : gap / 4));
@@ -222,7 +222,7 @@
 });
 
 // In a burst three controllers of a twelfth of a core handed the lead round every five seconds.
-test('a leader that is behind for its load alone keeps the lead', () => {
+test('a leader that is late only because of its load keeps the leadership', () => {
   const scene = new Scene(TABLE);
   scene.a.hears({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 0, 0);
   for (let i = 0; i < 24; i += 1) {
@@ -238,7 +238,7 @@
  * A leader that workers can reach: whatever two followers believe of it meanwhile, short of a silent link,
  * a worker that wanders among them is with it within a bound.
  */
-test('a healthy leader gets its workers within its lease and two hops, whatever its peers see', () => {
+test('workers find a healthy leader within its lease and two hops, whatever its peers believe', () => {
   const beliefs: Omit<Reach, 'token'>[] = [];
   for (const heard of [true, false])
     for (const lostAt of heard ? [null] : [0])
@@ -266,7 +266,7 @@
 });
 
 // Held back on the way, what a former life had to say would make the present one a witness, or a leader, again.
-test('a word of a life that another has followed counts for nothing, however often lives change', () => {
+test('messages of an earlier incarnation are ignored, however many incarnations followed', () => {
   const scene = new Scene(TABLE);
   const isPresent = (incarnation: string): boolean => scene.a.isPresentLife({ node: 'b', incarnation });
   expect(isPresent('life-of-b')).toBe(true);
--- a/test/planning-equivalence.test.ts
+++ b/test/planning-equivalence.test.ts
@@ -1,4 +1,4 @@
-/** What makes planning and placing cheap at size must not change what they choose. */
+/** The indexes that make planning and placement fast select what an exhaustive search would. */
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { earliest, Openings, type Planned } from '../src/core/autoscaling/index.js';
@@ -13,7 +13,7 @@
 
 // The plan of a burst took tasks x machines x ends: at 160 machines a leader on a twelfth
 // of a core lost its lease over it.
-test('openings choose the machine that looking through all of them would', () => {
+test('planned openings select the same machine as an exhaustive search', () => {
   const machine = fc.record({ ready: at, ends: fc.array(fc.record({ at, need }), { maxLength: 4 }) });
   fc.assert(
     fc.property(
@@ -55,7 +55,7 @@
   );
 });
 
-test('the shadow time of one task is the one that the plain walk over all ends finds', () => {
+test('the shadow time of a single task equals that of an exhaustive walk over all task ends', () => {
   const machines = fc.array(fc.array(fc.record({ need, at }), { maxLength: 5 }), { maxLength: 8 });
   fc.assert(
     fc.property(machines, need, (all, of) => {
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -1,4 +1,4 @@
-/** Operators' own settings: what the checker finds, and what a sound policy changes. */
+/** Operators' policy files: validation, and the effect of a valid policy. */
 import { describe, expect, test } from 'vitest';
 import { createPolicy, FIGURES, readPolicy, tellFault } from '../src/policy.js';
 import { job } from './emulators/core-harness.js';
@@ -7,12 +7,12 @@
 const settings = testSettings(0);
 const faults = (text: string): string[] => readPolicy(text, settings).faults.map(tellFault);
 
-test('every shipped default is a sound policy of its own', () => {
+test('every shipped default is a valid policy', () => {
   const text = Object.entries(FIGURES).map(([name, { source }]) => `${name} = ${source}`);
   expect(faults(text.join('\n'))).toEqual([]);
 });
 
-describe('the checker names line, column and reason of every fault', () => {
+describe('the checker reports line, column and reason of each fault', () => {
   test.each([
     ['no_such = 1.0', '1:1: unknown figure no_such'],
     ['# fine\n\nheadroom = wrong + 1.0', '3:12: Unknown variable: wrong'],
@@ -28,18 +28,18 @@
     expect(faults(text)).toEqual([fault]);
   });
 
-  test('all faults are listed, not just the first', () => {
+  test('all faults are listed, not only the first', () => {
     expect(faults('a = 1.0\nb = 2.0')).toHaveLength(2);
   });
 });
 
-test('an expression may tell classes apart', () => {
+test('an expression may depend on the job class', () => {
   const policy = createPolicy(settings, 'estimate_multiplier = job_class == "slow" ? 2.0 : 1.0');
   expect(policy.expectedRunMs(job('req-1', 1, 1, 30, { jobClass: 'slow' }))).toBe(60_000);
   expect(policy.expectedRunMs(job('req-2', 1, 1, 30))).toBe(30_000);
 });
 
-test('a fault at run time falls back to the default', () => {
+test('an evaluation error falls back to the default', () => {
   // Sound for every sample, but not for this job.
   const policy = createPolicy(settings, 'headroom = 1.0 + 10.0 * memory_gb / 1000.0');
   expect(policy.headroomFactor(job('req-1', 1, 1, 30, { memoryGb: 5000 }))).toBe(
--- a/test/read-consistency.test.ts
+++ b/test/read-consistency.test.ts
@@ -1,4 +1,4 @@
-/** Storms of questions: few requests however many ask, and no answer older than the question. */
+/** Bursts of reads: few store requests however many readers, and no read older than its request. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { expect, test } from 'vitest';
@@ -80,7 +80,7 @@
 const names = (count: number): string[] => Array.from({ length: count }, (_, i) => `req-${i}`);
 
 // Each poll of a live job cost a request, of an unknown one two: eight times as many were refused.
-test('a thousand questions cost a few requests; a second each, a bounded number', async () => {
+test('a thousand concurrent reads cost a few store requests; polls each second a bounded number', async () => {
   const slow = new Slow();
   for (const id of names(500)) slow.enter(id);
   const first = await slow.ask([...names(500), ...names(500)]);
@@ -97,7 +97,7 @@
   expect(slow.asked.length).toBeLessThan(10 * 0.05 * RPS + 3);
 });
 
-test('an answer is as of a moment after its question, never of one before', async () => {
+test('a read reflects a state no older than its request', async () => {
   const slow = new Slow(1e6);
   slow.enter('req-1');
   await slow.ask(['req-1']);
@@ -111,7 +111,7 @@
   expect(await late).toMatchObject({ kind: 'ended', record: { stage: 'withdrawn' } });
 });
 
-test('what a withdrawal was answered here is told to whoever asked before, too', async () => {
+test('a cancellation acknowledged by this node is visible to reads that were already waiting', async () => {
   const slow = new Slow(1e6);
   slow.enter('req-1');
   await slow.ask(['req-1']);
@@ -124,7 +124,7 @@
   expect(await asked).toMatchObject({ kind: 'ended', record: { stage: 'withdrawn' } });
 });
 
-test('jobs that nobody submitted: one comparison for many, and what ended is found among them', async () => {
+test('reads of unknown jobs share one comparison, and ended jobs among them are found', async () => {
   const slow = new Slow();
   slow.enter('req-1');
   slow.end('req-2', 'done');
@@ -143,7 +143,7 @@
   expect(slow.asked).toEqual([]);
 });
 
-test('without the state service nothing is known; with it again, all is', async () => {
+test('reads fail while the store is unavailable and succeed once it is back', async () => {
   const slow = new Slow();
   slow.enter('req-1');
   await slow.ask(['req-1']);
@@ -154,7 +154,7 @@
   expect((await slow.ask(['req-1', 'req-9'])).map(({ kind }) => kind)).toEqual(['ended', 'none']);
 });
 
-test('a mirror that is too old is loaded anew', async () => {
+test('a mirror whose revision was compacted is reloaded', async () => {
   const slow = new Slow();
   slow.enter('req-1');
   await slow.ask(['req-1']);
@@ -166,14 +166,14 @@
 });
 
 // A record that could not be read was answered 503 for ever: its job was forgotten, though accepted.
-test('a job whose description is damaged stays known', async () => {
+test('a job with a corrupt description is still found', async () => {
   const slow = new Slow();
   slow.store.commit({ preconditions: [], mutations: [{ put: 'job/req-1', value: 'rubbish' }] });
   expect((await slow.ask(['req-1']))[0]?.kind).toBe('damaged');
 });
 
 // With every poll of one job refused by chance, it would be forgotten while others are served.
-test('a question that was refused goes before others when it comes again', () => {
+test('a read that was refused takes precedence when it is retried', () => {
   const admission = new Admission({ ...systemClock, monotonicMs: () => 0 }, 20);
   for (let i = 0; i < 15; i += 1) expect(admission.enter('show', `req-${i}`)).toBeNull();
   expect(admission.enter('show', 'req-77')).not.toBeNull();
@@ -184,7 +184,7 @@
 });
 
 // Under a storm of others it was put off anew in each round.
-test('a question that one round cannot read is among the first of the next', async () => {
+test('a read that exceeds one batch is among the first of the next', async () => {
   const slow = new Slow(1e6);
   const ids = names(80);
   for (const id of ids) slow.enter(id);
@@ -202,7 +202,7 @@
 });
 
 // Begun anew after each refused page, a list of many pages never ended, and each poll got 503.
-test('a list of many pages goes on after a page that was refused', async () => {
+test('a paged list resumes after a page that was refused', async () => {
   const keys = Array.from({ length: 1200 }, (_, i) => `job/req-${String(i).padStart(6, '0')}`);
   let asked = 0;
   const server = createServer((request, response) => {
--- a/test/readiness.test.ts
+++ b/test/readiness.test.ts
@@ -1,8 +1,8 @@
-/** When a node says that it can take requests. */
+/** When a node reports that it is ready for requests. */
 import { expect, test } from 'vitest';
 import { seeded, Simulation } from './emulators/simulation.js';
 
-test('followers without users stay ready while the state service answers them', async () => {
+test('followers without traffic stay ready while the store answers them', async () => {
   // They heard of it only when their long watch ended, and called themselves refused.
   const world = new Simulation(seeded(3));
   for (let at = 2000; at <= 40_000; at += 500) {
@@ -11,7 +11,7 @@
   }
 });
 
-test('a node that alone is refused by the state service goes unready, and comes back', async () => {
+test('a node that the store refuses becomes unready, and ready again afterwards', async () => {
   const world = new Simulation(seeded(3));
   await world.clock.runUntil(10_000);
   world.state.refuse('n-1', 8000);
@@ -21,7 +21,7 @@
   expect(world.ready()).toEqual([true, true, true]);
 });
 
-test('in an outage that hits all, nodes stay ready and answer 503', async () => {
+test('in a store outage that affects all nodes, they stay ready and answer 503', async () => {
   const world = new Simulation(seeded(3));
   await world.clock.runUntil(10_000);
   world.state.outage(10_000);
@@ -30,7 +30,7 @@
 });
 
 // It stayed in the load balancer's list, and answered each user 503, while the others could have served them.
-test('a node that neither the state service nor a peer answers says that it is not ready', async () => {
+test('a node that reaches neither the store nor a peer is not ready', async () => {
   const world = new Simulation(seeded(3));
   await world.clock.runUntil(10_000);
   world.state.refuse('n-1', 8000);
--- a/test/response-tracking.test.ts
+++ b/test/response-tracking.test.ts
@@ -1,4 +1,4 @@
-/** Machines that do not hear what they are told, and copies of reports that come late. */
+/** Machines that miss responses, and duplicated heartbeats that arrive late. */
 import { expect, test } from 'vitest';
 import { isSchedulable } from '../src/core/fleet/index.js';
 import type { Effect } from '../src/core/effects.js';
@@ -33,7 +33,7 @@
 }
 
 // It looked alive for ever: each session it got a machine's worth of tasks, and lost them with its lease.
-test('a machine that does not show what it was told to start gets nothing new, and is used once it hears', async () => {
+test('a machine that does not acknowledge a start gets no new task until it does', async () => {
   const { bench, seq } = deaf();
   const claim = [...(bench.state.machines.get('m')?.claims.values() ?? [])][0];
   bench.now += UNANSWERED;
@@ -48,7 +48,7 @@
   await bench.keep('deaf-recovers');
 });
 
-test('a machine that stays deaf goes back, and its tasks run elsewhere once the cloud confirms it', async () => {
+test('a machine that stays unresponsive is terminated, and its tasks run elsewhere after the confirmation', async () => {
   const { bench, seq } = deaf();
   const { silenceTimeoutMs } = bench.state.config.timing;
   const gone: string[] = [];
@@ -68,7 +68,7 @@
 });
 
 // A leader that is behind its timers answers too late: 8 machines at work were given back with 200 tasks.
-test('what a busy leader was late to answer is held against nobody', () => {
+test('late responses of an overloaded leader do not count as missed by a machine', () => {
   const { bench, seq } = deaf();
   bench.do({ kind: 'tick', isOverloaded: true });
   for (let i = 1; i < 6; i += 1) {
@@ -81,7 +81,7 @@
   }
 });
 
-test('a session that moves on although it was answered is a reason for doubt', () => {
+test('an agent epoch that changes although its heartbeat was answered counts as a missed response', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.now += UNANSWERED;
@@ -95,7 +95,7 @@
 });
 
 // Where this node's own words get lost, all machines seem deaf: none of them is to blame.
-test('many that do not hear are one event: none is given back for it', () => {
+test('many unresponsive machines are one event: none is terminated for it', () => {
   const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   let gone: string[] = [];
@@ -108,7 +108,7 @@
   expect(gone).toEqual([]);
 });
 
-test('late copies: an older report is no sign of life, no notice, and ends nothing', () => {
+test('duplicates: a stale heartbeat is no sign of life, carries no termination notice and ends nothing', () => {
   const { bench, seq } = deaf();
   const [claim] = bench.state.machines.get('m')?.claims.values() ?? [];
   bench.now += 1000;
@@ -122,7 +122,7 @@
 });
 
 // Copies of a dead machine's reports come in order: to a leader that never heard it they look like its own.
-test('late copies after a takeover: a machine that never shows our token is not kept alive by them', async () => {
+test('duplicates after failover do not keep a machine alive that never shows the fencing token', async () => {
   const bench = new CoreHarness();
   const { workerLeaseMs, silenceTimeoutMs } = bench.state.config.timing;
   others(bench, 1);
--- a/test/retransmission.test.ts
+++ b/test/retransmission.test.ts
@@ -1,4 +1,4 @@
-/** How long the outcome of a transaction is waited for, over real HTTP on loopback. */
+/** Timeouts for the outcome of a transaction, over real HTTP on loopback. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { Worker } from 'node:worker_threads';
@@ -10,7 +10,7 @@
 import { timing } from '../src/settings.js';
 import { testSettings } from './emulators/simulation.js';
 
-test('the timer follows what answers take, doubles without one, and stays within its bounds', () => {
+test('the timeout follows response times, doubles without a response, and stays within its bounds', () => {
   const timer = new RetransmissionTimer(500, 2000);
   expect(timer.timeout).toBe(2000);
   for (let i = 0; i < 50; i += 1) timer.answered(10);
@@ -28,7 +28,7 @@
 });
 
 // Each lost answer held the leader's next write up for three times as long as it had to.
-test('a service that answers in milliseconds: one lost answer is missed soon', async () => {
+test('a lost response of a service that answers in milliseconds is detected soon', async () => {
   let silent = false;
   const server = createServer((request, response) => {
     request.resume();
@@ -50,7 +50,7 @@
 });
 
 // The timer came first after a stall, and an answer that was there was thrown away: its outcome was unknown.
-test('an answer that came while this process stood still counts', async () => {
+test('a response that arrived while this process was paused counts', async () => {
   const far = new Worker(
     `const { createServer } = require('node:http');
      const server = createServer((request, response) => setTimeout(() => response.end('{}'), 20));
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -1,4 +1,4 @@
-/** The public port over real HTTP on loopback: what users and workers get for good and bad input. */
+/** The public port over real HTTP on loopback: responses to valid and invalid requests. */
 import type { Server } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { afterAll, beforeAll, expect, test } from 'vitest';
@@ -131,7 +131,7 @@
   types = known;
 });
 
-test('a job: accepted once, known ever after, withdrawn for good', async () => {
+test('a job is accepted once, stays known, and stays cancelled', async () => {
   expect(await get('/v2/runs/req-000001')).toMatchObject({ status: 404 });
   expect(await post({ ...good, unknownField: 1, hall: undefined })).toEqual({
     status: 201,
@@ -156,7 +156,7 @@
   });
 };
 
-test('awaited jobs: accepted if they were, 422 if they never were, known again whatever happens', async () => {
+test('a job is accepted if its dependencies were, 422 if unknown, and a repeat is idempotent', async () => {
   const first = { ...good, nameId: 'req-000010', awaits: [] };
   const last = { ...good, nameId: 'req-000011', awaits: ['req-000010', 'req-000010'] };
   expect((await post(last)).status).toBe(422);
@@ -175,7 +175,7 @@
   expect((await post({ ...good, nameId: 'req-000013', awaits: ['req-000012'] })).status).toBe(422);
 });
 
-test('a job that names a cancelled one is accepted, and withdrawn', async () => {
+test('a job that depends on a cancelled one is accepted and cancelled', async () => {
   expect((await post({ ...good, nameId: 'req-000020' })).status).toBe(201);
   await withdraw('req-000020');
   const late = { ...good, nameId: 'req-000021', awaits: ['req-000020'] };
@@ -184,7 +184,7 @@
 });
 
 // A node that answers polls while no leader works would call it pending for ever.
-test('without word of a leader, a poll looks through the pipeline itself', async () => {
+test('without a leader a poll evaluates the DAG itself', async () => {
   const chain = ['req-000030', 'req-000031', 'req-000032'];
   for (const [i, nameId] of chain.entries())
     expect((await post({ ...good, nameId, awaits: chain.slice(Math.max(0, i - 1), i) })).status).toBe(201);
@@ -197,7 +197,7 @@
 });
 
 // One poll looked through 50 jobs, and had no answer beyond that for as long as no leader vouched.
-test('without word of a leader, a poll looks through a pipeline of any length, by a few requests', async () => {
+test('without a leader a poll evaluates a DAG of any length with a few requests', async () => {
   const chain = Array.from({ length: 150 }, (_, i) => `req-0004${String(100 + i)}`);
   for (const [i, nameId] of chain.entries())
     expect((await post({ ...good, nameId, awaits: chain.slice(Math.max(0, i - 1), i) })).status).toBe(201);
@@ -220,7 +220,7 @@
 });
 
 // Entered late, after the cancellation has gone through, nobody would withdraw it.
-test('a submission is entered only while what it awaits is as it was read', async () => {
+test('a submission commits only while its dependencies are unchanged since they were read', async () => {
   expect((await post({ ...good, nameId: 'req-000040' })).status).toBe(201);
   const modRevision = state.read('job/req-000040')?.modRevision;
   let seen: readonly { key: string; modRevision?: number | undefined }[] = [];
@@ -234,14 +234,14 @@
   expect(seen).toContainEqual({ key: 'job/req-000040', modRevision });
 });
 
-test('before every controller understands pipelines: 503, and nothing is written', async () => {
+test('503 and no write until every controller supports DAG dependencies', async () => {
   understood = false;
   expect((await post({ ...good, nameId: 'req-000051', awaits: ['req-000040'] })).status).toBe(503);
   understood = true;
   expect(state.read('job/req-000051')).toBeNull();
 });
 
-test('while the state service is away: 503 at once, never 404', async () => {
+test('while the store is unavailable: 503 at once, never 404', async () => {
   down = true;
   expect((await get('/v2/runs/req-000077')).status).toBe(503);
   expect((await post({ ...good, nameId: 'req-000077' })).status).toBe(503);
@@ -249,7 +249,7 @@
   expect((await get('/v2/runs/req-000077')).status).toBe(404);
 });
 
-test('unknown paths get 404, wrong methods 405, malformed reports 400', async () => {
+test('unknown paths get 404, wrong methods 405, malformed heartbeats 400', async () => {
   expect((await get('/nowhere')).status).toBe(404);
   expect((await get('/v1/report')).status).toBe(405);
   expect((await client.call('DELETE', '/v2/runs', null, 5000)).status).toBe(405);
@@ -264,7 +264,7 @@
 });
 
 // Thousands of polls at once, as after an outage, piled up behind a state service that did not answer.
-test('more requests than can be served are refused at once, polls first, and told to come back apart', () => {
+test('load above capacity is shed at once, polls first, with spread retry times', () => {
   let now = 0;
   const admission = new Admission({ ...systemClock, monotonicMs: () => now }, 20);
   const enter = (kind: 'submit' | 'show', count: number): (number | null)[] =>
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -1,4 +1,4 @@
-/** Reports that followers take for the leader: each guard with a test that fails without it. */
+/** Heartbeats that followers accept for the leader: each guard has a test that fails without it. */
 import fc from 'fast-check';
 import { describe, expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
@@ -109,8 +109,8 @@
 
 const LOCAL = `200 ${JSON.stringify({ term: TERM, commands: [] })}`;
 
-describe('a follower answers a report in the leader’s place', () => {
-  test('when it repeats what the leader has answered, and tells the leader of it', async () => {
+describe('a follower answers a heartbeat for the leader', () => {
+  test('when it repeats one that the leader has answered, and forwards a keepalive', async () => {
     const bench = await IntakeBench.settled();
     expect(await bench.take(2)).toBe(LOCAL);
     bench.intake.flush();
@@ -123,17 +123,17 @@
       (bench) => (bench.intake.receive(bench.message({ attention: ['m'] })), bench.take(2)),
     ],
     ['its tasks changed', (bench) => bench.take(2, [task('req-1/0', 1, 'saving')])],
-    ['a task of it ended', (bench) => bench.take(2, [task('req-1/0', 1, 'exited', 'done')])],
-    ['it has not seen the token', (bench) => bench.take(2, RUNNING, { token: TERM - 1 })],
-    ['the cloud will take the machine', (bench) => bench.take(2, RUNNING, { terminationNoticeS: 30 })],
-    ['a report in between went elsewhere', (bench) => bench.take(3)],
-    ['its session is another', (bench) => bench.take(2, RUNNING, { agentEpoch: 2 })],
+    ['one of its tasks ended', (bench) => bench.take(2, [task('req-1/0', 1, 'exited', 'done')])],
+    ['it has not seen the fencing token', (bench) => bench.take(2, RUNNING, { token: TERM - 1 })],
+    ['it carries a termination notice', (bench) => bench.take(2, RUNNING, { terminationNoticeS: 30 })],
+    ['a heartbeat in between went elsewhere', (bench) => bench.take(3)],
+    ['its agent epoch changed', (bench) => bench.take(2, RUNNING, { agentEpoch: 2 })],
   ];
   test.each(news)('not when %s', async (_what, take) => {
     expect(await take(await IntakeBench.settled())).toMatch(/^forwarded/);
   });
 
-  test('not when the leader’s last answer carried a command, or it has more to tell', async () => {
+  test('not when the leader’s last response carried a command or another is pending', async () => {
     for (const pending of [false, true]) {
       const bench = new IntakeBench();
       bench.snapshot();
@@ -144,7 +144,7 @@
   });
 
   // Idle machines that had just come up were taken for silent, and given back one after the other.
-  test('not before the leader has had a report that carries its token', async () => {
+  test('not before the leader has received a heartbeat with its fencing token', async () => {
     const bench = new IntakeBench();
     bench.snapshot();
     await bench.take(1, [], { token: 0 });
@@ -154,7 +154,7 @@
     expect(await bench.take(3, [])).toBe(LOCAL);
   });
 
-  test('not while an exit waits to be written: only the leader can say when it may be forgotten', async () => {
+  test('not while an exit waits to be committed: only the leader knows when it may be forgotten', async () => {
     const bench = await IntakeBench.settled();
     const exited = [task('req-1/0', 1, 'exited', 'done')];
     await bench.take(2, exited);
@@ -162,7 +162,7 @@
     expect(await bench.take(3, exited)).toMatch(/^forwarded/);
   });
 
-  test('not beyond the authority window of the read that proved the leader’s view', async () => {
+  test('not beyond the authority window of the read that confirmed the leader’s view', async () => {
     const bench = await IntakeBench.settled();
     const provenAt = bench.clock.epochMs();
     await bench.world.runUntil(TIMES.authorityWindowMs - 200 - 100);
@@ -172,7 +172,7 @@
     expect(await bench.take(3)).toMatch(/^forwarded/);
   });
 
-  test('not after a gap in the leader’s words, until it has told the whole', async () => {
+  test('not after a gap in the leader’s messages, until a full snapshot arrives', async () => {
     const bench = await IntakeBench.settled();
     bench.message();
     bench.intake.receive(bench.message());
@@ -181,7 +181,7 @@
     expect(await bench.take(2)).toBe(LOCAL);
   });
 
-  test('not on the word of an earlier message that comes after a newer one', async () => {
+  test('not on the basis of a stale message that arrives after a newer one', async () => {
     const bench = await IntakeBench.settled();
     const earlier = bench.message({ isSnapshot: true, provenAt: bench.clock.epochMs() });
     bench.snapshot({ attention: ['m'] });
@@ -198,7 +198,7 @@
     expect(await bench.take(2)).toBe('not taken');
   });
 
-  test('not a copy of an earlier report: it is no sign of life', async () => {
+  test('not a duplicate of an earlier heartbeat: it is no sign of life', async () => {
     const bench = await IntakeBench.settled();
     await bench.take(2);
     expect(await bench.take(1)).toBe('503 {}');
@@ -206,7 +206,7 @@
     expect(bench.sent.flatMap(({ heartbeats }) => heartbeats)).toHaveLength(1);
   });
 
-  test('and lets the leader hear each machine in full every so often', async () => {
+  test('and forwards a full heartbeat of each machine periodically', async () => {
     const bench = await IntakeBench.settled();
     const from = bench.world.now;
     let seq = 1;
@@ -218,7 +218,7 @@
   });
 });
 
-test('a forwarded report that gets no answer is answered without the leader before its worker gives it up', async () => {
+test('a forwarded heartbeat without a response is answered locally before its worker times out', async () => {
   const bench = new IntakeBench();
   bench.snapshot();
   await bench.take(1);
@@ -229,7 +229,7 @@
   expect(bench.alone).toEqual(['m']);
 });
 
-test('when the link to the leader is lost, what waits is routed as without shared reports', async () => {
+test('when the link to the leader is lost, pending heartbeats are routed as without sharing', async () => {
   const bench = new IntakeBench();
   bench.snapshot();
   await bench.take(1);
@@ -238,7 +238,7 @@
   expect(await bench.take(2)).toBe('not taken');
 });
 
-test('a new leader is told again what waits for the answer of the one before', async () => {
+test('heartbeats pending at the previous leader are forwarded again to a new one', async () => {
   const bench = new IntakeBench();
   bench.snapshot();
   await bench.take(1);
@@ -249,7 +249,7 @@
   expect(bench.sent.flatMap(({ reports }) => reports.map((one) => one.report.machine))).toEqual(['m', 'm']);
 });
 
-describe('a heartbeat', () => {
+describe('a keepalive', () => {
   const machineOf = (
     bench: CoreHarness,
   ): { lastHeartbeatAt: number | null; heartbeatSequence: number; claims: ReadonlyMap<string, unknown> } =>
@@ -263,7 +263,7 @@
     return bench;
   };
 
-  test('says that a machine lives as of when it came, and proves nothing absent', () => {
+  test('renews a machine as of its arrival, and proves no task absent', () => {
     const bench = running();
     bench.now += 1000;
     bench.do({ kind: 'keepalives', keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 4, ageMs: 300 }] });
@@ -272,8 +272,8 @@
   });
 
   test.each([
-    ['of an earlier report', { agentEpoch: 1, sequence: 3, ageMs: 0 }],
-    ['of a session that this leader has not heard of', { agentEpoch: 2, sequence: 9, ageMs: 0 }],
+    ['of an earlier heartbeat', { agentEpoch: 1, sequence: 3, ageMs: 0 }],
+    ['of an agent epoch unknown to this leader', { agentEpoch: 2, sequence: 9, ageMs: 0 }],
   ])('%s changes nothing', (_what, heartbeat) => {
     const bench = running();
     const { lastHeartbeatAt } = machineOf(bench);
@@ -282,7 +282,7 @@
     expect(machineOf(bench)).toMatchObject({ lastHeartbeatAt, heartbeatSequence: 3 });
   });
 
-  test('of a machine that has not shown this leader its token changes nothing', () => {
+  test('of a machine that has not shown the fencing token changes nothing', () => {
     const bench = new CoreHarness();
     bench.hear(report('m', 1, [], { token: TERM - 1 }));
     const { lastHeartbeatAt } = machineOf(bench);
@@ -292,7 +292,7 @@
   });
 });
 
-describe('followers learn of a machine to which there is something to say', () => {
+describe('followers are notified of a machine that needs attention', () => {
   const told = (effects: readonly Effect[]): string[] =>
     effects.flatMap((effect) => (effect.kind === 'attention' ? effect.machines : []));
   const idle = (): CoreHarness => {
@@ -302,7 +302,7 @@
     return bench;
   };
 
-  test('a start', () => {
+  test('for a start', () => {
     const bench = idle();
     expect(told(bench.add(job('req-1', 1, 4, 50)))).toEqual(['m']);
     // Told with the answer, it is no longer due.
@@ -310,7 +310,7 @@
     expect(bench.state.attention.size).toBe(0);
   });
 
-  test('a stop, once its job is cancelled', () => {
+  test('for a stop, once its job is cancelled', () => {
     const bench = idle();
     bench.add(job('req-1', 1, 4, 50));
     bench.hear(report('m', 3));
@@ -323,7 +323,7 @@
     expect(bench.state.attention.size).toBe(0);
   });
 
-  test('a start that may not be sent yet stays due', () => {
+  test('for a start that may not be sent yet, again later', () => {
     const bench = idle();
     bench.add(job('req-1', 1, 4, 50));
     bench.proven = false;
@@ -375,7 +375,7 @@
 }
 
 describe('a leader that shares its reports', () => {
-  test('takes forwarded reports of its own term that are not as old as to say nothing', () => {
+  test('accepts forwarded heartbeats of its own term that are recent enough', () => {
     const bench = new LeaderBench();
     bench.receive({});
     bench.receive({ term: TERM - 1 });
@@ -383,7 +383,7 @@
     expect(bench.pushed).toEqual(['m']);
   });
 
-  test('sends a worker to a follower that takes reports, and not at once again', () => {
+  test('redirects a worker to a follower that accepts heartbeats, and not again at once', () => {
     const bench = new LeaderBench();
     bench.shared.tell();
     expect(bench.shared.redirect(report('m', 3))).toBe('n-1');
@@ -391,14 +391,14 @@
     expect(bench.shared.redirect(report('m', 4))).toBeNull();
   });
 
-  test('keeps a worker whose followers do not take reports for it', () => {
+  test('keeps a worker if no follower accepts heartbeats for the leader', () => {
     const bench = new LeaderBench();
     bench.taking = false;
     bench.shared.tell();
     expect(bench.shared.redirect(report('m', 3))).toBeNull();
   });
 
-  test('keeps a worker that is to be told something, or whose exit waits to be written', () => {
+  test('keeps a worker that needs a command or whose exit waits to be committed', () => {
     const bench = new LeaderBench();
     bench.shared.tell();
     expect(bench.shared.redirect(report('m', 3, [task('req-1/0', 1, 'exited', 'done')]))).toBeNull();
@@ -406,7 +406,7 @@
     expect(bench.shared.redirect(report('m', 3))).toBeNull();
   });
 
-  test('tells a follower at once of what it has to say to the workers that report there', async () => {
+  test('notifies a follower at once of its workers that need attention', async () => {
     const bench = new LeaderBench();
     bench.shared.tell();
     bench.shared.attend(['m']);
@@ -418,7 +418,7 @@
     expect(bench.sent.at(-1)).toMatchObject({ attention: ['m'], isSnapshot: false });
   });
 
-  test('tells followers of all that it has something to say to, and of what proved its view', () => {
+  test('sends followers all machines that need attention and the confirmation of its view', () => {
     const bench = new LeaderBench();
     bench.core.add(job('req-1', 1, 4, 50));
     bench.shared.tell();
@@ -430,13 +430,13 @@
   });
 });
 
-test('a report forwarded late was heard when it came to the follower', () => {
+test('a heartbeat forwarded late counts as of its arrival at the follower', () => {
   const bench = new CoreHarness();
   bench.do({ kind: 'heartbeat', reply: 1, heartbeat: report('m', 1), ageMs: 800 });
   expect(bench.state.machines.get('m')?.lastHeartbeatAt).toBe(bench.now - 800);
 });
 
-test('messages about shared reports survive the wire, and are no status to versions before', () => {
+test('messages about shared heartbeats round-trip, and earlier versions do not take them for a status', () => {
   const envelope = { node: 'n-1', incarnation: 'x', term: 7, at: 1e12 };
   const forwarded = report('m', 9, [task('req-1/0', 2, 'running'), task('req-1/1', 1, 'exited', 'error')], {
     terminationNoticeS: 0,
@@ -477,7 +477,7 @@
   expect(found).toEqual(messages);
 });
 
-test('workers are spread evenly, near ones first, and sharing does not flap', () => {
+test('workers are balanced over controllers, same zone first, and sharing does not flap', () => {
   const load = (
     node: string,
     zone: string,
@@ -500,7 +500,7 @@
   ]);
 });
 
-test('few machines: nothing is shared, whatever happens', async () => {
+test('with few machines no heartbeat is shared', async () => {
   const { world } = await atWork();
   world.crash(0, 2000);
   await world.clock.runUntil(world.clock.now + 30_000);
@@ -508,7 +508,7 @@
 });
 
 // Sent on to a follower that had not taken the leader's word, workers came back at once, and jobs stood still.
-test('no worker is sent to a follower that does not take reports for this leader', async () => {
+test('no worker is redirected to a follower that does not accept heartbeats for this leader', async () => {
   const { world } = await atWork(3, { sharing: true });
   const before = world.intakeMessages;
   await world.clock.runUntil(world.clock.now + 5000);
@@ -520,7 +520,7 @@
   expect(world.checker.lapsed).toBe(0);
 });
 
-test('the gap, with reports shared: refused alone, cancellations confirmed elsewhere, then down for all', async () => {
+test('sharing: store refuses only the leader, cancellations confirmed elsewhere, then a full outage: tasks stop in time', async () => {
   const { world, leader, others, ids } = await atWork(3, { sharing: true });
   world.state.refuse(NODES[leader] ?? '', 2 * CANCEL);
   await world.clock.runUntil(world.clock.now + 100);
@@ -533,7 +533,7 @@
   await endsWell(world, 400_000);
 });
 
-test('followers that hold workers and cannot reach the leader let cancelled work go in time', async () => {
+test('followers with workers that cannot reach the leader let cancelled tasks stop in time', async () => {
   const { world, leader, others, ids } = await atWork(DEPUTY_SEED, { sharing: true });
   // Words between controllers are held back; the leader and its machines are cut apart as well.
   for (const other of others) world.network.cut(NODES[leader] ?? '', NODES[other] ?? '', 2 * CANCEL);
@@ -546,7 +546,7 @@
   await endsWell(world, 400_000);
 });
 
-test('days with troubles of every kind and reports shared: no rule is broken, all that was accepted ends', async () => {
+test('sharing: under faults of every kind no rule is violated and every accepted job ends', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
--- a/test/simulated-runs.test.ts
+++ b/test/simulated-runs.test.ts
@@ -1,4 +1,4 @@
-/** The whole service through drawn days, every rule of the protocol checked by an outsider. */
+/** Simulated runs of the whole service with drawn faults; an independent checker verifies every rule of the protocol. */
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { Checker } from './emulators/checker.js';
@@ -17,20 +17,20 @@
   return world;
 }
 
-test('a quiet day: every job is done, no rule is broken', async () => {
+test('without faults every job completes and no rule is violated', async () => {
   const world = await playDay(1, 0, 0);
   expect(world.checker.broken).toEqual([]);
   expect(world.checker.unfinished()).toEqual([]);
   expect(world.checker.started).toBeGreaterThan(20);
 });
 
-test('a team at its limit never uses more, and still gets all its work done', async () => {
+test('a team at its quota never exceeds it and completes all its jobs', async () => {
   const world = await playDay(2, 0, 6);
   expect(world.checker.broken).toEqual([]);
   expect(world.checker.unfinished()).toEqual([]);
 });
 
-test('days with troubles of every kind: no rule is broken, and all that was accepted ends', async () => {
+test('under faults of every kind no rule is violated and every accepted job ends', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
@@ -47,7 +47,7 @@
 
 // At this size chunks of one job, transactions and takeovers hold hundreds of claims: what a
 // small day never fills.
-test('a day of 160 machines and thousands of tasks, with troubles: no rule is broken', async () => {
+test('with 160 machines, thousands of tasks and faults no rule is violated', async () => {
   const world = await playDay(11, 10, 0, { jobs: 200, mostTasks: 60, machines: 160 });
   expect(world.checker.broken).toEqual([]);
   expect(world.checker.unfinished()).toEqual([]);
@@ -57,7 +57,7 @@
 
 const PIPELINES: DaySize = { jobs: 6, mostTasks: 5, machines: 8, pipelines: 6 };
 
-test('days of pipelines, cancelled anywhere, with troubles: no rule is broken, and all ends', async () => {
+test('with job DAGs, cancellations and faults no rule is violated and every job ends', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
@@ -92,7 +92,7 @@
   return world;
 }
 
-test('upgrades under load, leaders of both versions in turn, then small limits: no rule is broken', async () => {
+test('upgrades under load with leaders of both versions, then smaller limits, violate no rule', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
@@ -111,7 +111,7 @@
 
 const ON_CALL: DaySize = { jobs: 16, mostTasks: 6, machines: 8, onCall: true };
 
-test('what the on-call people met: no rule is broken, nothing is forgotten, every share is served', async () => {
+test('combinations of faults seen in production violate no rule, lose no job and serve every share', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
@@ -145,7 +145,7 @@
   return checker;
 };
 
-test('the checker fails on planted histories: a job without an answer, a class, a large job', () => {
+test('the checker rejects histories with an unanswered job, a starved class or a starved large job', () => {
   const forgotten = planted();
   forgotten.asked('req-1', 99_000);
   forgotten.answered('req-1', 503, {}, 99_000, 'show');
--- a/test/stale-reads.test.ts
+++ b/test/stale-reads.test.ts
@@ -1,4 +1,4 @@
-/** The users' further meetings: each test brings one about, and says that it took place. */
+/** Lost responses, failovers and partitions: reads are never stale, and cancelled tasks stop in time. */
 import { expect, test } from 'vitest';
 import type { Transaction } from '../src/core/types.js';
 import { createElection, electionStep, type ElectionEffect } from '../src/membership/election.js';
@@ -28,7 +28,7 @@
 }
 
 // 1. Users ask at all nodes, and repeat the submission, within milliseconds after each answer that is news.
-test.each([3, 5, 8])('close looks: no node answers anything older (%d)', async (seed) => {
+test.each([3, 5, 8])('reads right after an acknowledged write are never stale (%d)', async (seed) => {
   const world = new Simulation(seeded(seed));
   world.closeLooks(60_000);
   world.cancelAtEnd(0.5, 60_000);
@@ -45,8 +45,8 @@
 test.each([
   ['a submission', 'job/'],
   ['claims', 'run/'],
-  ['an ending', 'ended/'],
-])('only the answer is lost: %s', async (_, prefix) => {
+  ['the end of a job', 'ended/'],
+])('a write whose response is lost takes effect once: %s', async (_, prefix) => {
   const world = new Simulation(seeded(4), { keepLog: true });
   await world.clock.runUntil(3000);
   let lost = 0;
@@ -63,7 +63,7 @@
   expect(new Set(world.logged.filter(({ msg }) => msg === 'elected').map(({ term }) => term)).size).toBe(1);
 });
 
-test('only the answer is lost: a cancellation, and the user asks elsewhere at once', async () => {
+test('a cancellation whose response is lost is visible on every node at once', async () => {
   const { world, leader, others, ids } = await atWork();
   const [id = ''] = ids;
   world.state.loseOnce(puts(`ended/${id}`));
@@ -78,7 +78,7 @@
 });
 
 // Elected unseen, a leader had its lease run out 0.8 s later, before its first renewal: nobody led for 3 s more.
-test('only the answer is lost: who is elected unseen leads on', async () => {
+test('a node whose election response is lost keeps its lease and leads', async () => {
   const { world } = await atWork();
   const terms = (): number => world.logged.filter(({ msg }) => msg === 'elected').length;
   const before = terms();
@@ -94,7 +94,7 @@
 });
 
 // The answer to a renewal is lost only after most of the lease; waiting the usual pause as well let it end.
-test('only the answer is lost: a renewal is repeated sooner than the next would be due', () => {
+test('a lease renewal whose response is lost is retried before the next one is due', () => {
   const times = timing(testSettings(0));
   const election = createElection('n-0', 'life', times);
   const round = (effects: readonly ElectionEffect[], kind: string): number => {
@@ -119,7 +119,7 @@
   expect(times.storeTimeoutMs + times.tickMs).toBeLessThan(times.leaderLeaseMs);
 });
 
-test('only the answer is lost: a successor that was named unseen leads', async () => {
+test('a successor leads although the response to the leadership transfer is lost', async () => {
   const { world, leader } = await atWork();
   const renamed = ({ mutations }: Transaction): boolean =>
     mutations.some(
@@ -140,11 +140,11 @@
 
 // 3. Every team is at its limit, cancelled jobs are on machines cut off or hanging, the leader changes.
 test.each([
-  ['cut off', 1],
-  ['cut off', 3],
-  ['hanging', 1],
-  ['hanging', 3],
-] as const)('at the limit: cancelled work on machines %s counts through %d leaders', async (how, leaders) => {
+  ['partitioned', 1],
+  ['partitioned', 3],
+  ['paused', 1],
+  ['paused', 3],
+] as const)('quota use counts cancelled tasks on machines %s through %d leaders', async (how, leaders) => {
   const limit = 6;
   const world = new Simulation(seeded(6), { cpusMax: limit });
   world.cloud.capacity = 8;
@@ -166,7 +166,7 @@
     ([, { tasks }]) => [...tasks.values()].filter((one) => one.job === 'req-000001').length === 3,
   );
   expect(cloud.workers.size).toBe(2);
-  if (how === 'hanging') worker?.hang(away);
+  if (how === 'paused') worker?.hang(away);
   else for (const node of NODES) network.cut(name ?? '', node, away);
   for (const id of ['req-000001', 'req-000002'])
     expect(await world.until(world.withdraw(id, 'n-1'))).toBe(true);
@@ -182,7 +182,7 @@
   await endsWell(world, 200_000);
 });
 
-test('odd requests: repeats cost no changes, nothing impossible or incomplete is accepted', async () => {
+test('repeated requests are idempotent, and impossible or incomplete ones are rejected', async () => {
   const world = new Simulation(seeded(5), { cpusMax: 6 });
   const { clock, state } = world;
   await clock.runUntil(3000);
@@ -209,7 +209,7 @@
 
 // 4. Jobs are cancelled in the seconds in which one controller's work changes hands.
 test.each(['hands over', 'elected', 'leading'])(
-  'cancelled as work changes hands: around "%s"',
+  'a cancellation takes effect during a change of leader: around "%s"',
   async (moment) => {
     for (const [i, after] of [0, 3, 15, 60, 250, 1000].entries()) {
       const { world, leader, others, ids } = await atWork(3 + i);
@@ -234,9 +234,9 @@
 );
 
 test.each([
-  ['alone', 0],
-  ['with the state service out in their midst', 8000],
-])('ten leaders in two minutes, %s: nothing is forgotten, nothing runs twice', async (_, outage) => {
+  ['without other faults', 0],
+  ['with a store outage among them', 8000],
+])('ten failovers in two minutes, %s, lose no job and run no task twice', async (_, outage) => {
   const { world, ids } = await atWork(3, { runs: [150_000, 1000] });
   const { clock, checker, state } = world;
   const started = checker.started;
@@ -254,7 +254,7 @@
   expect(checker.started).toBe(started);
 });
 
-test('a zone with workers and a controller is cut off for longer than a lease: cancelled elsewhere, gone in time', async () => {
+test('jobs cancelled during a partition of a zone with workers and a controller stop within the cancel timeout', async () => {
   const { world, ids } = await atWork(7, { jobs: 6, runs: [90_000, 5000], machines: 8 });
   const { clock, checker, cloud } = world;
   const inB = [...cloud.workers.values()].filter(({ listed }) => listed.zone === 'b');
@@ -274,7 +274,7 @@
 
 // 5. New machines are up within two seconds and get work at once while writes lag, and the leader ends.
 test.each([11, 12, 13, 14])(
-  'machines up before any list tells of them, writes that lag, the leader ends (%d)',
+  'machines that boot before they are listed survive delayed writes and a leader crash (%d)',
   async (seed) => {
     const world = new Simulation(seeded(seed));
     const { clock, checker, cloud, state } = world;
@@ -302,7 +302,7 @@
 );
 
 // 6. An old report reaches every controller just as a new leader begins.
-test('old reports reach every controller as a leader begins: nothing is freed, ended or placed by them', async () => {
+test('stale heartbeats that reach every controller as a leader begins free, end or place nothing', async () => {
   // Of all reports, also those from before there was a task on the machines.
   const { world } = await atWork(3, { runs: [90_000, 1000], copies: 60_000 });
   const { clock, checker } = world;
@@ -318,7 +318,7 @@
   expect(checker.started).toBe(started);
 });
 
-test('old reports of a session that is over: the real one is taken, and its tasks run again', async () => {
+test('stale heartbeats of an earlier agent epoch do not mask the current one, and its tasks run again', async () => {
   const { world } = await atWork(3, { runs: [40_000, 1000] });
   const { clock, checker } = world;
   world.keepCopies(1, 4000);
@@ -333,7 +333,7 @@
 });
 
 // 7. One-task jobs come four a second, a quarter of them cancelled.
-test('one-task jobs, four a second, a quarter cancelled: each costs five changes, and all keep up', async () => {
+test('four single-task jobs a second, a quarter cancelled, cost five mutations each without a backlog', async () => {
   const world = new Simulation(seeded(9));
   const { clock, state, checker, cloud } = world;
   cloud.capacity = 8;
@@ -372,7 +372,7 @@
 });
 
 // Cancelled meanwhile, as another controller confirmed, it would start all the same.
-test('a leader whose view is not fresh starts nothing that was claimed before', () => {
+test('a leader whose view is stale does not start tasks claimed earlier', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 4, 50));
@@ -387,7 +387,7 @@
 });
 
 // Called directly it answered, so it was never given back; its tasks had long lost their lease.
-test('a machine that reaches no controller, and lost its lease, is given back although it answers calls', () => {
+test('a machine that reaches no controller and whose lease has expired is terminated although it answers direct calls', () => {
   const bench = new CoreHarness();
   const { silenceTimeoutMs, tickMs, workerLeaseMs } = bench.state.config.timing;
   for (const name of ['n', 'o', 'p']) bench.hear(report(name, 1));
@@ -427,7 +427,7 @@
 });
 
 // Each new leader began to wait anew: through ten leaders in two minutes a cancelled task kept its place.
-test('a machine that no leader has heard is given back sooner if it holds cancelled work', () => {
+test('a machine that no leader has heard from is terminated sooner if it holds cancelled tasks', () => {
   const { shortSilenceTimeoutMs, tickMs } = new CoreHarness().state.config.timing;
   const returnedAfter = (cancelled: boolean): number => {
     const bench = new CoreHarness();
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -1,4 +1,4 @@
-/** Promises beyond the head's reservation: bounded waiting, guarantees, and the preemption that keeps them. */
+/** Starvation reservations: bounded waiting, quota guarantees, and the preemption that enforces them. */
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
 import { waitingJobs, whyWaits } from '../src/core/placement/index.js';
@@ -39,7 +39,7 @@
 }
 
 // Nothing in the service stopped a task to make room: rush work waited 300 s behind idle-time work.
-test('idle-time work gives way to what would miss an aim, its progress saved, and goes on in its arrival place', async () => {
+test('best-effort work is preempted with a checkpoint for a job that would miss an objective, and keeps its queue position', async () => {
   const shift = new Shift();
   shift.add(guest('req-1', 2, 4));
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')];
@@ -67,7 +67,7 @@
   await shift.bench.keep('preemption');
 });
 
-test('nothing is stopped for work of equal priority, when it ends about as soon, or has only begun', () => {
+test('no task is preempted for equal priority, if it ends about as soon, or if it has just started', () => {
   const begun = new Shift();
   begun.add(guest('req-1', 1, 8));
   begun.hear([], 1000);
@@ -88,7 +88,7 @@
 });
 
 // Stopped again and again before it has saved anything, a task would never end.
-test('what was stopped once gains a checkpoint before it is stopped again', () => {
+test('a preempted task gains a checkpoint before it may be preempted again', () => {
   const shift = new Shift();
   shift.add(guest('req-1', 1, 8));
   shift.hear([], 1000);
@@ -104,7 +104,7 @@
   expect(stops(shift.hear([task('req-1/0', 2, 'running')], 20_000))).toHaveLength(1);
 });
 
-test('what would lose its work for an aim of its own is not stopped to save another aim', () => {
+test('a task that would miss its own objective is not preempted for the objective of another', () => {
   const shift = new Shift();
   shift.add(job('req-1', 1, 8, 300, { deadlineS: 900 }));
   shift.hear([], 1000);
@@ -113,7 +113,7 @@
 });
 
 // The paper guards the head alone; in the order of priorities a job of the lowest one waited for ever.
-test('a job that nears the bound on waiting gets a reservation against all others', async () => {
+test('a job near the bound on its waiting time gets a reservation against all others', async () => {
   const shift = new Shift();
   const { bench } = shift;
   shift.add(job('req-1', 1, 4, 30));
@@ -156,7 +156,7 @@
   await bench.keep('bounded-waiting');
 });
 
-test('of arrays of a class that have begun, one at a time is promised more', () => {
+test('of the started job arrays of a class one at a time holds a starvation reservation', () => {
   const shift = new Shift();
   const { state } = shift.bench;
   for (const id of ['req-1', 'req-2', 'req-3']) shift.add(guest(id, 9, 4));
@@ -171,7 +171,7 @@
 });
 
 // Three home jobs that had waited longest held all promises: a guest's arrays began after the bound.
-test('each class has promises of its own, however long the backlog of another has waited', () => {
+test('each class has its own starvation reservations, however long the backlog of another', () => {
   const shift = new Shift();
   const { state } = shift.bench;
   for (let i = 1; i < 6; i += 1) shift.add(job(`req-${i}`, 1, 8, 300));
@@ -185,7 +185,7 @@
 });
 
 // Below its guarantee a team need not wait for what others have borrowed, whatever its priority.
-test('a guarantee is taken back from who runs above its own', async () => {
+test('guaranteed quota is reclaimed by preempting a team above its own guarantee', async () => {
   const shift = new Shift();
   const { bench } = shift;
   const teams = bench.state.config.teams as Map<string, object>;
@@ -209,7 +209,7 @@
 });
 
 // Late whatever is done, a backlog of 32-core tasks kept a guest's arrays waiting for 400 s.
-test('a job that can no longer be in time stands in its arrival place among idle-time work', () => {
+test('a job that can no longer meet its deadline queues by arrival among best-effort work', () => {
   const shift = new Shift();
   const { bench } = shift;
   shift.add(job('req-1', 1, 8, 300));
@@ -223,7 +223,7 @@
 });
 
 // An array of 20,000 short tasks took the processor that the leader needed to hear its workers.
-test('a leader behind its timers places only so many of what could wait, and all that cannot', () => {
+test('an overloaded leader places a bounded number of deferrable tasks, and all that are urgent', () => {
   const bench = new CoreHarness();
   const names = Array.from({ length: 20 }, (_, i) => `m${i}`);
   for (const name of names) bench.hear(report(name, 1));
@@ -248,7 +248,7 @@
 });
 
 // One object for each of 100,000 tasks would not fit a controller of 114 MB beside all else.
-test('of an array of 100,000 tasks, what is kept follows those that are out', () => {
+test('memory for an array of 100,000 tasks is proportional to its running tasks', () => {
   const shift = new Shift();
   const { state } = shift.bench;
   shift.add(job('req-1', 100_000, 1, 3));
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,4 +1,4 @@
-/** Versions side by side, and the way over to small limits. */
+/** Mixed versions, and the migration to smaller limits. */
 import { readFileSync } from 'node:fs';
 import protobuf from 'protobufjs/light.js';
 import { expect, test } from 'vitest';
@@ -27,7 +27,7 @@
 }
 const production = JSON.parse(readFileSync(new URL('data/production.json', import.meta.url), 'utf8')) as Kept;
 
-test('what production has stored is taken over, narrowed, and brought to its end', async () => {
+test('jobs stored by 0.1.0 are loaded, migrated to narrow chunks and completed', async () => {
   const world = new Simulation(seeded(3), { limits: TIGHT });
   world.shrink();
   world.cloud.capacity = 12;
@@ -48,7 +48,7 @@
   expect(world.state.rejected).toBe(0);
 });
 
-test('peers of either version read what the other says', () => {
+test('peers of both versions decode the messages of the other', () => {
   const [status] = new StatusReader().push(Buffer.from(production.status, 'base64'));
   expect(status).toMatchObject({ node: 'n-0', term: 7, leading: true, format: 0, settledAt: 0 });
   // Fields as production declares them.
@@ -82,7 +82,7 @@
   expect(earlier.toObject(earlier.decodeDelimited(own))).toMatchObject({ node: 'n-1', term: 8 });
 });
 
-test('a controller that is not known to be new keeps the format back; service goes on', async () => {
+test('a controller of unknown version delays the new format; service continues', async () => {
   const world = new Simulation(seeded(6), { limits: TIGHT, earlier: true });
   world.upgrade(0, 2000);
   world.upgrade(1, 2000);
@@ -109,7 +109,7 @@
     ]),
   );
 
-test('every record fits the limits to come', () => {
+test('every record fits the coming limits', () => {
   const settings = testSettings(0, 0, { next: { value_kb: 2, txn_ops: 6, write_rps: 18 } });
   const layout = lastingLayout(settings, formatRecord(settings, null));
   expect(layout).toMatchObject({ keyWidth: 64, tasksPerChunk: 64, maxMutations: 6, maxValueBytes: 2048 });
@@ -137,7 +137,7 @@
   for (const part of packed) expect(bytes(part)).toBeLessThan(2048);
 });
 
-test('keys of chunks of either version', () => {
+test('chunk keys of both versions are parsed', () => {
   for (const name of [
     { index: 3, width: null },
     { index: 12, width: 64 },
@@ -147,7 +147,7 @@
   expect(parseChunkKey('run/req-1/0.00001')).toBeNull();
 });
 
-test('a width once written only shrinks, and what wide chunks hold is told by the record', () => {
+test('a written chunk width only shrinks, and the record tells what wide chunks hold', () => {
   const tight = testSettings(0, 0, TIGHT);
   const known = formatRecord(tight, null);
   expect(known).toEqual({ format: 2, wide: 128, tasks: 24 });
@@ -164,7 +164,7 @@
   });
 });
 
-test('limits to come: optional, each of them, and checked', () => {
+test('each of the coming limits is optional and validated', () => {
   const settings = testSettings(0);
   const withNext = (next: unknown): unknown => ({
     ...settings,
@@ -196,7 +196,7 @@
   return bench;
 }
 
-test('the way over: a narrow chunk outranks the wide one, which goes when all it knows is held', async () => {
+test('migration: a narrow chunk supersedes the wide one, which is removed once all its tasks are covered', async () => {
   const bench = leading();
   const settings = testSettings(0, 0, TIGHT);
   bench.do({ kind: 'adoptLayout', layout: lastingLayout(settings, formatRecord(settings, null)) });
@@ -211,7 +211,7 @@
   await bench.keep('way-over');
 });
 
-test('after a crash on the way over, each task counts as its narrowest record says', () => {
+test('after a crash during migration each task has the state of its narrowest record', () => {
   const bench = new CoreHarness(0, undefined, TIGHT);
   const settings = testSettings(0, 0, TIGHT);
   const format = formatRecord(settings, null);
@@ -241,7 +241,7 @@
 });
 
 // A transaction that the state service will never take was sent again at every tick.
-test('what is refused for its size is split, then left for a while, and never sent for ever', () => {
+test('a transaction rejected for its size is split, then backed off, and never retried for ever', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   let sent = 0;
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,4 +1,4 @@
-/** What others wrote is never trusted. */
+/** Validation of messages from other systems. */
 import { expect, test } from 'vitest';
 import { encodeStatus, MOST_FRAME, StatusReader, type PeerStatus } from '../src/wire/peers.js';
 import { parseCatalog, parseMachines, parseRented } from '../src/wire/cloud.js';
@@ -29,20 +29,20 @@
   takesReports: true,
 };
 
-test('peer messages survive any cutting of the stream', () => {
+test('peer messages are decoded however the stream is split', () => {
   const bytes = Buffer.concat([encodeStatus(status), encodeStatus({ ...status, term: 8 })]);
   const reader = new StatusReader();
   const found = [...bytes].flatMap((byte) => reader.push(Uint8Array.of(byte)));
   expect(found).toEqual([status, { ...status, term: 8 }]);
 });
 
-test('garbage and oversized frames from a peer are refused', () => {
+test('garbage and oversized frames from a peer are rejected', () => {
   expect(() => new StatusReader().push(Uint8Array.of(0xff, 0xff, 0xff, 0xff, 0x7f))).toThrow();
   expect(() => new StatusReader().push(Buffer.from([3, 0x07, 0x07, 0x07]))).toThrow();
   expect(MOST_FRAME).toBeGreaterThan(encodeStatus(status).length);
 });
 
-test('malformed replies of the state service and the cloud count as none', () => {
+test('malformed responses of the store and the cloud are discarded', () => {
   expect(parseRevision({ ledgerRev: 'x' })).toBeNull();
   expect(parsePage({ rows: [{ key: 'a' }], ledgerRev: 3 })).toBeNull();
   expect(parseChanges({ events: [{ stamp: 3 }], ledgerRev: 3 })).toBeNull();
@@ -51,7 +51,7 @@
   expect(parseRented({ skiffs: [7] })).toBeNull();
 });
 
-test('reports: null equals absent, unknown fields are ignored, faults refuse the whole', () => {
+test('heartbeats: null equals absent, unknown fields are ignored, any fault rejects the whole', () => {
   const report = {
     skiff: 'vm-1',
     address: '10.0.0.1:1',
@@ -76,7 +76,7 @@
   expect(parseTaskName('req-1/')).toBeNull();
 });
 
-test('commands as a worker reads them', () => {
+test('commands are encoded in the worker protocol', () => {
   expect(
     JSON.parse(encodeReply(41, [{ op: 'stop', job: 'req-1', task: 1, attempt: 2, graceS: 10 }])),
   ).toEqual({
@@ -86,7 +86,7 @@
 });
 
 // The protocol's own example tells the later of two changes first.
-test('changes are taken in the order of their revisions, however they are told', () => {
+test('changes are ordered by revision, whatever the order of the response', () => {
   const told = {
     ledgerRev: 9,
     events: [
