--- a/bench/between.ts
+++ b/bench/between.ts
@@ -13,13 +13,13 @@
 const others = (leader: number): number[] => [0, 1, 2].filter((node) => node !== leader);
 const cutFromWorkers: Fault = (world, leader, size) => {
   for (const name of world.cloud.workers.keys())
-    world.network.cut(`n-${leader}`, name, 15_000 + 20_000 * size);
+    world.network.partition(`n-${leader}`, name, 15_000 + 20_000 * size);
 };
 
 /** Each at a size drawn from 0 to 1. */
 const KINDS: Record<string, Fault> = {
-  'short stall': (world, leader, size) => world.freeze(leader, 200 + 1000 * size),
-  'long stall': (world, leader, size) => world.freeze(leader, 2500 + 6000 * size),
+  'short stall': (world, leader, size) => world.pause(leader, 200 + 1000 * size),
+  'long stall': (world, leader, size) => world.pause(leader, 2500 + 6000 * size),
   crash: (world, leader) => world.crash(leader, 5000),
   'two crash': (world, leader, size) => {
     world.crash(leader, 5000);
@@ -92,8 +92,8 @@
     // No machine fails on these days: whatever is given back, but for want of work, was alive.
     givenBack: after.filter(({ msg, reason }) => msg === 'give back' && reason !== 'idle').length,
     leases: [...world.cloud.workers.values()].reduce((sum, { session }) => sum + session - 1, 0),
-    broken: world.checker.broken,
-    unfinished: world.checker.unfinished().length,
+    broken: world.checker.violations,
+    unfinished: world.checker.unfinishedJobs().length,
   };
 }
 
--- a/demo/emulators.ts
+++ b/demo/emulators.ts
@@ -149,13 +149,13 @@
 });
 app.post('/machines', (request, response) => {
   const { charter, bench, hall, borrowed, howMany } = asObject(request.body) ?? {};
-  const got = cloud.rent(text(charter), text(bench), text(hall), borrowed === true, Number(howMany));
+  const got = cloud.provision(text(charter), text(bench), text(hall), borrowed === true, Number(howMany));
   if (typeof got === 'string') response.status(503).json({ error: 'no capacity' });
   else response.json({ skiffs: got });
 });
 app.post('/machines/return', (request, response) => {
   const skiffs = asObject(request.body)?.['skiffs'];
-  for (const name of Array.isArray(skiffs) ? skiffs.filter(isText) : []) cloud.remove(name);
+  for (const name of Array.isArray(skiffs) ? skiffs.filter(isText) : []) cloud.terminate(name);
   response.json({});
 });
 
--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -3,8 +3,16 @@
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
 import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
-import { atWork, CANCEL, DEPUTY_SEED, endsWell, FROM, LEASE, reachOnly } from './emulators/busy-cluster.js';
-import { drawMeetings, LONGEST_RUN, partZones } from './emulators/faults.js';
+import {
+  startBusyCluster,
+  CANCEL,
+  DEPUTY_SEED,
+  expectCleanEnd,
+  FROM,
+  LEASE,
+  reachOnly,
+} from './emulators/busy-cluster.js';
+import { drawConcurrentFaults, MAX_RUNTIME_MS, partitionZones } from './emulators/faults.js';
 import { NODES, seeded, TIGHT, Simulation } from './emulators/simulation.js';
 
 // The gap: the leader alone cannot know what another controller confirms; then nobody can tell it.
@@ -16,7 +24,7 @@
   ['one follower, the one in the other zone is refused too', 0, 'deputy'],
 ])('cancelled tasks stop in a store outage: cancellation confirmed by %s', async (_, follower, more) => {
   // The deputy is to stand alone in its zone, so that another seed's leader serves.
-  const { world, leader, others, ids } = await atWork(more === 'deputy' ? DEPUTY_SEED : 3);
+  const { world, leader, others, ids } = await startBusyCluster(more === 'deputy' ? DEPUTY_SEED : 3);
   const { clock, state, checker } = world;
   const told: string[] = [];
   const tell = (what: string): number => told.push(`${((clock.now - FROM) / 1000).toFixed(1)} s  ${what}`);
@@ -25,7 +33,7 @@
   const confirms = NODES[more === 'deputy' ? 2 : (others[follower] ?? 0)] ?? '';
   if (more === 'deputy') {
     expect(blind).toBe('n-0');
-    partZones(world, 2 * outage);
+    partitionZones(world, 2 * outage);
     await clock.runUntil(clock.now + 8000);
     state.refuse('n-1', outage);
   }
@@ -39,7 +47,7 @@
   const confirmedAt = clock.now;
   state.outage(outage);
   tell('the state service is down for all');
-  const out = (): number => cancelled.reduce((sum, id) => sum + checker.out(id), 0);
+  const out = (): number => cancelled.reduce((sum, id) => sum + checker.placedTasks(id), 0);
   // The test would show nothing if somebody had stopped them in time to know.
   expect(out()).toBe(6);
   if (more === 'back') clock.in(4000, () => world.crash(leader, 700));
@@ -47,15 +55,15 @@
   for (let at = 0; at < CANCEL; at += 500) {
     await clock.runUntil(confirmedAt + at);
     if (out() !== before)
-      tell(`${out()} of their tasks are on machines, ${checker.out(kept)} of another job`);
+      tell(`${out()} of their tasks are on machines, ${checker.placedTasks(kept)} of another job`);
     before = out();
     // Answered for as long as may be: what is not cancelled is not lost to a short outage.
     if (at === LEASE && more === 'none') expect(out()).toBeGreaterThan(0);
   }
   expect(out()).toBe(0);
   if (follower === 0 && more === 'none')
-    await expect(`${told.join('\n')}\n`).toMatchFileSnapshot('traces/gap.txt');
-  await endsWell(world, 400_000);
+    await expect(`${told.join('\n')}\n`).toMatchFileSnapshot('traces/store-outage-cancellations.txt');
+  await expectCleanEnd(world, 400_000);
 });
 
 test('a cancellation learned while a write of its job is reconciled stops its tasks at once', () => {
@@ -99,7 +107,7 @@
   bench.add(job('req-1', 4, 8, 90));
   hear(2, 1);
   const lapses = bench.state.leadership?.authorityUntil ?? 0;
-  bench.proven = false;
+  bench.isViewConfirmed = false;
   for (let seq = 3; bench.now < lapses + 2 * workerLeaseMs; seq += 1) {
     bench.now += 3000;
     const session = bench.now > lapses + workerLeaseMs ? 2 : 1;
@@ -112,7 +120,7 @@
     // Nobody is judged meanwhile either.
     expect(bench.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
   }
-  bench.proven = true;
+  bench.isViewConfirmed = true;
   bench.now += tickMs;
   bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
   // The first of them comes at once, the others in their rhythm.
@@ -127,11 +135,11 @@
 
 // 1. A transaction without an answer is carried out late, after newer ones.
 test('delayed transactions: a cancellation applied after the job was reported done changes nothing', async () => {
-  const { world, others, ids } = await atWork(3, { jobs: 1, runs: [24_000, 0] });
+  const { world, others, ids } = await startBusyCluster(3, { jobs: 1, runs: [24_000, 0] });
   const [id = ''] = ids;
   const at = NODES[others[0] ?? 0] ?? '';
   await world.clock.runUntil(FROM + 2000);
-  world.state.lateOnce(
+  world.state.delayNextTransaction(
     ({ mutations }) => mutations.some((write) => 'put' in write && write.put === `ended/${id}`),
     20_000,
   );
@@ -143,7 +151,7 @@
   for (const node of [0, 1, 2]) world.crash(node, 500);
   await world.clock.runUntil(FROM + 45_000);
   for (const node of NODES) expect(await world.until(world.ask(id, node))).toBe('done');
-  await endsWell(world);
+  await expectCleanEnd(world);
 });
 
 test('delayed transactions: claims applied after newer ones of the same chunk survive a failover', async () => {
@@ -152,7 +160,7 @@
   // A task fills a machine, and machines come one after another.
   const place = { team: 'crew', cpus: 8, memoryGb: 1, spot: true, zone: null, oneZone: false, spread: false };
   world.cloud.capacity = 4;
-  world.runs.set(id, [90_000, 0]);
+  world.runtimes.set(id, [90_000, 0]);
   const claims: number[] = [];
   const commit = world.state.commit.bind(world.state);
   world.state.commit = (txn) => {
@@ -166,7 +174,7 @@
   };
   const late = 9000;
   let sentAt = Infinity;
-  world.state.lateOnce(({ mutations }) => {
+  world.state.delayNextTransaction(({ mutations }) => {
     const isOne = mutations.some((write) => 'put' in write && write.put.startsWith('run/'));
     if (isOne) sentAt = world.clock.now;
     return isOne;
@@ -176,29 +184,30 @@
   await world.clock.runUntil(sentAt + late - 100);
   // Newer ones of the same chunk have been written, and tasks started by them.
   expect(claims.length).toBeGreaterThan(0);
-  expect(world.checker.out(id)).toBe(4);
+  expect(world.checker.placedTasks(id)).toBe(4);
   await world.clock.runUntil(sentAt + late + 50);
   world.crash(NODES.indexOf(world.leaders()[0] ?? ''), 3000);
-  await endsWell(world, 300_000);
+  await expectCleanEnd(world, 300_000);
   expect(world.checker.started).toBe(4);
 });
 
 // 2. Jobs of two or three tasks end far apart across a change of leader.
 test('task ends seen by different leaders make a job done exactly once, neither early nor lost', async () => {
-  const { world, ids } = await atWork(3, { jobs: 2, runs: [22_000, 14_000] });
+  const { world, ids } = await startBusyCluster(3, { jobs: 2, runs: [22_000, 14_000] });
   const { clock, checker } = world;
   const started = checker.started;
   // The first tasks end; their leader ends before it has written that down, and so does the next.
   for (let i = 0; i < 2; i += 1) {
-    const before = checker.out();
-    while (checker.out() === before) await clock.runUntil(clock.now + 50);
+    const before = checker.placedTasks();
+    while (checker.placedTasks() === before) await clock.runUntil(clock.now + 50);
     // Long enough for its leader to hear of it, too short for that to be written.
     await clock.runUntil(clock.now + 1300);
-    for (const id of ids) if (checker.out(id) > 0) expect(await world.until(world.ask(id))).not.toBe('done');
+    for (const id of ids)
+      if (checker.placedTasks(id) > 0) expect(await world.until(world.ask(id))).not.toBe('done');
     world.crash(NODES.indexOf(world.leaders()[0] ?? ''), 5000);
     await clock.runUntil(clock.now + 4000);
   }
-  await endsWell(world);
+  await expectCleanEnd(world);
   expect(checker.started).toBe(started);
 });
 
@@ -227,18 +236,18 @@
 
 // 4. A leader is cut from the state service and its peers; workers and users still reach it.
 test('a leader partitioned with its workers and users: cancelled tasks stop in time, no stale read', async () => {
-  const { world, leader, others, ids } = await atWork();
+  const { world, leader, others, ids } = await startBusyCluster();
   const { clock, checker } = world;
   const alone = NODES[leader] ?? '';
   const cut = 70_000;
   for (const host of [...others.map((node) => NODES[node] ?? ''), 'state', 'cloud'])
-    world.network.cut(alone, host, cut);
+    world.network.partition(alone, host, cut);
   reachOnly(world, alone, cut);
   await clock.runUntil(FROM + 6000);
   const [next = ''] = world.leaders().filter((node) => node !== alone);
   expect(next).not.toBe('');
   for (const id of ids) expect(await world.until(world.withdraw(id, next))).toBe(true);
-  expect(checker.out()).toBe(9);
+  expect(checker.placedTasks()).toBe(9);
   const from = clock.now;
   const answers: (string | null)[] = [];
   while (clock.now < from + CANCEL) {
@@ -247,8 +256,8 @@
   }
   expect(answers.filter((stage) => stage !== null)).toEqual([]);
   expect(world.ready()[leader]).toBe(false);
-  expect(checker.out()).toBe(0);
-  await endsWell(world);
+  expect(checker.placedTasks()).toBe(0);
+  await expectCleanEnd(world);
 });
 
 // 5. A command or its answer is held up for seconds, and the machine then goes on.
@@ -256,11 +265,11 @@
   ['within its lease', 0.7 * LEASE],
   ['across its lease', 1.2 * LEASE],
 ])('a machine paused %s during a leader crash runs nothing twice', async (_, hangs) => {
-  const { world, leader } = await atWork();
+  const { world, leader } = await startBusyCluster();
   const { clock, cloud, checker } = world;
   const [name = ''] = cloud.workers.keys();
   const worker = cloud.workers.get(name);
-  worker?.hang(hangs);
+  worker?.pause(hangs);
   const attempts = new Map(
     [...(worker?.tasks.values() ?? [])].map(({ job: id, task: n, take }) => [`${id}/${n}`, take]),
   );
@@ -273,8 +282,8 @@
   if (hangs < LEASE && cloud.workers.has(name)) expect(back.length).toBe(attempts.size);
   for (const { job: id, task: n, take } of back)
     expect(take).toBeGreaterThanOrEqual(attempts.get(`${id}/${n}`) ?? 1);
-  await endsWell(world);
-  expect(checker.out()).toBe(0);
+  await expectCleanEnd(world);
+  expect(checker.placedTasks()).toBe(0);
 });
 
 // 6. Leaders end while machines with long tasks cannot be reached. Whether a worker finds a controller within its
@@ -282,26 +291,27 @@
 test.each([3, 4, 5, 6, 7, 8])(
   'claims of unreachable machines survive three failovers, and no task is restarted needlessly (%d)',
   async (seed) => {
-    const { world } = await atWork(seed);
+    const { world } = await startBusyCluster(seed);
     const { clock, cloud, checker } = world;
     const started = checker.started;
     const away = 0.85 * LEASE;
-    for (const name of cloud.workers.keys()) for (const node of NODES) world.network.cut(name, node, away);
+    for (const name of cloud.workers.keys())
+      for (const node of NODES) world.network.partition(name, node, away);
     for (let i = 0; i < 3; i += 1) {
       await clock.runUntil(clock.now + 2200);
       world.crash(NODES.indexOf(world.leaders()[0] ?? ''), 4000);
     }
     await clock.runUntil(FROM + away);
-    expect(checker.out()).toBe(9);
-    await endsWell(world);
-    expect(checker.started).toBe(started + checker.lapsed);
+    expect(checker.placedTasks()).toBe(9);
+    await expectCleanEnd(world);
+    expect(checker.started).toBe(started + checker.expiredTasks);
     expect(world.logged.filter(({ msg, tasks }) => msg === 'give back' && Number(tasks) > 0)).toEqual([]);
   },
 );
 
 // 7. The state service answers slowly, or refuses the leader and then everybody, while users cancel and ask.
 test('a slow store and cancellations of unknown outcome cause no stale read, and answers resume', async () => {
-  const { world, ids } = await atWork();
+  const { world, ids } = await startBusyCluster();
   const { clock, state } = world;
   state.slow(3500, 25_000);
   const until = FROM + 25_000;
@@ -315,14 +325,14 @@
     expect(await world.until(world.ask(ids[0] ?? '', node))).toBe('running');
     for (const id of ids.slice(1)) expect(await world.until(world.ask(id, node))).toBe('withdrawn');
   }
-  await endsWell(world);
+  await expectCleanEnd(world);
 });
 
 // 8. Controllers hand over and back, all end, and one returns, also within a second.
 test.each([100, 900, 5000])(
   'after a crash of all, one node back alone after %d ms serves; tasks go on',
   async (after) => {
-    const { world, ids } = await atWork();
+    const { world, ids } = await startBusyCluster();
     const { clock, checker } = world;
     const started = checker.started;
     for (const node of [0, 1, 2]) world.crash(node, node === 1 ? after : 40_000);
@@ -330,15 +340,15 @@
     expect(world.leaders()).toEqual(['n-1']);
     expect(world.ready()[1]).toBe(true);
     for (const id of ids) expect(await world.until(world.ask(id, 'n-1'))).toBe('running');
-    expect(checker.out()).toBe(9);
-    await endsWell(world);
+    expect(checker.placedTasks()).toBe(9);
+    await expectCleanEnd(world);
     expect(checker.started).toBe(started);
   },
 );
 
 /** The last trouble of a meeting day is over by then; after it all that was accepted ends. */
 const CALM = 240_000;
-const END = CALM + 3 * LONGEST_RUN;
+const END = CALM + 3 * MAX_RUNTIME_MS;
 
 async function playMeetings(seed: number, meetings: number): Promise<{ world: Simulation; met: string[] }> {
   const cpusMax = seed % 2 === 0 ? 0 : 12;
@@ -349,10 +359,10 @@
     ...(seed % 3 === 0 ? { limits: TIGHT } : {}),
   });
   const met: string[] = [];
-  drawMeetings(world, meetings, (name) => met.push(`${(world.clock.now / 1000).toFixed(1)} ${name}`));
-  world.clock.in(CALM, () => world.watchWaiting());
+  drawConcurrentFaults(world, meetings, (name) => met.push(`${(world.clock.now / 1000).toFixed(1)} ${name}`));
+  world.clock.in(CALM, () => world.checkWaiting());
   await world.clock.runUntil(END);
-  world.checker.lookForForgotten(CALM, END);
+  world.checker.checkUnanswered(CALM, END);
   return { world, met };
 }
 
@@ -363,8 +373,8 @@
       fc.integer({ min: 1, max: 3 }),
       async (seed, meetings) => {
         const { world, met } = await playMeetings(seed, meetings);
-        expect({ met, broken: world.checker.broken }).toEqual({ met, broken: [] });
-        expect({ met, unfinished: world.checker.unfinished() }).toEqual({ met, unfinished: [] });
+        expect({ met, broken: world.checker.violations }).toEqual({ met, broken: [] });
+        expect({ met, unfinished: world.checker.unfinishedJobs() }).toEqual({ met, unfinished: [] });
         expect({ met, underserved: world.checker.underserved() }).toEqual({ met, underserved: [] });
       },
     ),
--- a/test/correlated-failures.test.ts
+++ b/test/correlated-failures.test.ts
@@ -51,7 +51,7 @@
   const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   for (const name of names) bench.hear(report(name, 1));
-  bench.proven = false;
+  bench.isViewConfirmed = false;
   bench.now += 3 * bench.state.config.timing.silenceTimeoutMs;
   bench.state.leadership = {
     ...(bench.state.leadership ?? {
@@ -65,7 +65,7 @@
   };
   bench.add(job('req-1', 9, 8, 50));
   expect([returned(bench.do({ kind: 'tick' })), rented(bench.do({ kind: 'tick' }))]).toEqual([[], 0]);
-  bench.proven = true;
+  bench.isViewConfirmed = true;
   expect(returned(bench.do({ kind: 'tick' }))).toEqual(names);
 });
 
--- a/test/dag-dependencies.test.ts
+++ b/test/dag-dependencies.test.ts
@@ -59,7 +59,7 @@
   expect(run.hear()).toEqual(['req-2/0#1']);
   run.finish('req-2/0');
   expect(run.hear()).toEqual(['req-3/0#1']);
-  await bench.keep('chain');
+  await bench.expectTrace('chain');
 });
 
 test('diamond: the last job waits for both branches', async () => {
@@ -76,7 +76,7 @@
   run.finish('req-3/0');
   run.hear();
   expect(bench.state.jobs.get('req-4')?.claims.size).toBe(1);
-  await bench.keep('diamond');
+  await bench.expectTrace('diamond');
 });
 
 test('fan-out: cancelling a job cancels all its dependents, in as many transactions as needed', async () => {
@@ -95,7 +95,7 @@
     bench.now += 250;
   }
   expect([...bench.state.jobs.keys()]).toEqual([]);
-  await bench.keep('fan-cancelled');
+  await bench.expectTrace('fan-cancelled');
 });
 
 test('a job whose last exit is reported but not committed is not done', () => {
@@ -144,7 +144,7 @@
   bench.add(job('req-3', 1, 2, 1000));
   expect(run.hear().sort()).toEqual(['req-1/0#1', 'req-3/0#1']);
   expect(bench.state.head).toBeNull();
-  await bench.keep('waiting-job');
+  await bench.expectTrace('open-dependency');
 });
 
 test('priority and deadline propagate to the dependencies of a job', () => {
--- a/test/easy-backfilling.test.ts
+++ b/test/easy-backfilling.test.ts
@@ -42,7 +42,7 @@
   bench.add(job('req-5', 1, 2, 60)); // ends by the shadow time
   const started = CoreHarness.starts(bench.hear(report('m', 4, running)));
   expect(started).toEqual(['req-4/0#1', 'req-5/0#1']);
-  await bench.keep('backfill');
+  await bench.expectTrace('backfill');
 });
 
 test('extra resources are consumed: a second long task that would fit them alone waits', async () => {
@@ -51,7 +51,7 @@
   bench.add(job('req-3', 1, 2, 500));
   bench.add(job('req-4', 1, 2, 500));
   expect(CoreHarness.starts(bench.hear(report('m', 4, running)))).toEqual(['req-3/0#1']);
-  await bench.keep('extra-room');
+  await bench.expectTrace('extra-resources');
 });
 
 test('an early task end starts the head job at once, ahead of the jobs behind it', async () => {
@@ -60,7 +60,7 @@
   bench.now += 10_000;
   const effects = bench.hear(report('m', 4, [task('req-1/0', 1, 'exited', 'done')]));
   expect(CoreHarness.starts(effects)).toEqual(['req-2/0#1']);
-  await bench.keep('early-end');
+  await bench.expectTrace('early-end');
 });
 
 test('only the head job holds a reservation: the second job may be overtaken repeatedly', async () => {
@@ -69,7 +69,7 @@
   bench.add(job('req-4', 1, 2, 400)); // delays req-3, but not req-2
   const started = CoreHarness.starts(bench.hear(report('m', 4, [task('req-1/0', 1, 'running')])));
   expect(started).toEqual(['req-4/0#1']);
-  await bench.keep('second-job');
+  await bench.expectTrace('second-job');
 });
 
 test('a task past its estimate continues and is expected to end one allowance from now', () => {
@@ -96,7 +96,7 @@
   bench.add(job('req-2', 1, 8, 5000));
   const started = CoreHarness.starts(bench.hear(report('m', 2)));
   expect(started).toEqual(['req-2/0#1']);
-  await bench.keep('never-fits');
+  await bench.expectTrace('never-fits');
 });
 
 test('a service is taken to run for ever: its resources are in no reservation', () => {
--- a/test/election-model.test.ts
+++ b/test/election-model.test.ts
@@ -12,7 +12,7 @@
   const found = explore(BOUNDS);
   if (deep > 0) console.log(`${found.states} states`);
   expect(found.path).toEqual([]);
-  expect(found.broken).toEqual([]);
+  expect(found.violations).toEqual([]);
   expect(found.states).toBeGreaterThan(20_000);
 }, 3_600_000);
 
@@ -28,5 +28,5 @@
 
 test.each(MUTANTS)('the explorer detects a mutant that %s', (mutant) => {
   const found = explore({ ...BOUNDS, settleEvery: 1 }, mutant);
-  expect(found.broken.length).toBeGreaterThan(0);
+  expect(found.violations.length).toBeGreaterThan(0);
 });
--- a/test/emulators/busy-cluster.ts
+++ b/test/emulators/busy-cluster.ts
@@ -1,4 +1,4 @@
-/** A world in which jobs of a few long tasks are all out: what the tests of meetings begin with. */
+/** A simulation in which all tasks of a few long jobs run: the initial state of the tests of faults. */
 import { expect } from 'vitest';
 import { NODES, seeded, Simulation } from './simulation.js';
 
@@ -6,10 +6,10 @@
 export const CANCEL = 30_000;
 export const LEASE = 10_000;
 export const FROM = 20_000;
-/** In the world of this seed n-0 leads. */
+/** In the simulation of this seed n-0 leads. */
 export const DEPUTY_SEED = 7;
 
-interface AtWork {
+interface BusyCluster {
   readonly world: Simulation;
   readonly leader: number;
   /** The other nodes. */
@@ -17,43 +17,44 @@
   readonly ids: readonly string[];
 }
 
-/** Jobs of three tasks that run for long, all of them out, under one leader. */
-export async function atWork(
+/** Long jobs of three tasks, all of them running, under one leader. */
+export async function startBusyCluster(
   seed = 3,
   {
     jobs = 3,
     runs = [60_000, 30_000] as readonly [number, number],
     machines = 6,
     tasks = 3,
-    /** For so long, from the start on, copies of reports are kept for the next leader. */
+    /** Duplicates of the heartbeats of the first `copies` milliseconds are kept for the next leader. */
     copies = 0,
-    /** Followers take reports for the leader. */
+    /** Followers accept heartbeats for the leader. */
     sharing = false,
   } = {},
-): Promise<AtWork> {
+): Promise<BusyCluster> {
   const world = new Simulation(seeded(seed), { keepLog: true, ...(sharing ? { sharing } : {}) });
-  if (copies > 0) world.keepCopies(1, copies);
+  if (copies > 0) world.keepDuplicates(1, copies);
   world.cloud.capacity = machines;
   const ids = Array.from({ length: jobs }, (_, i) => `req-${String(i).padStart(6, '0')}`);
   const place = { team: 'crew', cpus: 2, memoryGb: 1, spot: true, zone: null, oneZone: false, spread: false };
   for (const id of ids) {
-    world.runs.set(id, runs);
+    world.runtimes.set(id, runs);
     void world.user({ ...place, id, tasks }, null);
   }
   await world.clock.runUntil(FROM);
-  expect(world.checker.out()).toBe(jobs * tasks);
+  expect(world.checker.placedTasks()).toBe(jobs * tasks);
   const leader = NODES.indexOf(world.leaders()[0] ?? '');
   return { world, leader, others: [0, 1, 2].filter((node) => node !== leader), ids };
 }
 
-/** Machines whose reports, and their answers, pass between them and one node alone. */
+/** Limits all machines to one node: heartbeats to the others and their responses are held back. */
 export function reachOnly(world: Simulation, node: string, ms: number): void {
   for (const name of world.cloud.workers.keys())
-    for (const other of NODES) if (other !== node) world.network.cut(name, other, ms);
+    for (const other of NODES) if (other !== node) world.network.partition(name, other, ms);
 }
 
-export async function endsWell(world: Simulation, ms = 250_000): Promise<void> {
+/** Lets the run end; no rule may be violated and every accepted job must end. */
+export async function expectCleanEnd(world: Simulation, ms = 250_000): Promise<void> {
   await world.clock.runUntil(world.clock.now + ms);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
 }
--- a/test/emulators/clock.ts
+++ b/test/emulators/clock.ts
@@ -54,10 +54,10 @@
 /** One process's view of time: with its life, all that it waits for ends. */
 export class ProcessClock implements Clock {
   alive = true;
-  /** Its timers fire so much later than they should. */
+  /** Delay of each of its timers, in milliseconds. */
   lateMs = 0;
-  /** Until then the process stands still. */
-  stillUntil = 0;
+  /** The process is paused until then. */
+  pausedUntil = 0;
 
   constructor(
     private readonly world: VirtualClock,
@@ -92,7 +92,7 @@
 
   /** Calls back once the process runs; never if it has ended. */
   awake(call: () => void): void {
-    if (this.stillUntil > this.world.now) this.world.at(this.stillUntil, () => this.awake(call));
+    if (this.pausedUntil > this.world.now) this.world.at(this.pausedUntil, () => this.awake(call));
     else if (this.alive) call();
   }
 }
--- a/test/emulators/cloud.ts
+++ b/test/emulators/cloud.ts
@@ -43,7 +43,8 @@
 /** Delivers a report to a node and calls back with its answer. */
 export type Deliver = (node: string, body: unknown, reply: (status: number, body: string) => void) => void;
 
-export interface WorldRules {
+/** What a worker is told of its surroundings. */
+export interface WorkerEnvironment {
   readonly nodes: readonly string[];
   readonly reportMs: number;
   readonly leaseMs: number;
@@ -58,14 +59,15 @@
   readonly completed?: (job: string) => void;
 }
 
+/** Emulator of a worker's agent: heartbeats, lease, tasks. */
 export class Worker {
   session = 1;
-  seq = 0;
+  heartbeatSequence = 0;
   token = 0;
-  gone = false;
-  hungUntil = -1;
-  hungFrom = 0;
-  faulty = false;
+  isTerminated = false;
+  pausedUntil = -1;
+  pausedFrom = 0;
+  isFaulty = false;
   readonly tasks = new Map<string, RunningTask>();
   #node: string;
   #leaseFrom: number;
@@ -75,7 +77,7 @@
   constructor(
     readonly listed: ListedMachine,
     private readonly network: Network,
-    private readonly rules: WorldRules,
+    private readonly rules: WorkerEnvironment,
     private readonly checker: Checker,
     private readonly deliver: Deliver,
   ) {
@@ -89,56 +91,56 @@
     const round = ++this.#round;
     const { clock, draw } = this.network;
     clock.in(this.rules.reportMs * (0.75 + 0.5 * draw()), () => {
-      if (round === this.#round) this.#awake(() => this.#report());
+      if (round === this.#round) this.#whenAwake(() => this.#report());
     });
   }
 
-  /** A hanging machine does it when it goes on. */
-  #awake(call: () => void): void {
+  /** Runs a step now, or when a paused machine resumes; never on a terminated one. */
+  #whenAwake(call: () => void): void {
     const { clock } = this.network;
-    if (this.gone) return;
-    if (this.hungUntil > clock.now) clock.at(this.hungUntil, () => this.#awake(call));
+    if (this.isTerminated) return;
+    if (this.pausedUntil > clock.now) clock.at(this.pausedUntil, () => this.#whenAwake(call));
     else {
       // Back beyond its lease it goes on with nothing.
-      this.#lapse();
+      this.#expireLease();
       call();
     }
   }
 
-  #lapse(): void {
+  #expireLease(): void {
     if (this.network.clock.now - this.#leaseFrom <= this.rules.leaseMs) return;
-    this.checker.lapsed += [...this.tasks.values()].filter(({ stage }) => stage !== 'ended').length;
+    this.checker.expiredTasks += [...this.tasks.values()].filter(({ stage }) => stage !== 'ended').length;
     this.killAll();
     this.session += 1;
     this.#leaseFrom = this.network.clock.now;
   }
 
   #watchLease(): void {
-    this.network.clock.in(100, () => this.#awake(() => this.#watchLease()));
+    this.network.clock.in(100, () => this.#whenAwake(() => this.#watchLease()));
   }
 
   killAll(): void {
     const { now } = this.network.clock;
     // What has not gone on since it hung is where it was then.
-    const at = this.hungUntil < now ? now : this.hungFrom;
+    const at = this.pausedUntil < now ? now : this.pausedFrom;
     for (const { job, task } of this.tasks.values())
       this.checker.taskGone(job, task, this.listed.name, false, Math.min(at, now));
     this.tasks.clear();
   }
 
-  /** Executes nothing for so long; what it holds goes on afterwards, or is killed by its lease. */
-  hang(ms: number): void {
+  /** Pauses the machine; its tasks then continue, or are killed at lease expiry. */
+  pause(ms: number): void {
     const { now } = this.network.clock;
-    if (this.hungUntil < now) this.hungFrom = now;
-    this.hungUntil = Math.max(this.hungUntil, now + ms);
+    if (this.pausedUntil < now) this.pausedFrom = now;
+    this.pausedUntil = Math.max(this.pausedUntil, now + ms);
   }
 
-  get hangs(): boolean {
-    return this.hungUntil > this.network.clock.now;
+  get isPaused(): boolean {
+    return this.pausedUntil > this.network.clock.now;
   }
 
   body(): object {
-    this.seq += 1;
+    this.heartbeatSequence += 1;
     const { name, address, type, zone, spot } = this.listed;
     return {
       skiff: name,
@@ -147,7 +149,7 @@
       hall: zone,
       borrowed: spot,
       watch: this.session,
-      barNo: this.seq,
+      barNo: this.heartbeatSequence,
       baton: this.token,
       recallS: null,
       movements: [...this.tasks.values()].map(({ job, task, ...rest }) => ({
@@ -169,29 +171,29 @@
       over = true;
       const round = ++this.#round;
       clock.in(ms, () => {
-        if (round === this.#round) this.#awake(() => this.#report());
+        if (round === this.#round) this.#whenAwake(() => this.#report());
       });
     };
     clock.in(4000, () => {
       if (over || flight !== this.#inFlight) return;
-      this.#elsewhere();
+      this.#tryNextNode();
       next(1000);
     });
     const copy = this.rules.copy();
     if (copy !== null) clock.in(copy.afterMs, () => this.deliver(copy.node ?? node, body, () => undefined));
     // It reaches no controller, so there is no report that a copy could be kept of.
-    if (this.network.isMute(this.listed.name)) {
-      this.#elsewhere();
+    if (this.network.isOutboundBlocked(this.listed.name)) {
+      this.#tryNextNode();
       next(1000);
       return;
     }
     this.rules.sent?.((to) => this.deliver(to, body, () => undefined));
-    if (this.network.isCut(this.listed.name, node) && this.network.draw() < 0.5) return;
+    if (this.network.isPartitioned(this.listed.name, node) && this.network.draw() < 0.5) return;
     this.network.send(this.listed.name, node, () =>
       this.deliver(node, body, (status, text) => {
         this.checker.commandsGiven(startedBy(readAnswer(text)?.['cues']), clock.now);
         this.network.send(node, this.listed.name, () =>
-          this.#awake(() => {
+          this.#whenAwake(() => {
             if (over || clock.now - sentAt > 4000) return;
             const answer = readAnswer(text);
             if (status === 200) {
@@ -211,7 +213,7 @@
               this.#node = String(answer?.['conductor']);
               next(250);
             } else {
-              this.#elsewhere();
+              this.#tryNextNode();
               next(1000);
             }
           }),
@@ -220,7 +222,7 @@
     );
   }
 
-  #elsewhere(): void {
+  #tryNextNode(): void {
     const { nodes } = this.rules;
     this.#node = nodes[(nodes.indexOf(this.#node) + 1) % nodes.length] ?? '';
   }
@@ -246,16 +248,16 @@
     const running: RunningTask = { job, task, take, stage: 'pulling' };
     this.tasks.set(`${name}#${take}`, running);
     this.network.clock.in(300, () =>
-      this.#awake(() => {
+      this.#whenAwake(() => {
         if (this.tasks.get(`${name}#${take}`) !== running || running.stage === 'ended') return;
         running.stage = 'running';
         const { name: machine, zone, spot } = this.listed;
         this.checker.taskStarts(job, task, machine, zone, spot, this.network.clock.now);
         this.network.clock.in(this.rules.runMs(job, task), () =>
-          this.#awake(() => {
+          this.#whenAwake(() => {
             const still = this.tasks.get(`${name}#${take}`) === running && running.stage === 'running';
             if (!still) return;
-            const fails = this.faulty || this.rules.isBroken(job);
+            const fails = this.isFaulty || this.rules.isBroken(job);
             this.#end(running, fails ? 'error' : 'done');
             if (!fails) this.rules.completed?.(job);
           }),
@@ -278,7 +280,7 @@
 
   /** A direct command, whenever it arrives. */
   direct(body: unknown, reply: (report: unknown) => void): void {
-    this.#awake(() => {
+    this.#whenAwake(() => {
       const raw = asObject(body);
       if (Number(raw?.['baton']) >= this.token && raw?.['watch'] === this.session) {
         this.token = Number(raw?.['baton']);
@@ -289,6 +291,7 @@
   }
 }
 
+/** Emulator of the cloud: provisioning, termination and listing of machines. */
 export class CloudEmulator {
   readonly workers = new Map<string, Worker>();
   readonly #machines = new Map<
@@ -298,22 +301,22 @@
   readonly #granted = new Map<string, string[]>();
   #next = 0;
   capacity = 6;
-  /** The most machines there were at one time. */
-  most = 0;
-  troubleUntil = 0;
+  /** Peak number of machines. */
+  peakMachines = 0;
+  unavailableUntil = 0;
   /** How late machines are listed, and that they are up. */
   listLagMs = 2000;
   stageLagMs = 0;
-  #quickUntil = 0;
-  #lateShare = 0;
-  #lateUntil = 0;
+  #quickBootUntil = 0;
+  #delayedShare = 0;
+  #delayedUntil = 0;
 
   constructor(
     private readonly network: Network,
     private readonly make: (listed: ListedMachine) => Worker,
   ) {}
 
-  rent(request: string, type: string, zone: string, spot: boolean, count: number): RentalOutcome {
+  provision(request: string, type: string, zone: string, spot: boolean, count: number): RentalOutcome {
     const before = this.#granted.get(request);
     if (before !== undefined) return before;
     const names: string[] = [];
@@ -331,40 +334,40 @@
       const machine = { listed, rentedAt: this.network.clock.now, upAt: Infinity };
       this.#machines.set(name, machine);
       names.push(name);
-      const quick = this.#quickUntil > this.network.clock.now;
-      const bootMs = quick ? 100 + 1900 * this.network.draw() : 3000 + 4000 * this.network.draw();
+      const bootQuickly = this.#quickBootUntil > this.network.clock.now;
+      const bootMs = bootQuickly ? 100 + 1900 * this.network.draw() : 3000 + 4000 * this.network.draw();
       this.network.clock.in(bootMs, () => {
         if (!this.#machines.has(name)) return;
         machine.upAt = this.network.clock.now;
         this.workers.set(name, this.make(listed));
       });
     }
-    this.most = Math.max(this.most, this.#machines.size);
+    this.peakMachines = Math.max(this.peakMachines, this.#machines.size);
     if (names.length === 0) return 'refused';
     this.#granted.set(request, names);
     return names;
   }
 
-  /** What is rented meanwhile is up within two seconds, long before a list tells of it. */
-  quick(forMs: number): void {
-    this.#quickUntil = this.network.clock.now + forMs;
+  /** Machines provisioned meanwhile boot within two seconds, long before they are listed. */
+  bootQuickly(forMs: number): void {
+    this.#quickBootUntil = this.network.clock.now + forMs;
     this.listLagMs = 6000;
     this.stageLagMs = 12_000;
   }
 
-  /** That share of rentals and returns gets no answer and is carried out seconds later. */
-  late(share: number, forMs: number): void {
-    this.#lateShare = share;
-    this.#lateUntil = this.network.clock.now + forMs;
+  /** A share of provision and terminate requests gets no response and is applied seconds later. */
+  delayRequests(share: number, forMs: number): void {
+    this.#delayedShare = share;
+    this.#delayedUntil = this.network.clock.now + forMs;
   }
 
   /** The machine and all that is on it are gone. */
-  remove(name: string): void {
+  terminate(name: string): void {
     this.#machines.delete(name);
     const worker = this.workers.get(name);
     if (worker === undefined) return;
     worker.killAll();
-    worker.gone = true;
+    worker.isTerminated = true;
     this.workers.delete(name);
   }
 
@@ -381,9 +384,9 @@
 
   /** One node's access to the cloud and to the workers' own addresses. */
   accessFor(node: string): Cloud & Workers {
-    const tell = (request: string): void => this.network.tap?.(node, 'cloud', request);
+    const tell = (request: string): void => this.network.onMessage?.(node, 'cloud', request);
     const ask = async <T>(serve: () => T): Promise<T | null> => {
-      if (this.troubleUntil > this.network.clock.now) {
+      if (this.unavailableUntil > this.network.clock.now) {
         await this.network.clock.sleep(1000);
         return null;
       }
@@ -393,7 +396,7 @@
     };
     const change = async <T>(serve: () => T): Promise<T | null> => {
       const { clock, draw } = this.network;
-      if (this.#lateUntil <= clock.now || draw() >= this.#lateShare) return ask(serve);
+      if (this.#delayedUntil <= clock.now || draw() >= this.#delayedShare) return ask(serve);
       clock.in(2000 + 10_000 * draw(), () => void serve());
       await clock.sleep(3000);
       return null;
@@ -409,14 +412,14 @@
       },
       rent: async (...wish) => {
         tell(`rent ${encodeRental(...wish)}`);
-        return (await change(() => this.rent(...wish))) ?? 'unknown';
+        return (await change(() => this.provision(...wish))) ?? 'unknown';
       },
       giveBack: async (names) => {
         tell(`return ${encodeReturn(names)}`);
-        return (await change(() => names.forEach((name) => this.remove(name)) ?? true)) ?? false;
+        return (await change(() => names.forEach((name) => this.terminate(name)) ?? true)) ?? false;
       },
       isThere: async (address): Promise<boolean> => {
-        this.network.tap?.(node, address, 'connect');
+        this.network.onMessage?.(node, address, 'connect');
         const worker = [...this.workers.values()].find(({ listed }) => listed.address === address);
         if (worker === undefined) return false;
         const met = await this.network.ask<boolean>(node, worker.listed.name, 750, (reply) => reply(true));
@@ -431,7 +434,7 @@
         const worker = [...this.workers.values()].find(({ listed }) => listed.address === address);
         if (worker === undefined) return null;
         const text = encodeDirect(token, session, commands);
-        this.network.tap?.(node, address, `direct ${text}`);
+        this.network.onMessage?.(node, address, `direct ${text}`);
         const body = JSON.parse(text) as unknown;
         const found = await this.network.ask<unknown>(node, worker.listed.name, 3000, (reply) =>
           worker.direct(body, reply),
--- a/test/emulators/core-harness.ts
+++ b/test/emulators/core-harness.ts
@@ -1,4 +1,4 @@
-/** A leader's core alone, driven by hand, that writes down what goes in and what comes out. */
+/** Drives a leader's core step by step and records commands and effects as a trace. */
 import { expect } from 'vitest';
 import type { Command, Effect } from '../../src/core/effects.js';
 import type { CoreState } from '../../src/core/state.js';
@@ -10,7 +10,7 @@
 import { testSettings } from './simulation.js';
 
 export const TERM = 5;
-const TERM_STAMP = 100;
+const TERM_REVISION = 100;
 
 export const EIGHT: MachineType = {
   name: 'eight',
@@ -89,14 +89,14 @@
   return { job: id ?? '', task: Number(index), attempt, stage, exit };
 }
 
-function tellTask({ job, task, attempt, stage, exit }: ReportedTask): string {
+function describeTask({ job, task, attempt, stage, exit }: ReportedTask): string {
   return `${job}/${task}#${attempt} ${stage}${exit === null ? '' : ` ${exit}`}`;
 }
 
-function tellCommand(command: Command): string | null {
+function describeCommand(command: Command): string | null {
   switch (command.kind) {
     case 'heartbeat':
-      return `report of ${command.heartbeat.machine} (session ${command.heartbeat.agentEpoch}, token ${command.heartbeat.token}): ${command.heartbeat.tasks.map(tellTask).join(', ') || 'no tasks'}`;
+      return `report of ${command.heartbeat.machine} (session ${command.heartbeat.agentEpoch}, token ${command.heartbeat.token}): ${command.heartbeat.tasks.map(describeTask).join(', ') || 'no tasks'}`;
     case 'jobAdded': {
       const { id, tasks, cpus, estimateS } = command.job.value;
       return `job ${id}: ${tasks} tasks of ${cpus} cpus, estimated ${estimateS} s`;
@@ -112,7 +112,7 @@
   }
 }
 
-function tellEffect(effect: Effect): string | null {
+function describeEffect(effect: Effect): string | null {
   switch (effect.kind) {
     case 'commit':
       return `commit ${effect.transaction.mutations.map((write) => ('put' in write ? `put ${write.put}` : `remove ${write.remove}`)).join(', ')} when ${effect.transaction.preconditions.map(({ key, modRevision }) => `${key}@${modRevision}`).join(' ')}`;
@@ -131,13 +131,14 @@
   }
 }
 
+/** A core that leads, on a manual clock. */
 export class CoreHarness {
   readonly state: CoreState;
   readonly lines: string[] = [];
   now = 100_000;
-  /** The state service answers: each batch comes with a proof that the view is fresh. */
-  proven = true;
-  #modRevision = TERM_STAMP;
+  /** Whether the store answers: each batch then begins with a confirmation of the view. */
+  isViewConfirmed = true;
+  #modRevision = TERM_REVISION;
   #reply = 0;
 
   constructor(cpusMax = 0, types: MachineType[] = [EIGHT], limits: object = {}) {
@@ -150,7 +151,7 @@
         {
           kind: 'becomeLeader',
           term: TERM,
-          modRevision: TERM_STAMP,
+          modRevision: TERM_REVISION,
           viewConfirmedAt: this.now,
           layout: this.state.layout,
           legacyChunkTasks: this.state.legacyChunkTasks,
@@ -170,16 +171,16 @@
 
   /** One batch; commits are not answered. */
   raw(...given: Command[]): Effect[] {
-    const commands: Command[] = this.proven
+    const commands: Command[] = this.isViewConfirmed
       ? [{ kind: 'viewConfirmed', sentAt: this.now }, ...given]
       : [...given];
     const tell = (mark: string, line: string | null): void => {
       if (line !== null)
         this.lines.push(`${((this.now - 102_000) / 1000).toFixed(1).padStart(6)} ${mark} ${line}`);
     };
-    for (const command of commands) tell('>', tellCommand(command));
+    for (const command of commands) tell('>', describeCommand(command));
     const effects = step(this.state, commands, this.time());
-    for (const effect of effects) tell('<', tellEffect(effect));
+    for (const effect of effects) tell('<', describeEffect(effect));
     return effects;
   }
 
@@ -202,14 +203,14 @@
     return this.do({ kind: 'jobAdded', job: { value: spec, modRevision: ++this.#modRevision } });
   }
 
-  /** A new leader, which knows one job and who may be where of it from the state service alone. */
+  /** A new leader that knows one job and its claims from the store alone. */
   takeOver(spec: JobSpec, claims: Readonly<Record<string, Claim>>): void {
     const { id, team, cpus, gpus, memoryGb } = spec;
     const record = { team, cpus, gpus, memoryGb, done: '', attempts: {}, claims };
     this.do({
       kind: 'becomeLeader',
       term: TERM,
-      modRevision: TERM_STAMP,
+      modRevision: TERM_REVISION,
       viewConfirmedAt: this.now,
       layout: this.state.layout,
       legacyChunkTasks: this.state.legacyChunkTasks,
@@ -219,6 +220,7 @@
     });
   }
 
+  /** One heartbeat, its commits applied. */
   hear(from: Heartbeat): Effect[] {
     return this.do({ kind: 'heartbeat', reply: ++this.#reply, heartbeat: from });
   }
@@ -234,7 +236,8 @@
     );
   }
 
-  async keep(name: string): Promise<void> {
+  /** Compares the trace so far with test/traces/NAME.txt. */
+  async expectTrace(name: string): Promise<void> {
     await expect(`${this.lines.join('\n')}\n`).toMatchFileSnapshot(`./traces/${name}.txt`);
   }
 }
--- a/test/emulators/election-explorer.ts
+++ b/test/emulators/election-explorer.ts
@@ -39,7 +39,7 @@
   nextLease: number;
 }
 
-interface Scene {
+interface ModelState {
   readonly nodes: Node[];
   readonly store: Store;
   /** Transactions that were given up, and may be applied still. */
@@ -62,12 +62,12 @@
 
 export interface Found {
   readonly states: number;
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   /** The steps that lead to the first broken state. */
   readonly path: readonly string[];
 }
 
-const copy = (scene: Scene): Scene => ({
+const copy = (scene: ModelState): ModelState => ({
   nodes: scene.nodes.map(({ election, asked }) => ({
     election: { ...election, holding: election.holding === null ? null : { ...election.holding } },
     asked: [...asked],
@@ -80,12 +80,12 @@
 });
 
 class Explorer {
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
 
   constructor(private readonly mutant: Mutant | null) {}
 
-  start(): Scene {
-    const scene: Scene = {
+  start(): ModelState {
+    const scene: ModelState = {
       nodes: [],
       store: { revision: 1, leaderAt: 0, leader: null, term: null, leases: [], nextLease: 1 },
       late: [],
@@ -100,18 +100,18 @@
     return scene;
   }
 
-  #born(scene: Scene, name: string): ElectionState {
+  #born(scene: ModelState, name: string): ElectionState {
     return createElection(name, `life-${scene.lives++}`, TIMES, name === 'n-2' ? 4 * TIMES.tickMs : 0);
   }
 
-  tell(scene: Scene, node: Node, event: ElectionEvent): void {
+  tell(scene: ModelState, node: Node, event: ElectionEvent): void {
     const { election } = node;
     for (const effect of electionStep(election, this.#bend(election, event))) {
       if (effect.kind === 'elected') {
         const { term } = effect.won;
         const before = scene.elected[term];
         if (before !== undefined && before !== election.incarnation)
-          this.broken.push(`two were elected for term ${term}`);
+          this.violations.push(`two were elected for term ${term}`);
         scene.elected[term] = election.incarnation;
       } else if (effect.kind !== 'lost' && effect.kind !== 'leaderKnown') node.asked.push(effect);
     }
@@ -145,7 +145,7 @@
   }
 
   /** A transaction, as the state service takes it; the revision it made, or null if a condition failed. */
-  #apply({ store }: Scene, txn: Transaction): number | null {
+  #apply({ store }: ModelState, txn: Transaction): number | null {
     const leaderRevision = store.leader?.modRevision ?? 0;
     const termRevision = store.term?.modRevision ?? 0;
     const free = this.mutant === 'campaigns without the term precondition' && txn.kind === 'stand';
@@ -161,15 +161,15 @@
     return store.revision;
   }
 
-  #leader({ store }: Scene): Kept<LeaderRecord> {
+  #leader({ store }: ModelState): Kept<LeaderRecord> {
     return { value: store.leader?.record ?? null, modRevision: store.leader?.modRevision ?? 0 };
   }
 
-  #term({ store }: Scene): Kept<number> {
+  #term({ store }: ModelState): Kept<number> {
     return { value: store.term?.value ?? null, modRevision: store.term?.modRevision ?? 0 };
   }
 
-  endLease({ store }: Scene, lease: number): void {
+  endLease({ store }: ModelState, lease: number): void {
     store.leases = store.leases.filter((one) => one !== lease);
     if (store.leader?.lease === lease) {
       store.leader = null;
@@ -179,7 +179,7 @@
   }
 
   /** Serves what a node has asked for; `lost`: it gets no answer. */
-  serve(scene: Scene, node: Node, at: number, lost: boolean): void {
+  serve(scene: ModelState, node: Node, at: number, lost: boolean): void {
     const [asked] = node.asked.splice(at, 1);
     if (asked === undefined) return;
     const { store } = scene;
@@ -240,7 +240,7 @@
   }
 
   /** Gives a transaction up without an answer; it may be applied at any time later. */
-  orphan(scene: Scene, node: Node, at: number): void {
+  orphan(scene: ModelState, node: Node, at: number): void {
     const [asked] = node.asked.splice(at, 1);
     if (asked === undefined || (asked.kind !== 'stand' && asked.kind !== 'name')) return;
     scene.late.push(asked);
@@ -249,9 +249,9 @@
   }
 
   /** Everything that may happen next, each as a copy of the scene. */
-  next(scene: Scene, faults: number): [string, Scene][] {
-    const found: [string, Scene][] = [];
-    const take = (name: string, fault: boolean, act: (next: Scene) => void): void => {
+  next(scene: ModelState, faults: number): [string, ModelState][] {
+    const found: [string, ModelState][] = [];
+    const take = (name: string, fault: boolean, act: (next: ModelState) => void): void => {
       if (fault && scene.faults >= faults) return;
       const after = copy(scene);
       if (fault) after.faults += 1;
@@ -259,7 +259,7 @@
       found.push([name, after]);
     };
     scene.nodes.forEach((node, i) => {
-      const of = (next: Scene): Node => next.nodes[i] as Node;
+      const of = (next: ModelState): Node => next.nodes[i] as Node;
       const { election } = node;
       node.asked.forEach((asked, at) => {
         const what = `${election.node} ${asked.kind}`;
@@ -303,17 +303,17 @@
   }
 
   /** What must hold in every state. */
-  check(scene: Scene): void {
+  check(scene: ModelState): void {
     const termRevision = scene.store.term?.modRevision ?? 0;
     const { leader, term } = scene.store;
     if (leader !== null && leader.record.term !== term?.value)
-      this.broken.push('the record tells of another term than the one in force');
+      this.violations.push('the record tells of another term than the one in force');
     const writers = scene.nodes.filter(({ election }) => election.holding?.won.modRevision === termRevision);
-    if (writers.length > 1) this.broken.push('the writes of two leaders would be applied');
+    if (writers.length > 1) this.violations.push('the writes of two leaders would be applied');
     for (const { election } of writers) {
       const { won } = election.holding as { won: { term: number } };
       if (won.term !== scene.store.term?.value)
-        this.broken.push('a leader writes under a term that is not its own');
+        this.violations.push('a leader writes under a term that is not its own');
     }
   }
 
@@ -321,7 +321,7 @@
    * From here on nothing fails, and whoever renews its lease keeps it: within a bound one leads whom all
    * others follow, and it stays so.
    */
-  settles(from: Scene): void {
+  settles(from: ModelState): void {
     const scene = copy(from);
     const settled = (): string | null => {
       const leaders = scene.nodes.filter(({ election }) => election.phase === 'holding');
@@ -367,14 +367,14 @@
     for (let i = 0; i < 10; i += 1) round();
     const leader = settled();
     if (leader === null)
-      this.broken.push('nobody leads whom all others follow, though nothing fails any more');
+      this.violations.push('nobody leads whom all others follow, though nothing fails any more');
     for (let i = 0; i < 4; i += 1) round();
-    if (settled() !== leader) this.broken.push('leadership moves on though nothing fails any more');
+    if (settled() !== leader) this.violations.push('leadership moves on though nothing fails any more');
   }
 }
 
 /** Two states that differ only in how large their numbers have grown are the same. */
-function keyOf(scene: Scene): string {
+function keyOf(scene: ModelState): string {
   const { store } = scene;
   const stamps = new Set<number>([
     0,
@@ -472,33 +472,33 @@
       if (at >= 0) explorer.serve(first, node, at, false);
     }
   const seen = new Map<string, readonly [string, string] | null>([[keyOf(first), null]]);
-  let level: [string, Scene][] = [[keyOf(first), first]];
+  let level: [string, ModelState][] = [[keyOf(first), first]];
   const pathTo = (key: string): string[] => {
     const path: string[] = [];
     for (let at = seen.get(key); at !== null && at !== undefined; at = seen.get(at[0])) path.unshift(at[1]);
     return path;
   };
-  const judge = (key: string, scene: Scene): Found | null => {
+  const judge = (key: string, scene: ModelState): Found | null => {
     explorer.check(scene);
     if (seen.size % bounds.settleEvery === 0) explorer.settles(scene);
-    return explorer.broken.length === 0
+    return explorer.violations.length === 0
       ? null
-      : { states: seen.size, broken: explorer.broken, path: pathTo(key) };
+      : { states: seen.size, violations: explorer.violations, path: pathTo(key) };
   };
   for (let depth = 0; depth < bounds.depth && level.length > 0; depth += 1) {
-    const deeper: [string, Scene][] = [];
+    const deeper: [string, ModelState][] = [];
     for (const [from, scene] of level) {
       for (const [name, after] of explorer.next(scene, bounds.faults)) {
         const key = keyOf(after);
-        if (seen.has(key) && explorer.broken.length === 0) continue;
+        if (seen.has(key) && explorer.violations.length === 0) continue;
         seen.set(key, [from, name]);
         const found = judge(key, after);
         if (found !== null) return found;
-        if (seen.size >= bounds.states) return { states: seen.size, broken: [], path: [] };
+        if (seen.size >= bounds.states) return { states: seen.size, violations: [], path: [] };
         deeper.push([key, after]);
       }
     }
     level = deeper;
   }
-  return { states: seen.size, broken: [], path: [] };
+  return { states: seen.size, violations: [], path: [] };
 }
--- a/test/emulators/faults.ts
+++ b/test/emulators/faults.ts
@@ -1,17 +1,17 @@
 /**
- * Troubles by name, and days on which two or three of them meet: the second begins within the first's
- * effects, at a moment that matters, not merely on the same day.
+ * Fault injection: faults by name, and simulated runs in which two or three of them overlap. The second begins
+ * while the first still has an effect, at a moment on which the outcome depends.
  */
 import type { SubmittedJob } from './checker.js';
-import { NODES, playPipeline, TEAMS, type Simulation } from './simulation.js';
+import { NODES, playDag, TEAMS, type Simulation } from './simulation.js';
 
-/** Begins a trouble and says for how long, in milliseconds, it goes on. */
-type Trouble = (world: Simulation) => number;
+/** Injects a fault; the result: its duration in milliseconds. */
+type Fault = (world: Simulation) => number;
 
 /** As of the emulators' settings. */
-const CANCEL = 30_000;
-const WORKER_LEASE = 10_000;
-const LEADER_LEASE = 2000;
+const CANCEL_TIMEOUT_MS = 30_000;
+const WORKER_LEASE_MS = 10_000;
+const LEADER_LEASE_MS = 2000;
 
 const pick = <T>(world: Simulation, from: readonly T[]): T =>
   from[Math.floor(world.draw() * from.length)] as T;
@@ -28,291 +28,296 @@
   return some.length > 0 || names.length === 0 ? some : [pick(world, names)];
 }
 
-function cutAll(world: Simulation, from: string, to: readonly string[], ms: number): void {
-  for (const other of to) if (other !== from) world.network.cut(from, other, ms);
+function partitionFrom(world: Simulation, from: string, to: readonly string[], ms: number): void {
+  for (const other of to) if (other !== from) world.network.partition(from, other, ms);
 }
 
-/** Zone b is cut off from all of zone a. */
-export function partZones(world: Simulation, ms: number): void {
+/** Partitions zone b from zone a, both ways. */
+export function partitionZones(world: Simulation, ms: number): void {
   const inB = (name: string): boolean => world.zoneOf(name) === 'b';
   const hosts = [...NODES, ...world.cloud.workers.keys()];
   for (const one of hosts.filter(inB))
-    for (const other of hosts) if (!inB(other)) world.network.cut(one, other, ms);
+    for (const other of hosts) if (!inB(other)) world.network.partition(one, other, ms);
 }
 
-export const TROUBLES: Readonly<Record<string, Trouble>> = {
-  'state refuses the leader': (world) => {
-    const ms = between(world, 5000, CANCEL);
+export const FAULTS: Readonly<Record<string, Fault>> = {
+  'store refuses the leader': (world) => {
+    const ms = between(world, 5000, CANCEL_TIMEOUT_MS);
     world.state.refuse(leaderOf(world), ms);
     return ms;
   },
-  // The users' gap: refused alone, it goes on answering workers, while others confirm what it cannot know.
-  'state refuses the leader, then all': (world) => {
-    const after = between(world, 300, LEADER_LEASE + 500);
-    const ms = between(world, 0.9 * CANCEL, 1.8 * CANCEL);
+  // The leader still answers workers while other controllers confirm cancellations that it cannot learn of.
+  'store refuses the leader, then all': (world) => {
+    const after = between(world, 300, LEADER_LEASE_MS + 500);
+    const ms = between(world, 0.9 * CANCEL_TIMEOUT_MS, 1.8 * CANCEL_TIMEOUT_MS);
     world.state.refuse(leaderOf(world), after + ms);
     for (let i = 0; i < 3; i += 1) world.clock.in(after * world.draw(), () => world.cancelSome(0.4));
     world.clock.in(after, () => world.state.outage(ms));
     return after + ms;
   },
-  'state refuses a node': (world) => {
-    const ms = between(world, 2000, CANCEL);
+  'store refuses a node': (world) => {
+    const ms = between(world, 2000, CANCEL_TIMEOUT_MS);
     world.state.refuse(pick(world, NODES), ms);
     return ms;
   },
-  'state is down': (world) => {
-    const ms = between(world, 1000, 1.5 * CANCEL);
+  'store outage': (world) => {
+    const ms = between(world, 1000, 1.5 * CANCEL_TIMEOUT_MS);
     world.state.outage(ms);
     return ms;
   },
-  'state is slow': (world) => {
+  'slow store': (world) => {
     const ms = between(world, 5000, 25_000);
     world.state.slow(between(world, 200, 3000), ms);
     return ms;
   },
-  'transactions are late': (world) => {
+  'delayed transactions': (world) => {
     const ms = between(world, 5000, 30_000);
-    world.state.late(between(world, 0.2, 0.9), ms);
+    world.state.delayTransactions(between(world, 0.2, 0.9), ms);
     return ms;
   },
-  'leader cut from state and peers': (world) => {
+  'leader partitioned from store and peers': (world) => {
     const ms = between(world, 5000, 60_000);
     const leader = leaderOf(world);
-    cutAll(world, leader, [...NODES, 'state'], ms);
+    partitionFrom(world, leader, [...NODES, 'state'], ms);
     return ms;
   },
-  'leader refused, peers gone': (world) => {
+  'leader refused by the store, partitioned from peers': (world) => {
     const ms = between(world, 5000, 45_000);
     const leader = leaderOf(world);
     world.state.refuse(leader, ms);
-    cutAll(world, leader, [...NODES, 'cloud'], ms);
+    partitionFrom(world, leader, [...NODES, 'cloud'], ms);
     return ms;
   },
-  'leader ends': (world) => {
+  'leader crash': (world) => {
     world.crash(nodeAt(leaderOf(world)), between(world, 20, 6000));
     return 6000;
   },
-  'leader ends, back within a second': (world) => {
+  'leader crash, restart within a second': (world) => {
     world.crash(nodeAt(leaderOf(world)), between(world, 20, 1000));
-    return LEADER_LEASE;
+    return LEADER_LEASE_MS;
   },
-  'a node flaps': (world) => {
+  'flapping node': (world) => {
     const node = nodeAt(pick(world, NODES));
     for (let i = 0; i < 4; i += 1) world.clock.in(700 * i, () => world.crash(node, between(world, 20, 600)));
     return 4000;
   },
-  'all end, one returns first': (world) => {
+  'all crash, one restarts first': (world) => {
     const first = nodeAt(pick(world, NODES));
     NODES.forEach((_, i) =>
       world.crash(i, i === first ? between(world, 20, 1000) : between(world, 2000, 15_000)),
     );
     return 15_000;
   },
-  'leader stands still': (world) => {
-    const ms = between(world, 500, 1.2 * WORKER_LEASE);
-    world.freeze(nodeAt(leaderOf(world)), ms);
+  'leader paused': (world) => {
+    const ms = between(world, 500, 1.2 * WORKER_LEASE_MS);
+    world.pause(nodeAt(leaderOf(world)), ms);
     return ms;
   },
-  'leader is slow': (world) => {
+  'slow leader': (world) => {
     const ms = between(world, 5000, 25_000);
     const node = nodeAt(leaderOf(world));
-    world.slow(node, between(world, 100, 900));
-    world.clock.in(ms, () => world.slow(node, 0));
+    world.slowDown(node, between(world, 100, 900));
+    world.clock.in(ms, () => world.slowDown(node, 0));
     return ms;
   },
-  'peers refused': (world) => {
+  'peer links refused': (world) => {
     const ms = between(world, 5000, 30_000);
     world.refusePeers(ms);
     return ms;
   },
-  'zones part': (world) => {
+  'zones partitioned': (world) => {
     const ms = between(world, 3000, 35_000);
-    partZones(world, ms);
+    partitionZones(world, ms);
     return ms;
   },
-  'machines reach one node alone': (world) => {
+  'machines reach only one node': (world) => {
     const ms = between(world, 5000, 40_000);
     const kept = world.draw() < 0.7 ? leaderOf(world) : pick(world, NODES);
     for (const name of someMachines(world, 0.6))
-      for (const node of NODES) if (node !== kept) world.network.cut(name, node, ms);
+      for (const node of NODES) if (node !== kept) world.network.partition(name, node, ms);
     return ms;
   },
-  'machines out of reach': (world) => {
+  'machines unreachable': (world) => {
     const ms = between(world, 3000, 25_000);
-    for (const name of someMachines(world, 0.4)) cutAll(world, name, NODES, ms);
+    for (const name of someMachines(world, 0.4)) partitionFrom(world, name, NODES, ms);
     return ms;
   },
-  'machines hang': (world) => {
-    const ms = between(world, 0.3 * WORKER_LEASE, 1.6 * WORKER_LEASE);
+  'machines paused': (world) => {
+    const ms = between(world, 0.3 * WORKER_LEASE_MS, 1.6 * WORKER_LEASE_MS);
     for (const name of someMachines(world, 0.4)) {
       const worker = world.cloud.workers.get(name);
-      worker?.hang(ms);
+      worker?.pause(ms);
     }
     return ms;
   },
-  'machines deaf': (world) => {
+  'machines receive nothing': (world) => {
     const ms = between(world, 2000, 25_000);
-    for (const name of someMachines(world, 0.4)) world.network.deafen(name, ms);
+    for (const name of someMachines(world, 0.4)) world.network.blockInbound(name, ms);
     return ms;
   },
-  'a machine dies': (world) => {
-    for (const name of someMachines(world, 0.2)) world.cloud.remove(name);
-    return WORKER_LEASE;
+  'machine lost': (world) => {
+    for (const name of someMachines(world, 0.2)) world.cloud.terminate(name);
+    return WORKER_LEASE_MS;
   },
-  'cloud is late': (world) => {
+  'delayed cloud requests': (world) => {
     const ms = between(world, 5000, 25_000);
-    world.cloud.late(between(world, 0.3, 0.9), ms);
+    world.cloud.delayRequests(between(world, 0.3, 0.9), ms);
     return ms;
   },
-  'cloud is down': (world) => {
+  'cloud outage': (world) => {
     const ms = between(world, 3000, 20_000);
-    world.cloud.troubleUntil = world.clock.now + ms;
+    world.cloud.unavailableUntil = world.clock.now + ms;
     return ms;
   },
-  'users cancel': (world) => {
+  cancellations: (world) => {
     world.cancelSome(0.5);
-    return CANCEL;
+    return CANCEL_TIMEOUT_MS;
   },
-  'answers are lost': (world) => {
+  'lost responses': (world) => {
     const ms = between(world, 5000, 30_000);
-    world.state.loseAnswers(between(world, 0.2, 0.9), ms);
+    world.state.loseResponses(between(world, 0.2, 0.9), ms);
     return ms;
   },
-  'copies for the next leader': (world) => {
+  'duplicated heartbeats for the next leader': (world) => {
     const ms = between(world, 3000, 30_000);
-    world.keepCopies(between(world, 0.2, 0.8), ms);
+    world.keepDuplicates(between(world, 0.2, 0.8), ms);
     return ms;
   },
-  'machines mute': (world) => {
-    const ms = between(world, 2000, 4 * WORKER_LEASE);
-    for (const name of someMachines(world, 0.4)) world.network.silence(name, ms);
+  'machines send nothing': (world) => {
+    const ms = between(world, 2000, 4 * WORKER_LEASE_MS);
+    for (const name of someMachines(world, 0.4)) world.network.blockOutbound(name, ms);
     return ms;
   },
-  'machines up at once': (world) => {
+  'machines boot at once': (world) => {
     const ms = between(world, 10_000, 40_000);
-    world.cloud.quick(ms);
-    for (const name of someMachines(world, 0.4)) world.cloud.remove(name);
+    world.cloud.bootQuickly(ms);
+    for (const name of someMachines(world, 0.4)) world.cloud.terminate(name);
     return ms;
   },
-  'cancelled at the end': (world) => {
+  'cancellations at completion': (world) => {
     const ms = between(world, 5000, 40_000);
-    world.cancelAtEnd(between(world, 0.3, 1), ms);
+    world.cancelOnCompletion(between(world, 0.3, 1), ms);
     return ms;
   },
   // Shorter and longer than the lease, and than cancel_s.
-  'many cancelled, machines hang': (world) => {
-    const ms = pick(world, [0.6 * WORKER_LEASE, 1.3 * WORKER_LEASE, 0.9 * CANCEL, 1.4 * CANCEL]);
+  'many cancellations, machines paused': (world) => {
+    const ms = pick(world, [
+      0.6 * WORKER_LEASE_MS,
+      1.3 * WORKER_LEASE_MS,
+      0.9 * CANCEL_TIMEOUT_MS,
+      1.4 * CANCEL_TIMEOUT_MS,
+    ]);
     for (const name of someMachines(world, 0.5)) {
       const worker = world.cloud.workers.get(name);
-      worker?.hang(ms);
+      worker?.pause(ms);
     }
     for (let i = 0; i < 4; i += 1) world.clock.in(200 * world.draw(), () => world.cancelSome(0.25));
     return ms;
   },
-  'close looks': (world) => {
+  'reads right after writes': (world) => {
     const ms = between(world, 5000, 40_000);
-    world.closeLooks(ms);
+    world.readAfterWrites(ms);
     return ms;
   },
-  'odd requests': (world) => {
+  'invalid requests': (world) => {
     const ms = between(world, 3000, 20_000);
-    world.oddRequests(ms);
+    world.sendInvalidRequests(ms);
     return ms;
   },
-  'all away for longer than a lease': (world) => {
-    const ms = between(world, 1.05 * WORKER_LEASE, 2.5 * WORKER_LEASE);
+  'all down for longer than a lease': (world) => {
+    const ms = between(world, 1.05 * WORKER_LEASE_MS, 2.5 * WORKER_LEASE_MS);
     NODES.forEach((_, i) => world.crash(i, ms + 1500 * world.draw()));
     return ms;
   },
-  'ten leaders': (world) => {
+  'ten failovers': (world) => {
     const every = between(world, 4000, 9000);
     for (let i = 0; i < 10; i += 1)
       world.clock.in(i * every, () => world.crash(nodeAt(leaderOf(world)), between(world, 20, 6000)));
     return 10 * every;
   },
   // With its workers and a controller; from state service and cloud as well.
-  'a zone is cut off': (world) => {
-    const ms = between(world, 1.05 * WORKER_LEASE, 3 * WORKER_LEASE);
-    partZones(world, ms);
+  'zone partitioned': (world) => {
+    const ms = between(world, 1.05 * WORKER_LEASE_MS, 3 * WORKER_LEASE_MS);
+    partitionZones(world, ms);
     for (const name of [...NODES, ...world.cloud.workers.keys()])
-      if (world.zoneOf(name) === 'b') cutAll(world, name, ['state', 'cloud'], ms);
+      if (world.zoneOf(name) === 'b') partitionFrom(world, name, ['state', 'cloud'], ms);
     return ms;
   },
 };
 
-/** What the users have told of; each is followed by any other. */
-const TOLD_OF: readonly (readonly string[])[] = [
-  ['transactions are late', 'leader ends'],
-  ['transactions are late', 'users cancel'],
-  ['transactions are late', 'transactions are late', 'leader ends, back within a second'],
-  ['leader cut from state and peers', 'users cancel'],
-  ['machines hang', 'leader ends'],
-  ['machines out of reach', 'leader ends'],
-  ['leader ends', 'machines deaf'],
-  ['state is slow', 'users cancel'],
-  ['state refuses the leader, then all'],
-  ['state refuses the leader, then all', 'leader ends, back within a second'],
-  ['zones part', 'state refuses the leader, then all'],
-  ['machines reach one node alone', 'state refuses the leader, then all'],
-  ['all end, one returns first', 'a node flaps'],
-  ['leader is slow', 'all end, one returns first'],
-  ['close looks', 'users cancel'],
-  ['close looks', 'answers are lost'],
-  ['close looks', 'odd requests', 'leader ends'],
-  ['answers are lost', 'leader ends'],
-  ['answers are lost', 'users cancel', 'leader ends, back within a second'],
-  ['cancelled at the end', 'state refuses the leader'],
-  ['many cancelled, machines hang', 'leader ends'],
-  ['many cancelled, machines hang', 'state refuses the leader, then all'],
-  ['machines out of reach', 'many cancelled, machines hang', 'leader ends'],
-  ['machines mute', 'leader ends'],
-  ['machines mute', 'many cancelled, machines hang', 'leader ends'],
-  ['machines up at once', 'transactions are late', 'leader ends'],
-  ['machines up at once', 'answers are lost', 'leader ends, back within a second'],
-  ['copies for the next leader', 'leader ends'],
-  ['copies for the next leader', 'machines out of reach', 'leader ends'],
-  ['all away for longer than a lease', 'users cancel'],
-  ['ten leaders', 'state is down'],
-  ['ten leaders', 'users cancel', 'answers are lost'],
-  ['a zone is cut off', 'users cancel'],
-  ['a zone is cut off', 'leader ends'],
-  ['leader is slow', 'users cancel'],
+/** Combinations reported from production; each is followed by any other fault. */
+const REPORTED_COMBINATIONS: readonly (readonly string[])[] = [
+  ['delayed transactions', 'leader crash'],
+  ['delayed transactions', 'cancellations'],
+  ['delayed transactions', 'delayed transactions', 'leader crash, restart within a second'],
+  ['leader partitioned from store and peers', 'cancellations'],
+  ['machines paused', 'leader crash'],
+  ['machines unreachable', 'leader crash'],
+  ['leader crash', 'machines receive nothing'],
+  ['slow store', 'cancellations'],
+  ['store refuses the leader, then all'],
+  ['store refuses the leader, then all', 'leader crash, restart within a second'],
+  ['zones partitioned', 'store refuses the leader, then all'],
+  ['machines reach only one node', 'store refuses the leader, then all'],
+  ['all crash, one restarts first', 'flapping node'],
+  ['slow leader', 'all crash, one restarts first'],
+  ['reads right after writes', 'cancellations'],
+  ['reads right after writes', 'lost responses'],
+  ['reads right after writes', 'invalid requests', 'leader crash'],
+  ['lost responses', 'leader crash'],
+  ['lost responses', 'cancellations', 'leader crash, restart within a second'],
+  ['cancellations at completion', 'store refuses the leader'],
+  ['many cancellations, machines paused', 'leader crash'],
+  ['many cancellations, machines paused', 'store refuses the leader, then all'],
+  ['machines unreachable', 'many cancellations, machines paused', 'leader crash'],
+  ['machines send nothing', 'leader crash'],
+  ['machines send nothing', 'many cancellations, machines paused', 'leader crash'],
+  ['machines boot at once', 'delayed transactions', 'leader crash'],
+  ['machines boot at once', 'lost responses', 'leader crash, restart within a second'],
+  ['duplicated heartbeats for the next leader', 'leader crash'],
+  ['duplicated heartbeats for the next leader', 'machines unreachable', 'leader crash'],
+  ['all down for longer than a lease', 'cancellations'],
+  ['ten failovers', 'store outage'],
+  ['ten failovers', 'cancellations', 'lost responses'],
+  ['zone partitioned', 'cancellations'],
+  ['zone partitioned', 'leader crash'],
+  ['slow leader', 'cancellations'],
 ];
 
-/** When the next trouble begins, once this one has: a moment that something hangs on. */
-const MOMENTS: readonly ((world: Simulation, lasts: number, begin: () => void) => void)[] = [
+/** When the next fault begins after this one has: moments on which the outcome depends. */
+const START_MOMENTS: readonly ((world: Simulation, lasts: number, begin: () => void) => void)[] = [
   (world, _, begin) => world.clock.in(between(world, 0, 2000), begin),
   (world, lasts, begin) => world.clock.in(lasts * world.draw(), begin),
   (world, lasts, begin) => world.clock.in(Math.max(0, lasts + between(world, -500, 500)), begin),
-  (world, _, begin) => world.clock.in(LEADER_LEASE + between(world, -500, 1000), begin),
-  (world, _, begin) => world.clock.in(WORKER_LEASE + between(world, -1500, 1500), begin),
-  (world, _, begin) => world.once('elected', () => world.clock.in(between(world, 0, 1500), begin)),
-  (world, _, begin) => world.once('leading', () => world.clock.in(between(world, 0, 300), begin)),
-  (world, _, begin) => world.state.onceWritten('run/', () => world.clock.in(between(world, 0, 20), begin)),
-  (world, _, begin) => world.state.onceLate(() => world.clock.in(between(world, 0, 300), begin)),
-  (world, _, begin) => world.state.onceLost(() => world.clock.in(between(world, 0, 300), begin)),
-  (world, _, begin) => world.state.onceWritten('ended/', () => world.clock.in(between(world, 0, 20), begin)),
+  (world, _, begin) => world.clock.in(LEADER_LEASE_MS + between(world, -500, 1000), begin),
+  (world, _, begin) => world.clock.in(WORKER_LEASE_MS + between(world, -1500, 1500), begin),
+  (world, _, begin) => world.onNextLog('elected', () => world.clock.in(between(world, 0, 1500), begin)),
+  (world, _, begin) => world.onNextLog('leading', () => world.clock.in(between(world, 0, 300), begin)),
+  (world, _, begin) => world.state.onNextWrite('run/', () => world.clock.in(between(world, 0, 20), begin)),
+  (world, _, begin) => world.state.onNextDelayedCommit(() => world.clock.in(between(world, 0, 300), begin)),
+  (world, _, begin) => world.state.onNextLostResponse(() => world.clock.in(between(world, 0, 300), begin)),
+  (world, _, begin) => world.state.onNextWrite('ended/', () => world.clock.in(between(world, 0, 20), begin)),
 ];
 
-/** Begins troubles one within another; while they last users cancel, now and then. */
-export function meet(world: Simulation, names: readonly string[], met: (name: string) => void): void {
+/** Injects faults, each within the effects of the one before; at times users cancel meanwhile. */
+export function beginFaults(world: Simulation, names: readonly string[], met: (name: string) => void): void {
   const [name, ...more] = names;
   if (name === undefined) return;
   met(name);
-  const lasts = TROUBLES[name]?.(world) ?? 0;
+  const lasts = FAULTS[name]?.(world) ?? 0;
   if (world.draw() < 0.5) world.clock.in(between(world, 0, 3000), () => world.cancelSome(0.2));
-  if (more.length > 0) pick(world, MOMENTS)(world, lasts, () => meet(world, more, met));
+  if (more.length > 0) pick(world, START_MOMENTS)(world, lasts, () => beginFaults(world, more, met));
 }
 
-/** The latest that a trouble of a meeting day begins by itself, and how long its tasks run at most. */
-const LAST = 60_000;
-export const LONGEST_RUN = 70_000;
+/** The latest start of the first fault of a combination, and the longest runtime of a task, in milliseconds. */
+const LATEST_START_MS = 60_000;
+export const MAX_RUNTIME_MS = 70_000;
 
 /**
- * A day on which troubles meet: jobs of a few tasks whose ends lie far apart, so that what is cancelled
- * would run on, and some of many short ones.
+ * Draws a run with overlapping faults: jobs of a few tasks whose ends lie far apart, so that cancelled tasks
+ * would run on for long, and some jobs of many short tasks.
  */
-export function drawMeetings(world: Simulation, meetings: number, met: (name: string) => void): void {
+export function drawConcurrentFaults(world: Simulation, meetings: number, met: (name: string) => void): void {
   const { draw, clock, cloud } = world;
   cloud.capacity = 10;
   for (let i = 0; i < 14; i += 1) {
@@ -330,15 +335,18 @@
       oneZone: draw() < 0.1,
       spread: draw() < 0.15,
     };
-    if (long) world.runs.set(id, [2000 + 0.3 * LONGEST_RUN * draw(), LONGEST_RUN * draw()]);
-    clock.in(LAST * draw() ** 1.5, () => void world.user(job, draw() < 0.15 ? 30_000 * draw() : null));
+    if (long) world.runtimes.set(id, [2000 + 0.3 * MAX_RUNTIME_MS * draw(), MAX_RUNTIME_MS * draw()]);
+    clock.in(
+      LATEST_START_MS * draw() ** 1.5,
+      () => void world.user(job, draw() < 0.15 ? 30_000 * draw() : null),
+    );
   }
   if (draw() < 0.4)
-    for (let i = 0; i < 2; i += 1) clock.in(0.7 * LAST * draw(), () => void playPipeline(world, i, 3));
-  const names = Object.keys(TROUBLES);
+    for (let i = 0; i < 2; i += 1) clock.in(0.7 * LATEST_START_MS * draw(), () => void playDag(world, i, 3));
+  const names = Object.keys(FAULTS);
   const draws = (): string[] => Array.from({ length: draw() < 0.5 ? 2 : 3 }, () => pick(world, names));
   for (let i = 0; i < meetings; i += 1) {
-    const some = draw() < 0.5 ? [...pick(world, TOLD_OF), pick(world, names)] : draws();
-    clock.in(8000 + (LAST - 8000) * draw(), () => meet(world, some, met));
+    const some = draw() < 0.5 ? [...pick(world, REPORTED_COMBINATIONS), pick(world, names)] : draws();
+    clock.in(8000 + (LATEST_START_MS - 8000) * draw(), () => beginFaults(world, some, met));
   }
 }
--- a/test/emulators/fingerprint-days.ts
+++ b/test/emulators/fingerprint-days.ts
@@ -4,14 +4,14 @@
  */
 import { createHash } from 'node:crypto';
 import type { SubmittedJob } from './checker.js';
-import { drawMeetings, LONGEST_RUN } from './faults.js';
+import { drawConcurrentFaults, MAX_RUNTIME_MS } from './faults.js';
 import {
-  drawDay,
+  drawRun,
   seeded,
   TEAMS,
   TIGHT,
   Simulation,
-  type DaySize,
+  type RunSize,
   type SimulationOptions,
 } from './simulation.js';
 
@@ -21,9 +21,9 @@
 /** How often the status pages of all controllers are taken in. */
 const PAGES_EVERY_MS = 5000;
 
-const PIPELINES: DaySize = { jobs: 6, mostTasks: 5, machines: 8, pipelines: 6 };
-const ON_CALL: DaySize = { jobs: 16, mostTasks: 6, machines: 8, onCall: true };
-const WIDE: DaySize = { jobs: 12, mostTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
+const PIPELINES: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
+const ON_CALL: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
+const WIDE: RunSize = { jobs: 12, maxTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
 
 interface Kind {
   readonly seeds: readonly number[];
@@ -53,7 +53,7 @@
       oneZone: draw() < 0.3,
       spread: draw() < 0.3,
     };
-    if (form === 'service') world.runs.set(id, [10 * DAY_MS, 0]);
+    if (form === 'service') world.runtimes.set(id, [10 * DAY_MS, 0]);
     const cancelAfterMs = form === 'service' || draw() < 0.2 ? 60_000 * draw() : null;
     clock.in(0.6 * DAY_MS * draw(), () => void world.user(job, cancelAfterMs));
   }
@@ -80,7 +80,7 @@
       oneZone: false,
       spread: false,
     };
-    if (isIdle) world.runs.set(id, [60_000 + 60_000 * draw(), 4000 * draw()]);
+    if (isIdle) world.runtimes.set(id, [60_000 + 60_000 * draw(), 4000 * draw()]);
     clock.in(isIdle ? 10_000 * draw() : 40_000 + 60_000 * draw(), () => void world.user(job, null));
   }
 }
@@ -88,24 +88,24 @@
 function drawUpgrade(world: Simulation): number {
   const { draw, clock } = world;
   const crashAny = (): void => world.crash(Math.floor(draw() * 3), 2000);
-  drawDay(world, DAY_MS, 4, WIDE);
+  drawRun(world, DAY_MS, 4, WIDE);
   for (let i = 0; i < 4; i += 1) clock.in(40_000 * draw(), crashAny);
   [2, 0, 1].forEach((node, i) =>
     clock.in(10_000 + i * (2000 + 10_000 * draw()), () => world.upgrade(node, 4000)),
   );
-  clock.in(45_000 + 20_000 * draw(), () => world.shrink());
+  clock.in(45_000 + 20_000 * draw(), () => world.reduceLimits());
   for (let i = 0; i < 4; i += 1) clock.in(45_000 + 25_000 * draw(), crashAny);
   return DAY_MS + REST_MS;
 }
 
-function drawUsual(world: Simulation, faults: number, size?: DaySize): number {
-  drawDay(world, DAY_MS, faults, size);
+function drawUsual(world: Simulation, faults: number, size?: RunSize): number {
+  drawRun(world, DAY_MS, faults, size);
   return DAY_MS + REST_MS;
 }
 
 function drawMet(world: Simulation, seed: number): number {
-  drawMeetings(world, 1 + (seed % 3), () => undefined);
-  return MEETINGS_MS + 2 * LONGEST_RUN;
+  drawConcurrentFaults(world, 1 + (seed % 3), () => undefined);
+  return MEETINGS_MS + 2 * MAX_RUNTIME_MS;
 }
 
 const KINDS: Readonly<Record<string, Kind>> = {
@@ -139,13 +139,13 @@
     seeds: [601, 602, 603, 604, 605],
     draw: (world) => {
       drawForms(world);
-      return drawUsual(world, 6, { jobs: 6, mostTasks: 4, machines: 8 });
+      return drawUsual(world, 6, { jobs: 6, maxTasks: 4, machines: 8 });
     },
   },
   preemption: {
     seeds: [901, 902, 903, 904],
     draw: (world, seed) => {
-      drawDay(world, DAY_MS, seed % 2 === 0 ? 0 : 4, { jobs: 2, mostTasks: 2, machines: 4 });
+      drawRun(world, DAY_MS, seed % 2 === 0 ? 0 : 4, { jobs: 2, maxTasks: 2, machines: 4 });
       drawPreemption(world);
       return DAY_MS + REST_MS;
     },
@@ -188,10 +188,10 @@
     lines += 1;
     note(line);
   };
-  const world = new Simulation(seeded(seed), { sharing: false, ...plan.options?.(seed), tap });
+  const world = new Simulation(seeded(seed), { sharing: false, ...plan.options?.(seed), onMessage: tap });
   now = () => world.clock.now;
   const pages = (): void => {
-    for (const page of world.pages()) tap('page', 'operators', JSON.stringify(page));
+    for (const page of world.statusPages()) tap('page', 'operators', JSON.stringify(page));
     tap('ready', 'balancer', JSON.stringify(world.ready()));
     world.clock.in(PAGES_EVERY_MS, pages);
   };
--- a/test/emulators/golden-messages.ts
+++ b/test/emulators/golden-messages.ts
@@ -21,7 +21,7 @@
 import { encodeIntake, encodeStatus, type PeerStatus } from '../../src/wire/peers.js';
 import { encodeJobView, parseSubmission } from '../../src/wire/users.js';
 import { encodeDirect, encodeRedirect, encodeReply, parseReport } from '../../src/wire/workers.js';
-import { atWork } from './busy-cluster.js';
+import { startBusyCluster } from './busy-cluster.js';
 import { VirtualClock } from './clock.js';
 import { TYPES } from './cloud.js';
 import { Network } from './network.js';
@@ -706,13 +706,13 @@
 
 /** The status pages of a leader and its followers, with tasks out and a queue, then after the leader's end. */
 export async function statusPages(): Promise<string[]> {
-  const { world, leader, ids } = await atWork(3);
+  const { world, leader, ids } = await startBusyCluster(3);
   const place = { team: 'crew', cpus: 8, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
   for (let i = 0; i < 3; i += 1)
     void world.user({ id: `req-30000${i}`, tasks: 4, ...place, ...(i === 2 ? { awaits: ids } : {}) }, null);
   await world.clock.runUntil(world.clock.now + 4000);
-  const before = world.pages();
+  const before = world.statusPages();
   world.crash(leader, 60_000);
   await world.clock.runUntil(world.clock.now + 15_000);
-  return [...before, ...world.pages()].map((page) => JSON.stringify(page, null, 1));
+  return [...before, ...world.statusPages()].map((page) => JSON.stringify(page, null, 1));
 }
--- a/test/emulators/network.ts
+++ b/test/emulators/network.ts
@@ -1,16 +1,18 @@
-/** Messages between hosts: delayed, and while a cut lasts held back and then delivered in order. */
+/** Messages between hosts: delayed, and during a partition held back and then delivered in order. */
 import type { VirtualClock } from './clock.js';
 
+/** Draws from 0 (inclusive) to 1 (exclusive). */
 export type Draw = () => number;
 
 /** Sees each message as its sender writes it on the wire, or as the emulator that takes it keeps it. */
-export type Tap = (from: string, to: string, message: string) => void;
+export type MessageListener = (from: string, to: string, message: string) => void;
 
+/** Delivers messages on the virtual clock, with partitions and one-way faults. Durations are in milliseconds. */
 export class Network {
-  tap: Tap | null = null;
-  readonly #cuts = new Map<string, number>();
-  readonly #deaf = new Map<string, number>();
-  readonly #mute = new Map<string, number>();
+  onMessage: MessageListener | null = null;
+  readonly #partitions = new Map<string, number>();
+  readonly #inboundBlocked = new Map<string, number>();
+  readonly #outboundBlocked = new Map<string, number>();
 
   constructor(
     readonly clock: VirtualClock,
@@ -21,36 +23,37 @@
     return from < to ? `${from}|${to}` : `${to}|${from}`;
   }
 
-  cut(from: string, to: string, forMs: number): void {
-    this.#cuts.set(this.#key(from, to), this.clock.now + forMs);
+  /** Holds back all messages between two hosts, both ways. */
+  partition(from: string, to: string, forMs: number): void {
+    this.#partitions.set(this.#key(from, to), this.clock.now + forMs);
   }
 
-  /** What is sent to a host is lost; what it sends arrives. */
-  deafen(host: string, forMs: number): void {
-    this.#deaf.set(host, this.clock.now + forMs);
+  /** One-way fault: messages to a host are lost; those that it sends arrive. */
+  blockInbound(host: string, forMs: number): void {
+    this.#inboundBlocked.set(host, this.clock.now + forMs);
   }
 
-  /** It opens no connection; whoever connects to it is answered. */
-  silence(host: string, forMs: number): void {
-    this.#mute.set(host, this.clock.now + forMs);
+  /** One-way fault: a host opens no connection; connections to it are answered. */
+  blockOutbound(host: string, forMs: number): void {
+    this.#outboundBlocked.set(host, this.clock.now + forMs);
   }
 
-  isMute(host: string): boolean {
-    return (this.#mute.get(host) ?? 0) > this.clock.now;
+  isOutboundBlocked(host: string): boolean {
+    return (this.#outboundBlocked.get(host) ?? 0) > this.clock.now;
   }
 
-  isDeaf(host: string): boolean {
-    return (this.#deaf.get(host) ?? 0) > this.clock.now;
+  isInboundBlocked(host: string): boolean {
+    return (this.#inboundBlocked.get(host) ?? 0) > this.clock.now;
   }
 
-  isCut(from: string, to: string): boolean {
-    return (this.#cuts.get(this.#key(from, to)) ?? 0) > this.clock.now;
+  isPartitioned(from: string, to: string): boolean {
+    return (this.#partitions.get(this.#key(from, to)) ?? 0) > this.clock.now;
   }
 
-  /** Delivers one message, after the cut if there is one. */
+  /** Delivers one message, after the partition if there is one. */
   send(from: string, to: string, deliver: () => void): void {
-    if (this.isDeaf(to)) return;
-    const until = Math.max(this.clock.now, this.#cuts.get(this.#key(from, to)) ?? 0);
+    if (this.isInboundBlocked(to)) return;
+    const until = Math.max(this.clock.now, this.#partitions.get(this.#key(from, to)) ?? 0);
     const slow = this.draw() < 0.01 ? 200 : 2;
     this.clock.at(until + slow * (0.5 + this.draw()), deliver);
   }
@@ -65,7 +68,7 @@
     return new Promise((resolve) => {
       this.clock.in(timeoutMs, () => resolve(null));
       // A connection that cannot be made now is never made later; one in use is held back.
-      if (this.isCut(from, to) && this.draw() < 0.5) return;
+      if (this.isPartitioned(from, to) && this.draw() < 0.5) return;
       this.send(from, to, () => serve((answer) => this.send(to, from, () => resolve(answer))));
     });
   }
--- a/test/emulators/simulation.ts
+++ b/test/emulators/simulation.ts
@@ -6,10 +6,10 @@
 import type { Link } from '../../src/membership/views.js';
 import type { IntakeMessage } from '../../src/wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader } from '../../src/wire/peers.js';
-import { Checker, type OnMachine, type SubmittedJob } from './checker.js';
+import { Checker, type PlacedTask, type SubmittedJob } from './checker.js';
 import { ProcessClock, VirtualClock } from './clock.js';
 import { CloudEmulator, TYPES, Worker } from './cloud.js';
-import { Network, type Draw, type Tap } from './network.js';
+import { Network, type Draw, type MessageListener } from './network.js';
 import { EarlierStateClient, StateClient, StateEmulator } from './state.js';
 
 export const NODES = ['n-0', 'n-1', 'n-2'];
@@ -48,8 +48,8 @@
 /** Draws that are the same for the same seed. */
 export { seededDraw as seeded } from '../../lab/random.js';
 
-/** What a version before suspicion says of the others. */
-export const UNSEEN = {
+/** The observations in the status of a version without failure suspicion. */
+export const NO_OBSERVATIONS = {
   lateMs: 0,
   sees: [],
   strays: 0,
@@ -62,41 +62,42 @@
   takesReports: false,
 };
 
-/** Set to play any test of this world with reports shared among controllers. */
-const SHARES_ALWAYS = process.env['SHARING'] !== undefined;
+/** Set to run any simulation with heartbeats shared among controllers. */
+const ALWAYS_SHARES = process.env['SHARING'] !== undefined;
 
-/** What differs from the usual world. */
+/** Deviations from the default simulation. */
 export interface SimulationOptions {
   readonly cpusMax?: number;
   /** Limits of the state service, as the settings tell of them. */
   readonly limits?: object;
   /** What controllers log is kept, to be read. */
   readonly keepLog?: boolean;
-  /** Copies of reports come late, from seconds to well over a lease, at any controller. */
+  /** Duplicated heartbeats arrive late, from seconds to well over a lease, at any controller. */
   readonly copies?: boolean;
-  /** Followers take reports for the leader, however few the machines are. */
+  /** Followers accept heartbeats for the leader, however few the machines are. */
   readonly sharing?: boolean;
   /** Sees all messages. */
-  readonly tap?: Tap;
-  /** All controllers begin as the version before pipelines. */
+  readonly onMessage?: MessageListener;
+  /** All controllers start as the version without DAG dependencies. */
   readonly earlier?: boolean;
 }
 
-export interface Logged {
+export interface LogLine {
   readonly at: number;
   readonly node: string;
   readonly msg: string;
   readonly [field: string]: unknown;
 }
 
-interface Life {
+interface ControllerProcess {
   /** Frames on their way to another process, in order. */
-  readonly sent: Map<Life, Uint8Array[]>;
+  readonly sent: Map<ControllerProcess, Uint8Array[]>;
   readonly earlier: boolean;
   readonly node: ControllerNode;
   readonly clock: ProcessClock;
 }
 
+/** Three controllers, the emulators and their users on one virtual clock. */
 export class Simulation {
   readonly clock = new VirtualClock();
   readonly network: Network;
@@ -105,33 +106,33 @@
   readonly checker: Checker;
   readonly jobs = new Map<string, SubmittedJob>();
   readonly accepted = new Set<string>();
-  readonly logged: Logged[] = [];
+  readonly logged: LogLine[] = [];
   /** Jobs submitted with a mistake. */
-  readonly broken = new Set<string>();
+  readonly faultyJobs = new Set<string>();
   /** How long the first task of a job runs, and each after it longer by; others by the draw. */
-  readonly runs = new Map<string, readonly [number, number]>();
+  readonly runtimes = new Map<string, readonly [number, number]>();
   /** Messages about shared reports that controllers have sent; all are lost while this is set. */
   intakeMessages = 0;
-  losesIntake = false;
+  dropsIntake = false;
   readonly #cancelling = new Set<string>();
   readonly #bodies = new Map<string, object>();
   /** What users were last told that was news: that a job is accepted, done or cancelled. */
-  readonly #told = new Map<string, string>();
-  #closeUntil = 0;
-  #oddUntil = 0;
-  #odd = 0;
+  readonly #lastStage = new Map<string, string>();
+  #readAfterWritesUntil = 0;
+  #invalidRequestsUntil = 0;
+  #invalidCount = 0;
   /** So many close looks and odd requests there were. */
-  looks = 0;
-  odds = 0;
-  #cancelAtEnd = { share: 0, until: 0 };
+  readsAfterWrites = 0;
+  invalidRequests = 0;
+  #cancelOnCompletion = { share: 0, until: 0 };
   /** Copies of reports that wait for a leader to begin. */
-  #keepCopies = { share: 0, until: 0 };
-  readonly #kept: ((node: string) => void)[] = [];
+  #keepDuplicates = { share: 0, until: 0 };
+  readonly #duplicates: ((node: string) => void)[] = [];
   /** Copies delivered to a leader that had just begun. */
-  copiesForNext = 0;
-  readonly #awaited = new Map<string, (() => void)[]>();
-  readonly #lives = new Map<string, Life>();
-  readonly #earlier = new Set<number>();
+  duplicatesDelivered = 0;
+  readonly #logListeners = new Map<string, (() => void)[]>();
+  readonly #controllers = new Map<string, ControllerProcess>();
+  readonly #earlierVersion = new Set<number>();
   #refusedUntil = 0;
   #incarnations = 0;
   private readonly cpusMax: number;
@@ -142,14 +143,14 @@
   ) {
     this.cpusMax = options.cpusMax ?? 0;
     const cpusMax = this.cpusMax;
-    if (options.earlier === true) NODES.forEach((_, i) => this.#earlier.add(i));
+    if (options.earlier === true) NODES.forEach((_, i) => this.#earlierVersion.add(i));
     this.network = new Network(this.clock, draw);
-    this.network.tap = options.tap ?? null;
+    this.network.onMessage = options.onMessage ?? null;
     this.state = new StateEmulator(this.network);
     this.checker = new Checker(30_000, cpusMax);
     this.cloud = new CloudEmulator(this.network, (listed) => this.#worker(listed));
     for (let i = 0; i < NODES.length; i += 1) this.start(i);
-    this.#gossip();
+    this.#exchangeStatus();
   }
 
   #worker(listed: ConstructorParameters<typeof Worker>[0]): Worker {
@@ -158,34 +159,35 @@
       reportMs: 1000,
       leaseMs: 10_000,
       runMs: (job: string, task: number) => this.#runMs(job, task),
-      isBroken: (job: string) => this.broken.has(job),
+      isBroken: (job: string) => this.faultyJobs.has(job),
       copy: () => this.#copy(),
       sent: (deliver: (node: string) => void) => {
-        const { share, until } = this.#keepCopies;
-        if (until > this.clock.now && this.draw() < share) this.#kept.push(deliver);
+        const { share, until } = this.#keepDuplicates;
+        if (until > this.clock.now && this.draw() < share) this.#duplicates.push(deliver);
       },
       completed: (job: string) => {
-        const { share, until } = this.#cancelAtEnd;
+        const { share, until } = this.#cancelOnCompletion;
         if (until > this.clock.now && this.checker.isComplete(job) && this.draw() < share)
           void this.#cancel(job);
       },
     };
     return new Worker(listed, this.network, rules, this.checker, (node, body, reply) => {
-      const life = this.#lives.get(node);
-      const { tap } = this.network;
-      tap?.(listed.name, node, `report ${JSON.stringify(body)}`);
+      const controller = this.#controllers.get(node);
+      const { onMessage } = this.network;
+      onMessage?.(listed.name, node, `report ${JSON.stringify(body)}`);
       const answer = (status: number, text: string): void => {
-        tap?.(node, listed.name, `answer ${status} ${text}`);
+        onMessage?.(node, listed.name, `answer ${status} ${text}`);
         reply(status, text);
       };
-      if (life?.clock.alive === true) life.clock.awake(() => life.node.report(body, answer));
+      if (controller?.clock.alive === true)
+        controller.clock.awake(() => controller.node.report(body, answer));
       // Its host refuses the connection: nobody listens there any more.
       else reply(0, '');
     });
   }
 
   #runMs(job: string, task: number): number {
-    const [first, more] = this.runs.get(job) ?? [2000 + 6000 * this.draw(), 0];
+    const [first, more] = this.runtimes.get(job) ?? [2000 + 6000 * this.draw(), 0];
     return first + (task === 0 ? 0 : more);
   }
 
@@ -202,62 +204,62 @@
   async #cancel(id: string): Promise<void> {
     if (this.#cancelling.has(id)) return;
     this.#cancelling.add(id);
-    this.checker.cancelAsked(id);
+    this.checker.cancelRequested(id);
     while ((await this.#request('withdraw', id, {})) === null) await this.clock.sleep(1000);
   }
 
-  /** Users call off jobs at the moment at which their last task completes. */
-  cancelAtEnd(share: number, forMs: number): void {
-    this.#cancelAtEnd = { share, until: this.clock.now + forMs };
+  /** Users cancel jobs at the moment at which the last task completes. */
+  cancelOnCompletion(share: number, forMs: number): void {
+    this.#cancelOnCompletion = { share, until: this.clock.now + forMs };
   }
 
-  /** Copies of that share of the reports are kept until a leader begins, and reach it, or all, soon after. */
-  keepCopies(share: number, forMs: number): void {
-    this.#keepCopies = { share, until: this.clock.now + forMs };
+  /** Duplicates of a share of the heartbeats are kept until a leader begins, and reach it, or all nodes, soon after. */
+  keepDuplicates(share: number, forMs: number): void {
+    this.#keepDuplicates = { share, until: this.clock.now + forMs };
   }
 
-  #deliverKept(leader: string): void {
-    for (const deliver of this.#kept.splice(0)) {
+  #deliverDuplicates(leader: string): void {
+    for (const deliver of this.#duplicates.splice(0)) {
       const to = this.draw() < 0.5 ? NODES : [leader];
-      this.copiesForNext += 1;
+      this.duplicatesDelivered += 1;
       this.clock.in(this.draw() < 0.5 ? 20 * this.draw() : 4000 * this.draw(), () => {
         for (const node of to) deliver(node);
       });
     }
   }
 
-  /** For so long users ask at all nodes, and repeat the submission, within milliseconds after an answer. */
-  closeLooks(forMs: number): void {
-    this.#closeUntil = this.clock.now + forMs;
+  /** Users read at all nodes, and repeat the submission, within milliseconds after a response. */
+  readAfterWrites(forMs: number): void {
+    this.#readAfterWritesUntil = this.clock.now + forMs;
   }
 
-  #lookClosely(id: string, stage: string): void {
-    if (this.#closeUntil <= this.clock.now) return;
+  #readAfterWrite(id: string, stage: string): void {
+    if (this.#readAfterWritesUntil <= this.clock.now) return;
     const body = this.#bodies.get(id);
     const first = stage !== 'done' && stage !== 'withdrawn';
     if (first && this.draw() < 0.15) this.clock.in(5 * this.draw(), () => void this.#cancel(id));
     for (const node of NODES) {
-      this.looks += 1;
+      this.readsAfterWrites += 1;
       this.clock.in(5 * this.draw(), () => void this.#request('show', id, {}, node));
       if (body !== undefined && this.draw() < 0.5)
         this.clock.in(5 * this.draw(), () => void this.#request('submit', id, body, node));
     }
   }
 
-  /** For so long users repeat and cancel what is under way or over, and send what nobody may accept. */
-  oddRequests(forMs: number): void {
-    this.#oddUntil = this.clock.now + forMs;
+  /** Users repeat and cancel running or ended jobs, and submit unacceptable ones. */
+  sendInvalidRequests(forMs: number): void {
+    this.#invalidRequestsUntil = this.clock.now + forMs;
     const round = (): void => {
-      if (this.clock.now >= this.#oddUntil) return;
+      if (this.clock.now >= this.#invalidRequestsUntil) return;
       for (const [id, body] of this.#bodies) {
         if (this.draw() > 0.1) continue;
-        this.odds += 1;
+        this.invalidRequests += 1;
         if (this.checker.isOver(id)) void this.#request('withdraw', id, {});
         else if (this.accepted.has(id)) void this.#request('submit', id, body);
       }
-      for (const [id, body] of this.#impossible()) {
-        this.odds += 1;
-        this.checker.odd(id);
+      for (const [id, body] of this.#invalidJobs()) {
+        this.invalidRequests += 1;
+        this.checker.submittedUnacceptable(id);
         void this.#request('submit', id, body);
       }
       this.clock.in(700, round);
@@ -265,8 +267,8 @@
     round();
   }
 
-  /** Descriptions that nobody may accept: each lacks something, or asks for what there is not. */
-  #impossible(): [string, object][] {
+  /** Unacceptable job descriptions: each lacks a field or asks for something that does not exist. */
+  #invalidJobs(): [string, object][] {
     const [sound] = this.#bodies.values();
     if (sound === undefined) return [];
     const faults: object[] = [
@@ -287,17 +289,18 @@
       ...(this.cpusMax > 0 ? [{ form: 'service', cores: 1, movements: Math.floor(this.cpusMax) + 1 }] : []),
     ];
     return faults.map((fault) => {
-      const nameId = `req-7${String(this.#odd++).padStart(6, '0')}`;
+      const nameId = `req-7${String(this.#invalidCount++).padStart(6, '0')}`;
       return [nameId, { ...sound, hall: null, awaits: null, ...fault, nameId }];
     });
   }
 
-  /** Whether a machine that speaks and hears could take a task of a job now. */
-  #hasRoom(job: SubmittedJob, taken: readonly OnMachine[]): boolean {
+  /** Whether a reachable machine has capacity for a task of a job now. */
+  #hasCapacity(job: SubmittedJob, taken: readonly PlacedTask[]): boolean {
     const own = taken.filter((on) => on.job === job.id);
-    return [...this.cloud.workers.values()].some(({ listed, hangs, faulty }) => {
+    return [...this.cloud.workers.values()].some(({ listed, isPaused, isFaulty }) => {
       const { name, zone, spot } = listed;
-      if (hangs || faulty || this.network.isMute(name) || this.network.isDeaf(name)) return false;
+      if (isPaused || isFaulty || this.network.isOutboundBlocked(name) || this.network.isInboundBlocked(name))
+        return false;
       const here = taken.filter((on) => on.machine === name);
       const used = here.reduce((sum, on) => sum + (this.jobs.get(on.job)?.cpus ?? 0), 0);
       const memory = here.reduce((sum, on) => sum + (this.jobs.get(on.job)?.memoryGb ?? 0), 0);
@@ -314,15 +317,15 @@
     });
   }
 
-  /** From now on nothing may wait for long while there is room. */
-  watchWaiting(): void {
-    this.checker.lookForWaiting(this.clock.now, (job, taken) => this.#hasRoom(job, taken));
-    this.clock.in(2000, () => this.watchWaiting());
+  /** From now on no job may wait for long while there is capacity. */
+  checkWaiting(): void {
+    this.checker.checkWaiting(this.clock.now, (job, taken) => this.#hasCapacity(job, taken));
+    this.clock.in(2000, () => this.checkWaiting());
   }
 
-  /** Calls back when a controller next logs this. */
-  once(msg: string, call: () => void): void {
-    this.#awaited.set(msg, [...(this.#awaited.get(msg) ?? []), call]);
+  /** Calls back when a controller next logs this event. */
+  onNextLog(msg: string, call: () => void): void {
+    this.#logListeners.set(msg, [...(this.#logListeners.get(msg) ?? []), call]);
   }
 
   #copy(): { afterMs: number; node: string | null } | null {
@@ -333,7 +336,7 @@
 
   /** What each living node answers the load balancer. */
   ready(): boolean[] {
-    return NODES.map((name) => this.#lives.get(name)?.node.ready() === true);
+    return NODES.map((name) => this.#controllers.get(name)?.node.ready() === true);
   }
 
   /** Sends every node, many times a second, what is malformed, and reports of machines that do not exist. */
@@ -341,7 +344,7 @@
     let sent = 0;
     const round = (): void => {
       if (this.clock.now > untilMs) return;
-      for (const { node, clock } of this.#lives.values()) {
+      for (const { node, clock } of this.#controllers.values()) {
         if (!clock.alive) continue;
         const name = `vm-9${String(sent++).padStart(6, '0')}`;
         const told = { skiff: name, address: '127.0.0.1:1', bench: 'small', hall: 'a', borrowed: true };
@@ -356,19 +359,21 @@
   }
 
   /** What each living node's status page says. */
-  pages(): object[] {
-    return [...this.#lives.values()].flatMap(({ clock, node }) => (clock.alive ? [node.describe()] : []));
+  statusPages(): object[] {
+    return [...this.#controllers.values()].flatMap(({ clock, node }) =>
+      clock.alive ? [node.describe()] : [],
+    );
   }
 
   /** The nodes that take themselves for leader. */
   leaders(): string[] {
-    return NODES.filter((name) => this.#lives.get(name)?.node.status().leading === true);
+    return NODES.filter((name) => this.#controllers.get(name)?.node.status().leading === true);
   }
 
   start(i: number): void {
     const name = NODES[i] ?? '';
     const settings = testSettings(i, this.cpusMax, this.options.limits);
-    const earlier = this.#earlier.has(i);
+    const earlier = this.#earlierVersion.has(i);
     const Client = earlier ? EarlierStateClient : StateClient;
     const clock = new ProcessClock(this.clock, 1 + 0.001 * (this.draw() - 0.5), 200 * (this.draw() - 0.5));
     const access = this.cloud.accessFor(name);
@@ -383,69 +388,71 @@
       ),
       policy: createPolicy(
         settings,
-        (this.options.sharing ?? SHARES_ALWAYS) ? 'shared_reports_from = 1.0' : '',
+        (this.options.sharing ?? ALWAYS_SHARES) ? 'shared_reports_from = 1.0' : '',
       ),
       incarnation: `life-${this.#incarnations++}`,
     });
-    this.#lives.set(name, { sent: new Map(), earlier, node, clock });
-    node.tellPeers = () => this.#tell(name, false);
+    this.#controllers.set(name, { sent: new Map(), earlier, node, clock });
+    node.tellPeers = () => this.#sendStatus(name, false);
     node.sendIntake = (to, message) => this.#sendIntake(name, to, message);
     node.start();
   }
 
   crash(i: number, downMs: number): void {
-    const life = this.#lives.get(NODES[i] ?? '');
-    if (life?.clock.alive !== true) return;
-    life.clock.alive = false;
+    const controller = this.#controllers.get(NODES[i] ?? '');
+    if (controller?.clock.alive !== true) return;
+    controller.clock.alive = false;
     // Its links break at once, and are refused from then on.
-    for (const [name, other] of this.#lives)
+    for (const [name, other] of this.#controllers)
       for (const link of ['lost', 'refused'] as const)
-        if (other !== life && other.clock.alive && !this.network.isCut(name, NODES[i] ?? ''))
+        if (other !== controller && other.clock.alive && !this.network.isPartitioned(name, NODES[i] ?? ''))
           this.#link(other, NODES[i] ?? '', link);
     this.clock.in(downMs, () => this.start(i));
   }
 
-  /** A controller stands still while its clocks run on: what it waits for comes all at once, later. */
-  freeze(i: number, ms: number): void {
-    const life = this.#lives.get(NODES[i] ?? '');
-    if (life?.clock.alive === true) life.clock.stillUntil = this.clock.now + ms;
+  /** Pauses a controller while its clocks run on; its timers and messages then arrive all at once. */
+  pause(i: number, ms: number): void {
+    const controller = this.#controllers.get(NODES[i] ?? '');
+    if (controller?.clock.alive === true) controller.clock.pausedUntil = this.clock.now + ms;
   }
 
   /** Ends a controller; it comes back as the version with pipelines. */
   upgrade(i: number, downMs: number): void {
-    this.#earlier.delete(i);
-    const life = this.#lives.get(NODES[i] ?? '');
-    if (life?.clock.alive === true) this.crash(i, downMs);
+    this.#earlierVersion.delete(i);
+    const controller = this.#controllers.get(NODES[i] ?? '');
+    if (controller?.clock.alive === true) this.crash(i, downMs);
   }
 
-  /** From now on the state service has the limits that the settings announce. */
-  shrink(): void {
+  /** From now on the store enforces the limits that the settings announce. */
+  reduceLimits(): void {
     const { state } = testSettings(0, 0, this.options.limits).cluster;
     this.state.limits = { ...lastingLimits(testSettings(0, 0, this.options.limits)), rps: state.rps };
   }
 
   #write(node: string, line: string): void {
     if (process.env['TEST_LOG'] !== undefined) process.stdout.write(`${this.clock.now} ${node} ${line}`);
-    if (this.options.keepLog !== true && this.#awaited.size === 0 && this.#kept.length === 0) return;
+    if (this.options.keepLog !== true && this.#logListeners.size === 0 && this.#duplicates.length === 0)
+      return;
     const entry = JSON.parse(line) as { msg: string };
     if (this.options.keepLog === true) this.logged.push({ at: this.clock.now, node, ...entry });
-    if (entry.msg === 'leading') this.#deliverKept(node);
-    const calls = this.#awaited.get(entry.msg) ?? [];
-    this.#awaited.delete(entry.msg);
+    if (entry.msg === 'leading') this.#deliverDuplicates(node);
+    const calls = this.#logListeners.get(entry.msg) ?? [];
+    this.#logListeners.delete(entry.msg);
     for (const call of calls) call();
   }
 
-  /** A controller computes so much slower that each of its timers fires so much later. */
-  slow(i: number, lateMs: number): void {
-    const life = this.#lives.get(NODES[i] ?? '');
-    if (life !== undefined) life.clock.lateMs = lateMs;
+  /** Slows a controller down: each of its timers fires `lateMs` later. */
+  slowDown(i: number, lateMs: number): void {
+    const controller = this.#controllers.get(NODES[i] ?? '');
+    if (controller !== undefined) controller.clock.lateMs = lateMs;
   }
 
   /** Connections between controllers are refused. */
   refusePeers(ms: number): void {
     this.#refusedUntil = this.clock.now + ms;
-    for (const [name, life] of this.#lives)
-      for (const other of NODES) if (other !== name && life.clock.alive) this.#link(life, other, 'lost');
+    for (const [name, controller] of this.#controllers)
+      for (const other of NODES)
+        if (other !== name && controller.clock.alive) this.#link(controller, other, 'lost');
   }
 
   isRefused(): boolean {
@@ -453,33 +460,34 @@
   }
 
   /** Versions before suspicion look at no links; the benchmark plays them too. */
-  #link({ node }: Life, to: string, link: Link): void {
+  #link({ node }: ControllerProcess, to: string, link: Link): void {
     if ('onLink' in node) node.onLink(to, link);
   }
 
-  #gossip(): void {
+  #exchangeStatus(): void {
     this.clock.in(500, () => {
-      for (const from of this.#lives.keys()) this.#tell(from, true);
-      this.checker.look(this.clock.now, (name) => this.cloud.workers.get(name)?.hangs === true);
-      this.#gossip();
+      for (const from of this.#controllers.keys()) this.#sendStatus(from, true);
+      this.checker.checkCancelled(this.clock.now, (name) => this.cloud.workers.get(name)?.isPaused === true);
+      this.#exchangeStatus();
     });
   }
 
   /** What a node says to the others and, when it dials them, what its links to them show. */
-  #tell(from: string, dials: boolean): void {
-    const life = this.#lives.get(from);
-    if (life === undefined || !life.clock.alive || life.clock.stillUntil > this.clock.now) return;
+  #sendStatus(from: string, dials: boolean): void {
+    const controller = this.#controllers.get(from);
+    if (controller === undefined || !controller.clock.alive || controller.clock.pausedUntil > this.clock.now)
+      return;
     // An earlier version says nothing of formats and pipelines.
-    const own = life.node.status();
-    const status = life.earlier ? { ...own, format: 0, settledAt: 0, ...UNSEEN } : own;
-    this.network.tap?.(from, 'peers', `status ${Buffer.from(encodeStatus(status)).toString('hex')}`);
-    for (const [to, other] of this.#lives) {
-      if (to === from || this.network.isCut(from, to)) continue;
+    const own = controller.node.status();
+    const status = controller.earlier ? { ...own, format: 0, settledAt: 0, ...NO_OBSERVATIONS } : own;
+    this.network.onMessage?.(from, 'peers', `status ${Buffer.from(encodeStatus(status)).toString('hex')}`);
+    for (const [to, other] of this.#controllers) {
+      if (to === from || this.network.isPartitioned(from, to)) continue;
       if (!other.clock.alive || this.isRefused()) {
-        if (dials) this.#link(life, to, 'refused');
+        if (dials) this.#link(controller, to, 'refused');
         continue;
       }
-      if (dials) this.#link(life, to, 'up');
+      if (dials) this.#link(controller, to, 'up');
       this.network.send(from, to, () => {
         if (!this.isRefused()) other.clock.awake(() => other.node.onPeer(status));
       });
@@ -488,18 +496,18 @@
 
   /** Messages about shared reports, over a connection that keeps their order; false: there is none. */
   #sendIntake(from: string, to: string, message: IntakeMessage): boolean {
-    const own = this.#lives.get(from);
-    const other = this.#lives.get(to);
+    const own = this.#controllers.get(from);
+    const other = this.#controllers.get(to);
     if (own === undefined || other === undefined || !own.clock.alive || !other.clock.alive) return false;
     if (this.isRefused() || own.earlier || other.earlier) return false;
     this.intakeMessages += 1;
     // What is lost leaves a gap in the numbers; all else arrives in order, the later with the earlier.
-    if (this.losesIntake || this.network.isDeaf(to)) return true;
+    if (this.dropsIntake || this.network.isInboundBlocked(to)) return true;
     const queue = own.sent.get(other) ?? [];
     own.sent.set(other, queue);
     // Values cross the wire: nobody may share an object with another process.
     const frame = encodeIntake(message);
-    this.network.tap?.(from, to, `intake ${Buffer.from(frame).toString('hex')}`);
+    this.network.onMessage?.(from, to, `intake ${Buffer.from(frame).toString('hex')}`);
     queue.push(frame);
     this.network.send(from, to, () => {
       const due = queue.splice(0, queue.indexOf(frame) + 1);
@@ -511,8 +519,8 @@
   }
 
   /** A node that takes users' connections now, or null. */
-  #reachable(): Life | null {
-    const alive = [...this.#lives.values()].filter(({ clock }) => clock.alive);
+  #reachable(): ControllerProcess | null {
+    const alive = [...this.#controllers.values()].filter(({ clock }) => clock.alive);
     return alive[Math.floor(this.draw() * alive.length)] ?? null;
   }
 
@@ -523,27 +531,27 @@
     body: object,
     at?: string,
   ): Promise<string | null> {
-    const life = at === undefined ? this.#reachable() : (this.#lives.get(at) ?? null);
-    if (life === null || !life.clock.alive) return null;
-    const { users } = life.node;
+    const controller = at === undefined ? this.#reachable() : (this.#controllers.get(at) ?? null);
+    if (controller === null || !controller.clock.alive) return null;
+    const { users } = controller.node;
     const askedAt = this.clock.now;
-    this.checker.asked(id, askedAt);
-    const node = NODES[[...this.#lives.values()].indexOf(life)] ?? '';
-    const { tap } = this.network;
-    tap?.('user', node, `${kind} ${id} ${JSON.stringify(body)}`);
+    this.checker.requested(id, askedAt);
+    const node = NODES[[...this.#controllers.values()].indexOf(controller)] ?? '';
+    const { onMessage } = this.network;
+    onMessage?.('user', node, `${kind} ${id} ${JSON.stringify(body)}`);
     const call =
       kind === 'submit' ? users.submit(body) : kind === 'show' ? users.show(id) : users.withdraw(id);
     const answer = await Promise.race([call, this.clock.sleep(5000).then(() => null)]);
-    if (answer === null || !life.clock.alive) return null;
+    if (answer === null || !controller.clock.alive) return null;
     const told = JSON.parse(JSON.stringify(answer.body)) as { stage?: string };
-    tap?.(node, 'user', `${kind} ${id} ${answer.status} ${JSON.stringify(answer.body)}`);
+    onMessage?.(node, 'user', `${kind} ${id} ${answer.status} ${JSON.stringify(answer.body)}`);
     this.checker.answered(id, answer.status, told, this.clock.now, kind, askedAt);
     if (answer.status >= 300) return null;
     const { stage = null } = told;
-    const before = this.#told.get(id);
+    const before = this.#lastStage.get(id);
     if (stage !== null && (before === undefined || this.#isFinal(stage)) && before !== stage) {
-      this.#told.set(id, stage);
-      this.#lookClosely(id, stage);
+      this.#lastStage.set(id, stage);
+      this.#readAfterWrite(id, stage);
     }
     return stage;
   }
@@ -567,7 +575,7 @@
 
   /** One request to cancel a job, at one controller; whether it was confirmed. */
   async withdraw(id: string, at: string): Promise<boolean> {
-    this.checker.cancelAsked(id);
+    this.checker.cancelRequested(id);
     return (await this.#request('withdraw', id, {}, at)) === 'withdrawn';
   }
 
@@ -592,7 +600,7 @@
       together: job.oneZone,
       apart: job.spread,
       borrowed: job.spot,
-      expectedS: (this.runs.get(job.id) ?? [5000, 0])[0] / 1000,
+      expectedS: (this.runtimes.get(job.id) ?? [5000, 0])[0] / 1000,
       bookmarkS: job.bookmarkS ?? 0,
       bookmarkWriteS: job.bookmarkS === undefined ? 0 : 0.5,
       curtainS: job.bookmarkS === undefined ? 60 : null,
@@ -606,7 +614,7 @@
       await this.clock.sleep(1000 + 2000 * this.draw());
       if (this.draw() < 0.1) await this.#request('submit', job.id, body);
       if (this.clock.now >= cancelAt) {
-        this.checker.cancelAsked(job.id);
+        this.checker.cancelRequested(job.id);
         if ((await this.#request('withdraw', job.id, {})) !== null) cancelAt = Infinity;
       }
       if (this.draw() < 0.05) await this.#request('show', `req-9${job.id.slice(4)}`, {});
@@ -618,24 +626,24 @@
   }
 }
 
-/** How much comes on a day. */
-export interface DaySize {
+/** The load of a simulated run. */
+export interface RunSize {
   readonly jobs: number;
-  readonly mostTasks: number;
+  readonly maxTasks: number;
   readonly machines: number;
   readonly pipelines?: number;
   readonly pipelinesFromMs?: number;
-  /** What the on-call people met: deaf machines, lives that are back at once, lone leaders, mistaken jobs. */
+  /** Faults seen in production: one-way partitions, instant restarts, isolated leaders, faulty jobs. */
   readonly onCall?: boolean;
 }
 
-const SMALL_DAY: DaySize = { jobs: 14, mostTasks: 6, machines: 6 };
+const SMALL_RUN: RunSize = { jobs: 14, maxTasks: 6, machines: 6 };
 
 /**
  * The jobs of one pipeline, each submitted as soon as those that it needs are accepted: a
  * chain with branches, some of its jobs cancelled, and at times one job more that comes late.
  */
-export async function playPipeline(world: Simulation, index: number, mostTasks: number): Promise<void> {
+export async function playDag(world: Simulation, index: number, mostTasks: number): Promise<void> {
   const { draw, clock } = world;
   const ids: string[] = [];
   const length = 2 + Math.floor(draw() * 5);
@@ -654,8 +662,8 @@
   }
 }
 
-/** Draws a day: jobs arriving, and troubles of every kind the protocol tells of. */
-export function drawDay(world: Simulation, lengthMs: number, faults: number, size = SMALL_DAY): void {
+/** Draws a run: job arrivals, and faults of every kind that the protocol names. */
+export function drawRun(world: Simulation, lengthMs: number, faults: number, size = SMALL_RUN): void {
   const { draw, clock, network, state, cloud } = world;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
   cloud.capacity = size.machines;
@@ -664,7 +672,7 @@
     const job: SubmittedJob = {
       id,
       team: 'crew',
-      tasks: 1 + Math.floor(draw() * size.mostTasks),
+      tasks: 1 + Math.floor(draw() * size.maxTasks),
       cpus: pick([1, 2, 4]),
       memoryGb: 2,
       spot: draw() < 0.7,
@@ -675,58 +683,59 @@
     const cancelAfter = draw() < 0.3 ? 20_000 * draw() : null;
     clock.in(lengthMs * 0.7 * draw(), () => {
       // Whoever submitted it with a mistake finds out in the end.
-      void world.user(job, world.broken.has(id) ? 90_000 : cancelAfter);
+      void world.user(job, world.faultyJobs.has(id) ? 90_000 : cancelAfter);
     });
   }
   for (let i = 0; i < (size.pipelines ?? 0); i += 1)
     clock.in(
       (size.pipelinesFromMs ?? 0) + lengthMs * 0.6 * draw(),
-      () => void playPipeline(world, i, size.mostTasks),
+      () => void playDag(world, i, size.maxTasks),
     );
   const hosts = (): string[] => [...NODES, 'state', 'cloud', ...cloud.workers.keys()];
   const troubles: (() => void)[] = [
     () => world.crash(Math.floor(draw() * 3), 1000 + 5000 * draw()),
     () => NODES.forEach((_, i) => world.crash(i, 4000)),
-    () => network.cut(pick(NODES), 'state', 20_000 * draw()),
-    () => network.cut(pick(NODES), 'cloud', 20_000 * draw()),
+    () => network.partition(pick(NODES), 'state', 20_000 * draw()),
+    () => network.partition(pick(NODES), 'cloud', 20_000 * draw()),
     () => state.outage(15_000 * draw()),
     () => state.refuse(pick(NODES), 20_000 * draw()),
     () => {
       const worker = pick([...cloud.workers.keys()]);
-      for (const node of NODES) network.cut(worker, node, 25_000 * draw());
+      for (const node of NODES) network.partition(worker, node, 25_000 * draw());
     },
     () => {
       const worker = cloud.workers.get(pick([...cloud.workers.keys()]));
-      worker?.hang(25_000 * draw());
+      worker?.pause(25_000 * draw());
     },
     () => {
       const worker = pick([...cloud.workers.keys()]);
-      if (worker !== undefined) cloud.remove(worker);
+      if (worker !== undefined) cloud.terminate(worker);
     },
     () => {
       const worker = cloud.workers.get(pick([...cloud.workers.keys()]));
-      if (worker !== undefined) worker.faulty = true;
+      if (worker !== undefined) worker.isFaulty = true;
     },
-    () => network.cut(pick(hosts()), pick(hosts()), 30_000 * draw()),
+    () => network.partition(pick(hosts()), pick(hosts()), 30_000 * draw()),
     () => {
       const apart = pick(NODES);
       for (const host of hosts())
-        if (host !== apart && draw() < 0.6) network.cut(apart, host, 25_000 * draw());
+        if (host !== apart && draw() < 0.6) network.partition(apart, host, 25_000 * draw());
     },
     () => {
       // A leader that workers still reach, but not the state service nor its peers.
       const apart = pick(NODES);
       const until = 80_000 * draw();
-      for (const host of [...NODES, 'state', 'cloud']) if (host !== apart) network.cut(apart, host, until);
+      for (const host of [...NODES, 'state', 'cloud'])
+        if (host !== apart) network.partition(apart, host, until);
     },
-    () => (cloud.troubleUntil = clock.now + 15_000 * draw()),
+    () => (cloud.unavailableUntil = clock.now + 15_000 * draw()),
     () => world.refusePeers(40_000 * draw()),
-    () => world.freeze(Math.floor(draw() * 3), 10_000 * draw()),
+    () => world.pause(Math.floor(draw() * 3), 10_000 * draw()),
   ];
   const onCall: (() => void)[] = [
-    () => network.deafen(pick([...cloud.workers.keys()]) ?? '', 40_000 * draw()),
+    () => network.blockInbound(pick([...cloud.workers.keys()]) ?? '', 40_000 * draw()),
     () => {
-      for (const name of cloud.workers.keys()) if (draw() < 0.4) network.deafen(name, 20_000 * draw());
+      for (const name of cloud.workers.keys()) if (draw() < 0.4) network.blockInbound(name, 20_000 * draw());
     },
     () => world.crash(Math.floor(draw() * 3), 20 + 80 * draw()),
     () => {
@@ -740,10 +749,10 @@
       const alone = pick(world.leaders()) ?? pick(NODES);
       const forMs = 40_000 * draw();
       state.refuse(alone, forMs);
-      for (const other of NODES) if (other !== alone) network.cut(alone, other, forMs);
-      network.cut(alone, 'cloud', forMs);
+      for (const other of NODES) if (other !== alone) network.partition(alone, other, forMs);
+      network.partition(alone, 'cloud', forMs);
     },
-    () => network.deafen(pick(NODES), 8000 * draw()),
+    () => network.blockInbound(pick(NODES), 8000 * draw()),
   ];
   if (size.onCall === true) {
     // A guest's arrays, as many tasks as all other jobs together, that give way to what would be late.
@@ -761,7 +770,7 @@
     clock.in(lengthMs * 0.6 * draw(), () => storm(clock.now + 15_000));
     troubles.push(...onCall, ...onCall);
     for (let i = 0; i < size.jobs; i += 1)
-      if (draw() < 0.12) world.broken.add(`req-${String(i).padStart(6, '0')}`);
+      if (draw() < 0.12) world.faultyJobs.add(`req-${String(i).padStart(6, '0')}`);
   }
   for (let i = 0; i < faults; i += 1) clock.in(5000 + lengthMs * 0.8 * draw(), () => pick(troubles)());
 }
--- a/test/emulators/state.ts
+++ b/test/emulators/state.ts
@@ -1,4 +1,4 @@
-/** The state service, as PROTOCOL tells of it. */
+/** Emulator of the key-value store on the virtual clock, with fault injection. Durations are in milliseconds. */
 import type { Commit, Read, StateService, Watch } from '../../src/adapters/state.js';
 import type { StateLimits } from '../../src/settings.js';
 import { asObject } from '../../src/core/values.js';
@@ -6,22 +6,23 @@
 import { encodeTransaction, type Change, type Entry } from '../../src/wire/state.js';
 import type { Network } from './network.js';
 
-interface Kept {
+interface StoredValue {
   readonly value: unknown;
   readonly modRevision: number;
   readonly lease: number | null;
 }
 
-const KEPT_CHANGES = 200;
+const MAX_RETAINED_CHANGES = 200;
 
+/** The store, shared by all nodes. */
 export class StateEmulator {
   revision = 1;
-  readonly keys = new Map<string, Kept>();
+  readonly keys = new Map<string, StoredValue>();
   readonly #leases = new Map<number, { life: number; endsAt: number }>();
   #nextLease = 1;
   readonly #changes: Change[] = [];
   #waiting: (() => void)[] = [];
-  /** Transactions refused for their size. */
+  /** Transactions rejected for their size. */
   rejected = 0;
   #outageUntil = 0;
   limits: StateLimits = { rps: Infinity, write_rps: Infinity, value_kb: 32, txn_ops: 32 };
@@ -30,15 +31,15 @@
   readonly #refused = new Map<string, number>();
   #slowMs = 0;
   #slowUntil = 0;
-  #lateShare = 0;
-  #lateUntil = 0;
-  readonly #lateOnce: { readonly isOne: (txn: Transaction) => boolean; readonly afterMs: number }[] = [];
-  #onceLate: (() => void)[] = [];
+  #delayedShare = 0;
+  #delayedUntil = 0;
+  readonly #delayNext: { readonly isOne: (txn: Transaction) => boolean; readonly afterMs: number }[] = [];
+  #onDelayedCommit: (() => void)[] = [];
   #lostShare = 0;
   #lostUntil = 0;
-  readonly #lostOnce: ((txn: Transaction) => boolean)[] = [];
-  #onceLost: (() => void)[] = [];
-  #onceWritten: { readonly prefix: string; readonly call: () => void }[] = [];
+  readonly #loseNext: ((txn: Transaction) => boolean)[] = [];
+  #onLostResponse: (() => void)[] = [];
+  #onWrite: { readonly prefix: string; readonly call: () => void }[] = [];
 
   constructor(readonly network: Network) {}
 
@@ -52,80 +53,80 @@
     this.#refused.set(node, this.network.clock.now + ms);
   }
 
-  /** Each answer takes up to so much longer. */
+  /** Delays each request and response by up to `ms`. */
   slow(ms: number, forMs: number): void {
     this.#slowMs = ms;
     this.#slowUntil = this.network.clock.now + forMs;
   }
 
-  /** That share of transactions gets no answer and is carried out seconds later, after newer ones. */
-  late(share: number, forMs: number): void {
-    this.#lateShare = share;
-    this.#lateUntil = this.network.clock.now + forMs;
+  /** A share of transactions gets no response and is applied seconds later, after newer ones. */
+  delayTransactions(share: number, forMs: number): void {
+    this.#delayedShare = share;
+    this.#delayedUntil = this.network.clock.now + forMs;
   }
 
-  /** The next transaction that this holds for gets no answer and is carried out so much later. */
-  lateOnce(isOne: (txn: Transaction) => boolean, afterMs: number): void {
-    this.#lateOnce.push({ isOne, afterMs });
+  /** The next matching transaction gets no response and is applied `afterMs` later. */
+  delayNextTransaction(isOne: (txn: Transaction) => boolean, afterMs: number): void {
+    this.#delayNext.push({ isOne, afterMs });
   }
 
-  /** How much later a transaction is carried out, without an answer; null: it is served at once. */
-  lateBy(txn: Transaction): number | null {
-    const at = this.#lateOnce.findIndex(({ isOne }) => isOne(txn));
-    const [once] = at < 0 ? [] : this.#lateOnce.splice(at, 1);
+  /** Delay of a transaction without response; null: it is served at once. */
+  transactionDelayMs(txn: Transaction): number | null {
+    const at = this.#delayNext.findIndex(({ isOne }) => isOne(txn));
+    const [once] = at < 0 ? [] : this.#delayNext.splice(at, 1);
     if (once !== undefined) return once.afterMs;
     const { clock, draw } = this.network;
-    return this.#lateUntil > clock.now && draw() < this.#lateShare ? 2000 + 10_000 * draw() : null;
+    return this.#delayedUntil > clock.now && draw() < this.#delayedShare ? 2000 + 10_000 * draw() : null;
   }
 
-  /** That share of transactions, and of what concerns leases, is carried out at once; only the answer is lost. */
-  loseAnswers(share: number, forMs: number): void {
+  /** A share of transactions and lease requests is applied at once and only the response is lost. */
+  loseResponses(share: number, forMs: number): void {
     this.#lostShare = share;
     this.#lostUntil = this.network.clock.now + forMs;
   }
 
-  /** Of the next transaction that this holds for only the answer is lost. */
-  loseOnce(isOne: (txn: Transaction) => boolean): void {
-    this.#lostOnce.push(isOne);
+  /** The next matching transaction is applied, and its response lost. */
+  loseNextResponse(isOne: (txn: Transaction) => boolean): void {
+    this.#loseNext.push(isOne);
   }
 
-  /** Whether the answer to this is lost; without a transaction, to a request about a lease. */
-  losesAnswer(txn?: Transaction): boolean {
-    const at = txn === undefined ? -1 : this.#lostOnce.findIndex((isOne) => isOne(txn));
-    if (at >= 0) this.#lostOnce.splice(at, 1);
+  /** Whether the response is lost, of a transaction or (without one) of a lease request. */
+  losesResponse(txn?: Transaction): boolean {
+    const at = txn === undefined ? -1 : this.#loseNext.findIndex((isOne) => isOne(txn));
+    if (at >= 0) this.#loseNext.splice(at, 1);
     const { clock, draw } = this.network;
     return at >= 0 || (this.#lostUntil > clock.now && draw() < this.#lostShare);
   }
 
-  /** Calls back when the next transaction has been carried out whose writer does not learn of it. */
-  onceLost(call: () => void): void {
-    this.#onceLost.push(call);
+  /** Calls back once the next transaction with a lost response is applied. */
+  onNextLostResponse(call: () => void): void {
+    this.#onLostResponse.push(call);
   }
 
-  carryOutUnseen(txn: Transaction): Commit {
+  commitWithoutResponse(txn: Transaction): Commit {
     const outcome = this.commit(txn);
-    if (outcome.kind === 'applied') for (const call of this.#onceLost.splice(0)) call();
+    if (outcome.kind === 'applied') for (const call of this.#onLostResponse.splice(0)) call();
     return outcome;
   }
 
-  /** Calls back when the next of them has been carried out, if it still could be. */
-  onceLate(call: () => void): void {
-    this.#onceLate.push(call);
+  /** Calls back once the next delayed transaction is applied. */
+  onNextDelayedCommit(call: () => void): void {
+    this.#onDelayedCommit.push(call);
   }
 
-  carryOutLate(txn: Transaction): void {
+  commitDelayed(txn: Transaction): void {
     if (this.commit(txn).kind !== 'applied') return;
-    for (const call of this.#onceLate.splice(0)) call();
+    for (const call of this.#onDelayedCommit.splice(0)) call();
   }
 
-  /** How long the service waits before it serves a request, and before it answers. */
-  lagMs(): number {
+  /** Delay before a request is served, and again before the response. */
+  responseDelayMs(): number {
     return this.#slowUntil > this.network.clock.now ? this.#slowMs * this.network.draw() : 0;
   }
 
   /** Calls back when a key with this prefix is next written. */
-  onceWritten(prefix: string, call: () => void): void {
-    this.#onceWritten.push({ prefix, call });
+  onNextWrite(prefix: string, call: () => void): void {
+    this.#onWrite.push({ prefix, call });
   }
 
   isDown(node: string): boolean {
@@ -149,21 +150,26 @@
         const value = JSON.parse(JSON.stringify(write.value)) as unknown;
         this.keys.set(write.put, { value, modRevision: this.revision, lease: write.lease ?? null });
         this.#changes.push({ key: write.put, value, modRevision: this.revision });
-        this.network.tap?.('state', 'kept', `${this.revision} put ${write.put} ${JSON.stringify(value)}`);
+        this.network.onMessage?.(
+          'state',
+          'kept',
+          `${this.revision} put ${write.put} ${JSON.stringify(value)}`,
+        );
       } else if (this.keys.delete(write.remove)) {
         this.#changes.push({ key: write.remove, value: undefined, modRevision: this.revision });
-        this.network.tap?.('state', 'kept', `${this.revision} remove ${write.remove}`);
+        this.network.onMessage?.('state', 'kept', `${this.revision} remove ${write.remove}`);
       }
     }
-    if (this.#changes.length > KEPT_CHANGES) this.#changes.splice(0, this.#changes.length - KEPT_CHANGES);
+    if (this.#changes.length > MAX_RETAINED_CHANGES)
+      this.#changes.splice(0, this.#changes.length - MAX_RETAINED_CHANGES);
     const waiting = this.#waiting;
     this.#waiting = [];
     for (const wake of waiting) wake();
-    if (this.#onceWritten.length === 0) return;
+    if (this.#onWrite.length === 0) return;
     const isOf = (prefix: string): boolean =>
       writes.some((one) => 'put' in one && one.put.startsWith(prefix));
-    const due = this.#onceWritten.filter(({ prefix }) => isOf(prefix));
-    this.#onceWritten = this.#onceWritten.filter(({ prefix }) => !isOf(prefix));
+    const due = this.#onWrite.filter(({ prefix }) => isOf(prefix));
+    this.#onWrite = this.#onWrite.filter(({ prefix }) => !isOf(prefix));
     for (const { call } of due) call();
   }
 
@@ -227,7 +233,7 @@
   since(prefix: string, after: number): Exclude<Watch, { readonly kind: 'unknown' }> {
     this.expire();
     const oldest = this.#changes[0]?.modRevision ?? 0;
-    if (this.#changes.length >= KEPT_CHANGES && after < oldest) return { kind: 'tooOld' };
+    if (this.#changes.length >= MAX_RETAINED_CHANGES && after < oldest) return { kind: 'tooOld' };
     const changes = this.#changes.filter(
       ({ key, modRevision }) => modRevision > after && key.startsWith(prefix),
     );
@@ -282,7 +288,7 @@
   }
 }
 
-/** One node's connection to the state service. */
+/** The connection of one node to the store. */
 export class StateClient implements StateService {
   #contactAt: number | null = null;
 
@@ -293,29 +299,29 @@
     private readonly clock: { monotonicMs(): number; awake(call: () => void): void },
   ) {}
 
-  /** An answer that reaches a process that is no more wakes nobody; one that stands still takes it later. */
-  #alive<T>(answer: T): Promise<T> {
+  /** Resolves while the process runs: later if it is paused, never if it has ended. */
+  #whenAwake<T>(answer: T): Promise<T> {
     return new Promise((resolve) => this.clock.awake(() => resolve(answer)));
   }
 
   async #ask<T>(request: string, serve: () => T, lost = false): Promise<T | 'down' | null> {
-    this.service.network.tap?.(this.node, 'state', request);
+    this.service.network.onMessage?.(this.node, 'state', request);
     const sentAt = this.clock.monotonicMs();
     const answer = await this.service.network.ask<T | 'down'>(this.node, 'state', this.timeoutMs, (reply) => {
       const { clock } = this.service.network;
       const answer = (): void => {
         const served = this.service.isDown(this.node) ? 'down' : serve();
         if (lost) return;
-        const lag = this.service.lagMs();
+        const lag = this.service.responseDelayMs();
         if (lag > 0) clock.in(lag, () => reply(served));
         else reply(served);
       };
-      const lag = this.service.lagMs();
+      const lag = this.service.responseDelayMs();
       if (lag > 0) clock.in(lag, answer);
       else answer();
     });
     if (answer !== null && answer !== 'down') this.#contactAt = Math.max(this.#contactAt ?? sentAt, sentAt);
-    return this.#alive(answer);
+    return this.#whenAwake(answer);
   }
 
   contactAt(): number | null {
@@ -340,35 +346,35 @@
   }
 
   async commit(txn: Transaction): Promise<Commit> {
-    const lateBy = this.service.lateBy(txn);
-    if (lateBy !== null) return this.#commitLate(txn, lateBy);
-    const lost = this.service.losesAnswer(txn);
+    const lateBy = this.service.transactionDelayMs(txn);
+    if (lateBy !== null) return this.#commitDelayed(txn, lateBy);
+    const lost = this.service.losesResponse(txn);
     const answer = await this.#ask(
       `transaction ${encodeTransaction(txn)}`,
-      () => (lost ? this.service.carryOutUnseen(txn) : this.service.commit(txn)),
+      () => (lost ? this.service.commitWithoutResponse(txn) : this.service.commit(txn)),
       lost,
     );
     if (answer === null) return { kind: 'unknown' };
     return answer === 'down' ? { kind: 'refused' } : answer;
   }
 
-  async #commitLate(txn: Transaction, afterMs: number): Promise<Commit> {
-    const { clock, tap } = this.service.network;
-    tap?.(this.node, 'state', `transaction ${encodeTransaction(txn)}`);
+  async #commitDelayed(txn: Transaction, afterMs: number): Promise<Commit> {
+    const { clock, onMessage } = this.service.network;
+    onMessage?.(this.node, 'state', `transaction ${encodeTransaction(txn)}`);
     // Values cross the wire: what the caller makes of its own later changes nothing.
     const sent = JSON.parse(JSON.stringify(txn)) as Transaction;
     const carryOut = (): void => {
       if (this.service.isDown(this.node)) clock.in(500, carryOut);
-      else this.service.carryOutLate(sent);
+      else this.service.commitDelayed(sent);
     };
     clock.in(afterMs, carryOut);
     await clock.sleep(this.timeoutMs);
-    return this.#alive({ kind: 'unknown' });
+    return this.#whenAwake({ kind: 'unknown' });
   }
 
   async watch(prefix: string, after: number, waitMs: number): Promise<Watch> {
     const sentAt = this.clock.monotonicMs();
-    this.service.network.tap?.(this.node, 'state', `watch ${prefix} ${after} ${waitMs}`);
+    this.service.network.onMessage?.(this.node, 'state', `watch ${prefix} ${after} ${waitMs}`);
     const found = await this.service.network.ask<Watch>(
       this.node,
       'state',
@@ -378,7 +384,7 @@
       },
     );
     if (found !== null) this.#contactAt = Math.max(this.#contactAt ?? sentAt, sentAt);
-    return this.#alive(found ?? { kind: 'unknown' });
+    return this.#whenAwake(found ?? { kind: 'unknown' });
   }
 
   async changes(prefix: string, after: number): Promise<Watch> {
@@ -390,27 +396,27 @@
     const answer = await this.#ask(
       `grant ${lifeMs}`,
       () => this.service.grant(lifeMs),
-      this.service.losesAnswer(),
+      this.service.losesResponse(),
     );
     return answer === 'down' ? null : answer;
   }
 
   async revoke(lease: number): Promise<void> {
-    await this.#ask(`revoke ${lease}`, () => this.service.revoke(lease), this.service.losesAnswer());
+    await this.#ask(`revoke ${lease}`, () => this.service.revoke(lease), this.service.losesResponse());
   }
 
   async renew(lease: number): Promise<boolean | null> {
     const answer = await this.#ask(
       `renew ${lease}`,
       () => this.service.renew(lease),
-      this.service.losesAnswer(),
+      this.service.losesResponse(),
     );
     return answer === 'down' ? null : answer;
   }
 }
 
-/** Keys that versions before pipelines do not know. */
-const LATER = /^(version\/|format$|memory\/|run\/.+\/\d+\.\d+$)/;
+/** Keys unknown to versions without DAG dependencies. */
+const LATER_KEYS = /^(version\/|format$|memory\/|run\/.+\/\d+\.\d+$)/;
 
 function withoutLaterFields(entry: Entry): Entry {
   const raw = asObject(entry.value);
@@ -427,10 +433,10 @@
   };
 }
 
-/** What a controller of the version before pipelines sees, and writes, of the same data. */
+/** The view of a controller version without DAG dependencies on the same data. */
 export class EarlierStateClient extends StateClient {
   override async read(key: string): Promise<Read> {
-    if (LATER.test(key)) return { entry: null };
+    if (LATER_KEYS.test(key)) return { entry: null };
     const read = await super.read(key);
     return read === 'unknown' || read.entry === null ? read : { entry: withoutLaterFields(read.entry) };
   }
@@ -438,7 +444,7 @@
   override async list(prefix: string): Promise<{ entries: Entry[]; revision: number } | 'unknown'> {
     const found = await super.list(prefix);
     if (found === 'unknown') return found;
-    const entries = found.entries.filter(({ key }) => !LATER.test(key)).map(withoutLaterFields);
+    const entries = found.entries.filter(({ key }) => !LATER_KEYS.test(key)).map(withoutLaterFields);
     return { ...found, entries };
   }
 
@@ -453,7 +459,7 @@
   override async commit(txn: Transaction): Promise<Commit> {
     const key = txn.mutations
       .map((write) => ('put' in write ? write.put : write.remove))
-      .find((k) => LATER.test(k));
+      .find((k) => LATER_KEYS.test(k));
     return key === undefined ? super.commit(txn) : { kind: 'refused' };
   }
 }
--- a/test/failure-suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -1,6 +1,6 @@
 /** Faults between controllers: suspicion, failover, and when starts continue. Traces are in test/traces/. */
 import { expect, test } from 'vitest';
-import { seeded, testSettings, Simulation, type Logged } from './emulators/simulation.js';
+import { seeded, testSettings, Simulation, type LogLine } from './emulators/simulation.js';
 import { timing } from '../src/settings.js';
 
 const TIMES = timing(testSettings(0));
@@ -51,7 +51,7 @@
   'stepped down',
 ]);
 
-function told({ at, node, msg, ...more }: Logged): string {
+function told({ at, node, msg, ...more }: LogLine): string {
   const { peer, evidence, to, why, reason, term, leader, jobs } = more;
   const about = [
     peer,
@@ -74,16 +74,16 @@
     .join('\n')}\n`;
 
 async function endsWell(world: Simulation, name: string): Promise<void> {
-  await expect(trace(world)).toMatchFileSnapshot(`traces/between-${name}.txt`);
+  await expect(trace(world)).toMatchFileSnapshot(`traces/failover-${name}.txt`);
   await world.clock.runUntil(FROM + 160_000);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
   expect([...world.cloud.workers.values()].filter(({ session }) => session > 1)).toEqual([]);
 }
 
 const changes = (world: Simulation): number =>
   world.logged.filter(({ at, msg }) => at >= FROM && msg === 'elected').length;
-const givenBack = (world: Simulation): Logged[] =>
+const givenBack = (world: Simulation): LogLine[] =>
   world.logged.filter(({ at, msg, reason }) => at >= FROM && msg === 'give back' && reason !== 'idle');
 
 // A crash cost the lease and a report's hearing, whatever all others knew at once.
@@ -103,7 +103,7 @@
 // It kept its lease for 45 s, and nothing was started while two healthy controllers stood by.
 test('a leader without heartbeats transfers leadership to a node that reaches the workers', async () => {
   const { world, leader } = await atWork();
-  for (const name of world.cloud.workers.keys()) world.network.cut(`n-${leader}`, name, 40_000);
+  for (const name of world.cloud.workers.keys()) world.network.partition(`n-${leader}`, name, 40_000);
   expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(
     4000 + 1000 + 2 * TIMES.maxHeartbeatIntervalMs,
   );
@@ -118,11 +118,11 @@
   // No new machine, which could reach it.
   world.cloud.capacity = 0;
   await world.clock.runUntil(FROM + 8000);
-  for (const name of world.cloud.workers.keys()) world.network.cut(`n-${leader}`, name, 30_000);
+  for (const name of world.cloud.workers.keys()) world.network.partition(`n-${leader}`, name, 30_000);
   await world.clock.runUntil(FROM + 13_000);
   const [second] = world.leaders();
   expect(second).not.toBe(`n-${leader}`);
-  world.freeze(Number(second?.slice(2)), 3 * TIMES.leaderLeaseMs);
+  world.pause(Number(second?.slice(2)), 3 * TIMES.leaderLeaseMs);
   await pauseIn(world, world.clock.now, FROM + 25_000);
   const elected = world.logged
     .filter(({ at, msg }) => at > FROM && msg === 'elected')
@@ -155,7 +155,7 @@
 
 test('a pause of half a lease changes nothing; one of two leases changes the leader once', async () => {
   const short = await atWork();
-  short.world.freeze(short.leader, 0.5 * TIMES.leaderLeaseMs);
+  short.world.pause(short.leader, 0.5 * TIMES.leaderLeaseMs);
   await pauseIn(short.world, FROM, FROM + 10_000);
   expect([short.world.leaders(), changes(short.world), givenBack(short.world)]).toEqual([
     [`n-${short.leader}`],
@@ -163,7 +163,7 @@
     [],
   ]);
   const long = await atWork();
-  long.world.freeze(long.leader, 2 * TIMES.leaderLeaseMs);
+  long.world.pause(long.leader, 2 * TIMES.leaderLeaseMs);
   await pauseIn(long.world, FROM, FROM + 20_000);
   expect([changes(long.world), givenBack(long.world)]).toEqual([1, []]);
   await endsWell(long.world, 'stall');
@@ -172,10 +172,10 @@
 // A leader that computed four times slower kept the lead however far it was behind.
 test('an overloaded leader transfers leadership exactly once', async () => {
   const { world, leader } = await atWork();
-  world.slow(leader, 2 * TIMES.tickMs);
+  world.slowDown(leader, 2 * TIMES.tickMs);
   await pauseIn(world, FROM, FROM + 15_000);
   expect(world.leaders()).not.toEqual([`n-${leader}`]);
-  world.slow(leader, 0);
+  world.slowDown(leader, 0);
   await pauseIn(world, world.clock.now, FROM + 25_000);
   expect(changes(world)).toBe(1);
   await endsWell(world, 'slow');
@@ -185,7 +185,7 @@
 test('leadership is not transferred back at once to a flapping node', async () => {
   const { world, leader } = await atWork();
   for (const at of [0, 9000, 18_000])
-    world.clock.in(at, () => world.freeze(leader, 1.5 * TIMES.leaderLeaseMs));
+    world.clock.in(at, () => world.pause(leader, 1.5 * TIMES.leaderLeaseMs));
   await pauseIn(world, FROM, FROM + 30_000);
   expect(changes(world)).toBeLessThanOrEqual(2);
   await endsWell(world, 'flaps');
@@ -221,7 +221,7 @@
   const alone = `n-${leader}`;
   world.state.refuse(alone, 30_000);
   for (const host of ['cloud', ...others(leader).map((node) => `n-${node}`)])
-    world.network.cut(alone, host, 30_000);
+    world.network.partition(alone, host, 30_000);
   const pause = await pauseIn(world, FROM, FROM + 25_000);
   expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 1000 + 4 * TIMES.maxHeartbeatIntervalMs);
   expect([changes(world), givenBack(world)]).toEqual([1, []]);
--- a/test/fault-attribution.test.ts
+++ b/test/fault-attribution.test.ts
@@ -151,5 +151,5 @@
   floor.broken.clear();
   for (let i = 0; i < 40 && floor.bench.state.jobs.has('req-1'); i += 1) floor.round();
   expect(floor.bench.state.jobs.has('req-1')).toBe(false);
-  await floor.bench.keep('mended-job');
+  await floor.bench.expectTrace('recovered-job');
 });
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -155,7 +155,7 @@
   expect(isFree(bench)).toBe(false);
   bench.do({ kind: 'terminated', machines: ['m'], ok: true });
   expect(isFree(bench)).toBe(true);
-  await bench.keep('silent-machine');
+  await bench.expectTrace('silent-machine');
 });
 
 // Work on a machine taken without notice waited a whole lease before it ran elsewhere. But
@@ -262,7 +262,7 @@
 test('authority: after its window a leader answers 503 until a fresh read renews it', () => {
   const bench = runningOn();
   const { authorityWindowMs } = bench.state.config.timing;
-  bench.proven = false;
+  bench.isViewConfirmed = false;
   bench.now += authorityWindowMs + 1;
   expect(bench.hear(report('m', 4))).toContainEqual({ kind: 'reply', reply: 5, body: { kind: 'unable' } });
   bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
@@ -337,7 +337,7 @@
   bench.hear(report('m', 5, [task('req-1/0', 1, 'exited', 'stopped')]));
   bench.hear(report('m', 6));
   expect(bench.state.jobs.size).toBe(0);
-  await bench.keep('cancelled');
+  await bench.expectTrace('cancelled');
 });
 
 test('a new leader does not restart tasks that an earlier one may have started', () => {
--- a/test/lab.test.ts
+++ b/test/lab.test.ts
@@ -1,4 +1,4 @@
-/** Parts of the scale runs: each check detects a planted violation, bad scenarios are rejected, the store keeps its contract. */
+/** Parts of the scale runs: checks detect planted violations, bad scenarios are rejected, the store keeps its contract. */
 import { describe, expect, test } from 'vitest';
 import type { JobDescription, LabEvent } from '../lab/events.js';
 import { Store } from '../lab/emulator/store.js';
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -31,7 +31,7 @@
 import type { Heartbeat } from '../src/core/types.js';
 import { CoreHarness, EIGHT, job, report, task, TERM } from './emulators/core-harness.js';
 import { ProcessClock, VirtualClock } from './emulators/clock.js';
-import { testSettings, UNSEEN } from './emulators/simulation.js';
+import { testSettings, NO_OBSERVATIONS } from './emulators/simulation.js';
 
 const FLEET = 8000;
 const NAMES = Array.from({ length: FLEET }, (_, i) => `machine-zone-a-${i + 100_000}`);
@@ -52,7 +52,7 @@
   quiet: [],
   hears: [],
   provenAt: 0,
-  ...UNSEEN,
+  ...NO_OBSERVATIONS,
 };
 
 /** The parts of a version before portions that read lists; what it does not know it skips. */
@@ -254,7 +254,7 @@
       () => [],
       () => false,
       () => undefined,
-      () => UNSEEN,
+      () => NO_OBSERVATIONS,
     );
     const { counts, provenAt } = peering.status();
     expect(counts).toHaveLength(FLEET);
@@ -269,7 +269,7 @@
       () => NAMES,
       () => false,
       () => undefined,
-      () => UNSEEN,
+      () => NO_OBSERVATIONS,
     );
     expect(peering.status().hears).toEqual(NAMES);
   });
--- a/test/leader-role.test.ts
+++ b/test/leader-role.test.ts
@@ -41,7 +41,7 @@
   void world.user({ ...job, zone: null, oneZone: false, spread: false }, null);
   while (world.checker.started === 0) await world.clock.runUntil(world.clock.now + 100);
   const from = world.clock.now;
-  for (const worker of world.cloud.workers.values()) worker.hang(120_000);
+  for (const worker of world.cloud.workers.values()) worker.pause(120_000);
   world.crash(0, 5000);
   world.crash(1, 5000);
   await world.clock.runUntil(from + 13_000);
@@ -68,8 +68,8 @@
   expect(world.cloud.workers.size).toBeGreaterThan(0);
   expect([...world.cloud.workers.values()].every(({ session }) => session === 1)).toBe(true);
   await world.clock.runUntil(80_000);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
 });
 
 /** Workers of one zone, all at work for one job. */
@@ -86,8 +86,8 @@
 
 async function endsWell(world: Simulation): Promise<void> {
   await world.clock.runUntil(120_000);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
 }
 
 // The leader learned of what its deputies answered up to 17 s late, and gave back 61 machines
@@ -96,11 +96,11 @@
 test('a leader that loses all workers transfers leadership; none is terminated and hardly any lease expires', async () => {
   const { world, workers } = await atWork();
   const [leader] = world.leaders();
-  for (const { listed } of workers) world.network.cut(leader ?? '', listed.name, 25_000);
+  for (const { listed } of workers) world.network.partition(leader ?? '', listed.name, 25_000);
   await world.clock.runUntil(39_000);
   expect(world.leaders()).toHaveLength(1);
   expect(world.leaders()).not.toEqual([leader]);
-  expect(workers.filter(({ gone }) => gone)).toEqual([]);
+  expect(workers.filter(({ isTerminated }) => isTerminated)).toEqual([]);
   // One whose turn at a deputy came before the leader knew that it hears nobody may be too late.
   expect(workers.filter(({ session }) => session > 1).length).toBeLessThanOrEqual(1);
   await endsWell(world);
@@ -114,7 +114,7 @@
   await world.clock.runUntil(15_500);
   world.crash(Number(world.leaders()[0]?.slice(2)), 60_000);
   await world.clock.runUntil(40_000);
-  expect(workers.filter(({ session, gone }) => session > 1 || gone)).toEqual([]);
+  expect(workers.filter(({ session, isTerminated }) => session > 1 || isTerminated)).toEqual([]);
   await endsWell(world);
 });
 
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -6,7 +6,7 @@
 import { TABLE, toldEvery, type Table } from '../src/membership/table.js';
 import type { View } from '../src/membership/views.js';
 import { timing } from '../src/settings.js';
-import { testSettings, UNSEEN } from './emulators/simulation.js';
+import { testSettings, NO_OBSERVATIONS } from './emulators/simulation.js';
 
 const TIMES = timing(testSettings(0));
 const TOLD = toldEvery(TIMES);
@@ -17,7 +17,7 @@
   term: 4,
   leading: false,
   stateAgeMs: 10,
-  ...UNSEEN,
+  ...NO_OBSERVATIONS,
   ...more,
 });
 
--- a/test/readiness.test.ts
+++ b/test/readiness.test.ts
@@ -34,7 +34,7 @@
   const world = new Simulation(seeded(3));
   await world.clock.runUntil(10_000);
   world.state.refuse('n-1', 8000);
-  for (const other of ['n-0', 'n-2']) world.network.cut('n-1', other, 8000);
+  for (const other of ['n-0', 'n-2']) world.network.partition('n-1', other, 8000);
   await world.clock.runUntil(17_000);
   expect(world.ready()).toEqual([true, false, true]);
   await world.clock.runUntil(28_000);
--- a/test/response-tracking.test.ts
+++ b/test/response-tracking.test.ts
@@ -45,7 +45,7 @@
   bench.now += 1000;
   bench.hear(report('m', seq + 2, [started]));
   expect(usable(bench, 'm')).toBe(true);
-  await bench.keep('deaf-recovers');
+  await bench.expectTrace('unresponsive-recovers');
 });
 
 test('a machine that stays unresponsive is terminated, and its tasks run elsewhere after the confirmation', async () => {
@@ -64,7 +64,7 @@
   expect([...(bench.state.jobs.get('req-1')?.claims.values() ?? [])].every((c) => c.machine !== 'm')).toBe(
     true,
   );
-  await bench.keep('deaf-stays');
+  await bench.expectTrace('unresponsive-stays');
 });
 
 // A leader that is behind its timers answers too late: 8 machines at work were given back with 200 tasks.
@@ -139,5 +139,5 @@
   expect(gone).toContain('m');
   // Its beginning and its end are enough to read.
   bench.lines.splice(30, bench.lines.length - 60);
-  await bench.keep('takeover-copies');
+  await bench.expectTrace('failover-duplicates');
 });
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -12,10 +12,10 @@
 import { timing } from '../src/settings.js';
 import type { AnswersMessage, IntakeMessage, ReportsMessage } from '../src/wire/intake.js';
 import { encodeIntake, StatusReader } from '../src/wire/peers.js';
-import { atWork, CANCEL, DEPUTY_SEED, endsWell } from './emulators/busy-cluster.js';
+import { startBusyCluster, CANCEL, DEPUTY_SEED, expectCleanEnd } from './emulators/busy-cluster.js';
 import { ProcessClock, VirtualClock } from './emulators/clock.js';
 import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
-import { drawDay, NODES, seeded, testSettings, Simulation } from './emulators/simulation.js';
+import { drawRun, NODES, seeded, testSettings, Simulation } from './emulators/simulation.js';
 
 const TIMES = timing(testSettings(0));
 const RUNNING = [task('req-1/0', 1, 'running')];
@@ -326,7 +326,7 @@
   test('for a start that may not be sent yet, again later', () => {
     const bench = idle();
     bench.add(job('req-1', 1, 4, 50));
-    bench.proven = false;
+    bench.isViewConfirmed = false;
     bench.now += TIMES.leaderLeaseMs;
     bench.hear(report('m', 3));
     expect(bench.state.attention.size).toBe(1);
@@ -501,7 +501,7 @@
 });
 
 test('with few machines no heartbeat is shared', async () => {
-  const { world } = await atWork();
+  const { world } = await startBusyCluster();
   world.crash(0, 2000);
   await world.clock.runUntil(world.clock.now + 30_000);
   expect(world.intakeMessages).toBe(0);
@@ -509,19 +509,19 @@
 
 // Sent on to a follower that had not taken the leader's word, workers came back at once, and jobs stood still.
 test('no worker is redirected to a follower that does not accept heartbeats for this leader', async () => {
-  const { world } = await atWork(3, { sharing: true });
+  const { world } = await startBusyCluster(3, { sharing: true });
   const before = world.intakeMessages;
   await world.clock.runUntil(world.clock.now + 5000);
   expect(world.intakeMessages).toBeGreaterThan(before);
-  world.losesIntake = true;
+  world.dropsIntake = true;
   await world.clock.runUntil(world.clock.now + 120_000);
-  world.losesIntake = false;
-  await endsWell(world);
-  expect(world.checker.lapsed).toBe(0);
+  world.dropsIntake = false;
+  await expectCleanEnd(world);
+  expect(world.checker.expiredTasks).toBe(0);
 });
 
 test('sharing: store refuses only the leader, cancellations confirmed elsewhere, then a full outage: tasks stop in time', async () => {
-  const { world, leader, others, ids } = await atWork(3, { sharing: true });
+  const { world, leader, others, ids } = await startBusyCluster(3, { sharing: true });
   world.state.refuse(NODES[leader] ?? '', 2 * CANCEL);
   await world.clock.runUntil(world.clock.now + 100);
   const cancelled = ids.slice(1);
@@ -529,21 +529,22 @@
     expect(await world.until(world.withdraw(id, NODES[others[0] ?? 0] ?? ''))).toBe(true);
   world.state.outage(2 * CANCEL);
   await world.clock.runUntil(world.clock.now + CANCEL);
-  expect(cancelled.reduce((sum, id) => sum + world.checker.out(id), 0)).toBe(0);
-  await endsWell(world, 400_000);
+  expect(cancelled.reduce((sum, id) => sum + world.checker.placedTasks(id), 0)).toBe(0);
+  await expectCleanEnd(world, 400_000);
 });
 
 test('followers with workers that cannot reach the leader let cancelled tasks stop in time', async () => {
-  const { world, leader, others, ids } = await atWork(DEPUTY_SEED, { sharing: true });
+  const { world, leader, others, ids } = await startBusyCluster(DEPUTY_SEED, { sharing: true });
   // Words between controllers are held back; the leader and its machines are cut apart as well.
-  for (const other of others) world.network.cut(NODES[leader] ?? '', NODES[other] ?? '', 2 * CANCEL);
-  for (const name of world.cloud.workers.keys()) world.network.cut(name, NODES[leader] ?? '', 2 * CANCEL);
+  for (const other of others) world.network.partition(NODES[leader] ?? '', NODES[other] ?? '', 2 * CANCEL);
+  for (const name of world.cloud.workers.keys())
+    world.network.partition(name, NODES[leader] ?? '', 2 * CANCEL);
   const cancelled = ids.slice(1);
   for (const id of cancelled)
     expect(await world.until(world.withdraw(id, NODES[others[0] ?? 0] ?? ''))).toBe(true);
   await world.clock.runUntil(world.clock.now + CANCEL);
-  expect(cancelled.reduce((sum, id) => sum + world.checker.out(id), 0)).toBe(0);
-  await endsWell(world, 400_000);
+  expect(cancelled.reduce((sum, id) => sum + world.checker.placedTasks(id), 0)).toBe(0);
+  await expectCleanEnd(world, 400_000);
 });
 
 test('sharing: under faults of every kind no rule is violated and every accepted job ends', async () => {
@@ -553,11 +554,11 @@
       fc.integer({ min: 2, max: 14 }),
       async (seed, faults) => {
         const world = new Simulation(seeded(seed), { copies: true, sharing: true });
-        drawDay(world, 90_000, faults, { jobs: 16, mostTasks: 6, machines: 8, onCall: true });
+        drawRun(world, 90_000, faults, { jobs: 16, maxTasks: 6, machines: 8, onCall: true });
         await world.clock.runUntil(240_000);
-        world.checker.lookForForgotten(130_000, 240_000);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
+        world.checker.checkUnanswered(130_000, 240_000);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
         expect(world.intakeMessages).toBeGreaterThan(0);
       },
     ),
--- a/test/simulated-runs.test.ts
+++ b/test/simulated-runs.test.ts
@@ -2,32 +2,32 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { Checker } from './emulators/checker.js';
-import { drawDay, seeded, TIGHT, Simulation, type DaySize } from './emulators/simulation.js';
+import { drawRun, seeded, TIGHT, Simulation, type RunSize } from './emulators/simulation.js';
 
 const DAY = 90_000;
 /** Long enough after the last fault for every lease, boot and return. */
 const REST = 150_000;
 
-async function playDay(seed: number, faults: number, cpusMax: number, size?: DaySize): Promise<Simulation> {
+async function playDay(seed: number, faults: number, cpusMax: number, size?: RunSize): Promise<Simulation> {
   const world = new Simulation(seeded(seed), { cpusMax, copies: size?.onCall === true });
-  drawDay(world, DAY, faults, size);
+  drawRun(world, DAY, faults, size);
   await world.clock.runUntil(DAY + REST);
   // The last trouble lasts no longer than this.
-  if (size?.onCall === true) world.checker.lookForForgotten(DAY + 40_000, DAY + REST);
+  if (size?.onCall === true) world.checker.checkUnanswered(DAY + 40_000, DAY + REST);
   return world;
 }
 
 test('without faults every job completes and no rule is violated', async () => {
   const world = await playDay(1, 0, 0);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
   expect(world.checker.started).toBeGreaterThan(20);
 });
 
 test('a team at its quota never exceeds it and completes all its jobs', async () => {
   const world = await playDay(2, 0, 6);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
 });
 
 test('under faults of every kind no rule is violated and every accepted job ends', async () => {
@@ -37,8 +37,8 @@
       fc.integer({ min: 3, max: 14 }),
       async (seed, faults) => {
         const world = await playDay(seed, faults, seed % 2 === 0 ? 0 : 16);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
       },
     ),
     { seed: 7, numRuns: Number(process.env['DAYS'] ?? 25), endOnFailure: true },
@@ -48,14 +48,14 @@
 // At this size chunks of one job, transactions and takeovers hold hundreds of claims: what a
 // small day never fills.
 test('with 160 machines, thousands of tasks and faults no rule is violated', async () => {
-  const world = await playDay(11, 10, 0, { jobs: 200, mostTasks: 60, machines: 160 });
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
-  expect(world.cloud.most).toBeGreaterThan(100);
+  const world = await playDay(11, 10, 0, { jobs: 200, maxTasks: 60, machines: 160 });
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
+  expect(world.cloud.peakMachines).toBeGreaterThan(100);
   expect(world.checker.started).toBeGreaterThan(3000);
 }, 300_000);
 
-const PIPELINES: DaySize = { jobs: 6, mostTasks: 5, machines: 8, pipelines: 6 };
+const PIPELINES: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
 
 test('with job DAGs, cancellations and faults no rule is violated and every job ends', async () => {
   await fc.assert(
@@ -64,8 +64,8 @@
       fc.integer({ min: 0, max: 12 }),
       async (seed, faults) => {
         const world = await playDay(seed, faults, 0, PIPELINES);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
       },
     ),
     { seed: 8, numRuns: Number(process.env['DAYS'] ?? 25), endOnFailure: true },
@@ -79,13 +79,13 @@
 async function playUpgrade(seed: number, faults: number): Promise<Simulation> {
   const world = new Simulation(seeded(seed), { limits: TIGHT, earlier: true });
   const { draw, clock } = world;
-  const wide: DaySize = { jobs: 12, mostTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
-  drawDay(world, DAY, faults, wide);
+  const wide: RunSize = { jobs: 12, maxTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
+  drawRun(world, DAY, faults, wide);
   for (let i = 0; i < 4; i += 1) clock.in(40_000 * draw(), () => world.crash(Math.floor(draw() * 3), 2000));
   [2, 0, 1].forEach((node, i) =>
     clock.in(10_000 + i * (2000 + 10_000 * draw()), () => world.upgrade(node, 4000)),
   );
-  clock.in(45_000 + 20_000 * draw(), () => world.shrink());
+  clock.in(45_000 + 20_000 * draw(), () => world.reduceLimits());
   for (let i = 0; i < 4; i += 1)
     clock.in(45_000 + 25_000 * draw(), () => world.crash(Math.floor(draw() * 3), 2000));
   await clock.runUntil(DAY + REST);
@@ -99,8 +99,8 @@
       fc.integer({ min: 0, max: 6 }),
       async (seed, faults) => {
         const world = await playUpgrade(seed, faults);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
         // Nothing is left of the records of before, nor of any ended job.
         expect([...world.state.keys.keys()].filter((key) => key.startsWith('run/'))).toEqual([]);
       },
@@ -109,7 +109,7 @@
   );
 }, 900_000);
 
-const ON_CALL: DaySize = { jobs: 16, mostTasks: 6, machines: 8, onCall: true };
+const ON_CALL: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
 
 test('combinations of faults seen in production violate no rule, lose no job and serve every share', async () => {
   await fc.assert(
@@ -118,9 +118,9 @@
       fc.integer({ min: 2, max: 14 }),
       async (seed, faults) => {
         const world = await playDay(seed, faults, 0, ON_CALL);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
-        expect(world.checker.underserved((id) => world.broken.has(id))).toEqual([]);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
+        expect(world.checker.underserved((id) => world.faultyJobs.has(id))).toEqual([]);
       },
     ),
     {
@@ -147,12 +147,12 @@
 
 test('the checker rejects histories with an unanswered job, a starved class or a starved large job', () => {
   const forgotten = planted();
-  forgotten.asked('req-1', 99_000);
+  forgotten.requested('req-1', 99_000);
   forgotten.answered('req-1', 503, {}, 99_000, 'show');
-  forgotten.lookForForgotten(30_000, 100_000);
-  expect(forgotten.broken).toEqual([]);
-  forgotten.lookForForgotten(20_000, 100_000);
-  expect(forgotten.broken).toEqual(['forgotten: req-1 had no answer for 80 s']);
+  forgotten.checkUnanswered(30_000, 100_000);
+  expect(forgotten.violations).toEqual([]);
+  forgotten.checkUnanswered(20_000, 100_000);
+  expect(forgotten.violations).toEqual(['forgotten: req-1 had no answer for 80 s']);
   const late = planted();
   late.taskStarts('req-1', 0, 'm', 'a', true, 241_000);
   late.taskStarts('req-2', 0, 'm', 'a', true, 1000);
--- a/test/stale-reads.test.ts
+++ b/test/stale-reads.test.ts
@@ -3,9 +3,9 @@
 import type { Transaction } from '../src/core/types.js';
 import { createElection, electionStep, type ElectionEffect } from '../src/membership/election.js';
 import { timing } from '../src/settings.js';
-import { atWork, CANCEL, endsWell, FROM, LEASE } from './emulators/busy-cluster.js';
+import { startBusyCluster, CANCEL, expectCleanEnd, FROM, LEASE } from './emulators/busy-cluster.js';
 import { CoreHarness, job, report, task } from './emulators/core-harness.js';
-import { partZones } from './emulators/faults.js';
+import { partitionZones } from './emulators/faults.js';
 import { NODES, seeded, testSettings, Simulation } from './emulators/simulation.js';
 
 const PLACE = { team: 'crew', cpus: 2, memoryGb: 1, spot: true, zone: null, oneZone: false, spread: false };
@@ -30,15 +30,15 @@
 // 1. Users ask at all nodes, and repeat the submission, within milliseconds after each answer that is news.
 test.each([3, 5, 8])('reads right after an acknowledged write are never stale (%d)', async (seed) => {
   const world = new Simulation(seeded(seed));
-  world.closeLooks(60_000);
-  world.cancelAtEnd(0.5, 60_000);
+  world.readAfterWrites(60_000);
+  world.cancelOnCompletion(0.5, 60_000);
   for (let i = 0; i < 30; i += 1) {
     const id = `req-${String(i).padStart(6, '0')}`;
     world.clock.in(1000 * i, () => void world.user({ ...PLACE, id, tasks: 1 }, null));
   }
-  await endsWell(world, 150_000);
+  await expectCleanEnd(world, 150_000);
   // Accepted and over, at each of three nodes.
-  expect(world.looks).toBeGreaterThanOrEqual(30 * 2 * NODES.length);
+  expect(world.readsAfterWrites).toBeGreaterThanOrEqual(30 * 2 * NODES.length);
 });
 
 // 2. A transaction is carried out at once and only its answer is lost, while other nodes read what it wrote.
@@ -50,47 +50,47 @@
   const world = new Simulation(seeded(4), { keepLog: true });
   await world.clock.runUntil(3000);
   let lost = 0;
-  world.state.onceLost(() => (lost = world.clock.now));
-  world.state.loseOnce(puts(prefix));
+  world.state.onNextLostResponse(() => (lost = world.clock.now));
+  world.state.loseNextResponse(puts(prefix));
   const id = 'req-000000';
   void world.user({ ...PLACE, id, tasks: 3 }, null);
   await passUntil(world, () => lost > 0);
   // Others read it, and nobody falls back to what was before.
   const told = await Promise.all(NODES.map((node) => world.until(world.ask(id, node))));
   expect(told.every((stage) => (prefix === 'ended/' ? stage === 'done' : stage !== null))).toBe(true);
-  await endsWell(world, 90_000);
+  await expectCleanEnd(world, 90_000);
   expect(world.checker.started).toBe(3);
   expect(new Set(world.logged.filter(({ msg }) => msg === 'elected').map(({ term }) => term)).size).toBe(1);
 });
 
 test('a cancellation whose response is lost is visible on every node at once', async () => {
-  const { world, leader, others, ids } = await atWork();
+  const { world, leader, others, ids } = await startBusyCluster();
   const [id = ''] = ids;
-  world.state.loseOnce(puts(`ended/${id}`));
+  world.state.loseNextResponse(puts(`ended/${id}`));
   let lost = false;
-  world.state.onceLost(() => (lost = true));
+  world.state.onNextLostResponse(() => (lost = true));
   const confirmed = world.withdraw(id, NODES[others[0] ?? 0] ?? '');
   await passUntil(world, () => lost);
   for (const node of NODES) expect(await world.until(world.ask(id, node))).toBe('withdrawn');
   expect(await world.until(confirmed)).toBe(true);
   expect(leader).toBeGreaterThanOrEqual(0);
-  await endsWell(world);
+  await expectCleanEnd(world);
 });
 
 // Elected unseen, a leader had its lease run out 0.8 s later, before its first renewal: nobody led for 3 s more.
 test('a node whose election response is lost keeps its lease and leads', async () => {
-  const { world } = await atWork();
+  const { world } = await startBusyCluster();
   const terms = (): number => world.logged.filter(({ msg }) => msg === 'elected').length;
   const before = terms();
-  world.state.loseOnce(puts('leader'));
+  world.state.loseNextResponse(puts('leader'));
   let lost = false;
-  world.state.onceLost(() => (lost = true));
+  world.state.onNextLostResponse(() => (lost = true));
   crashLeader(world, 20_000);
   await world.clock.runUntil(FROM + 15_000);
   expect(lost).toBe(true);
   expect(terms()).toBe(before + 1);
-  expect(world.checker.out()).toBe(9);
-  await endsWell(world);
+  expect(world.checker.placedTasks()).toBe(9);
+  await expectCleanEnd(world);
 });
 
 // The answer to a renewal is lost only after most of the lease; waiting the usual pause as well let it end.
@@ -120,22 +120,22 @@
 });
 
 test('a successor leads although the response to the leadership transfer is lost', async () => {
-  const { world, leader } = await atWork();
+  const { world, leader } = await startBusyCluster();
   const renamed = ({ mutations }: Transaction): boolean =>
     mutations.some(
       (write) => 'put' in write && write.put === 'leader' && 'successor' in (write.value as object),
     );
-  world.state.loseOnce(renamed);
+  world.state.loseNextResponse(renamed);
   let lost = false;
-  world.state.onceLost(() => (lost = true));
+  world.state.onNextLostResponse(() => (lost = true));
   // It computes so slowly that it hands over.
-  world.slow(leader, 900);
+  world.slowDown(leader, 900);
   await passUntil(world, () => lost);
   const at = world.clock.now;
   await passUntil(world, () => world.leaders().some((node) => node !== NODES[leader]), 4000);
-  world.slow(leader, 0);
+  world.slowDown(leader, 0);
   expect(world.clock.now - at).toBeLessThan(4000);
-  await endsWell(world);
+  await expectCleanEnd(world);
 });
 
 // 3. Every team is at its limit, cancelled jobs are on machines cut off or hanging, the leader changes.
@@ -152,11 +152,11 @@
   const teams = ['crew', 'guests'];
   for (const team of teams) {
     const id = team === 'crew' ? 'req-000001' : 'req-000002';
-    world.runs.set(id, [200_000, 0]);
+    world.runtimes.set(id, [200_000, 0]);
     void world.user({ ...PLACE, team, id, tasks: 3 }, null);
   }
   await clock.runUntil(FROM);
-  expect(checker.out()).toBe(6);
+  expect(checker.placedTasks()).toBe(6);
   for (const [i, team] of teams.entries())
     void world.user({ ...PLACE, team, id: `req-00001${i}`, tasks: 3 }, null);
   await clock.runUntil(FROM + 2000);
@@ -166,8 +166,8 @@
     ([, { tasks }]) => [...tasks.values()].filter((one) => one.job === 'req-000001').length === 3,
   );
   expect(cloud.workers.size).toBe(2);
-  if (how === 'paused') worker?.hang(away);
-  else for (const node of NODES) network.cut(name ?? '', node, away);
+  if (how === 'paused') worker?.pause(away);
+  else for (const node of NODES) network.partition(name ?? '', node, away);
   for (const id of ['req-000001', 'req-000002'])
     expect(await world.until(world.withdraw(id, 'n-1'))).toBe(true);
   const cancelledAt = clock.now;
@@ -176,10 +176,10 @@
     await clock.runUntil(clock.now + 5000);
   }
   // What the cancelled ones held is free in the end, and not before they are proven gone.
-  await passUntil(world, () => checker.out('req-000010') > 0, 2 * CANCEL);
+  await passUntil(world, () => checker.placedTasks('req-000010') > 0, 2 * CANCEL);
   expect(clock.now - cancelledAt).toBeLessThan(CANCEL + 5000 * leaders);
-  expect(checker.out('req-000001')).toBe(0);
-  await endsWell(world, 200_000);
+  expect(checker.placedTasks('req-000001')).toBe(0);
+  await expectCleanEnd(world, 200_000);
 });
 
 test('repeated requests are idempotent, and impossible or incomplete ones are rejected', async () => {
@@ -188,7 +188,7 @@
   await clock.runUntil(3000);
   for (let i = 0; i < 6; i += 1) {
     const id = `req-${String(i).padStart(6, '0')}`;
-    world.runs.set(id, [5000, 1000]);
+    world.runtimes.set(id, [5000, 1000]);
     void world.user({ ...PLACE, id, tasks: 2 }, i === 0 ? 3000 : null);
   }
   await clock.runUntil(8000);
@@ -199,9 +199,9 @@
     if (outcome.kind === 'failed' && txn.mutations.length > 0) failed += 1;
     return outcome;
   };
-  world.oddRequests(40_000);
-  await endsWell(world, 90_000);
-  expect(world.odds).toBeGreaterThan(500);
+  world.sendInvalidRequests(40_000);
+  await expectCleanEnd(world, 90_000);
+  expect(world.invalidRequests).toBeGreaterThan(500);
   expect(failed).toBeLessThanOrEqual(3);
   // Of what was refused nothing is left behind.
   expect([...state.keys.keys()].filter((key) => key.includes('req-7'))).toEqual([]);
@@ -212,11 +212,11 @@
   'a cancellation takes effect during a change of leader: around "%s"',
   async (moment) => {
     for (const [i, after] of [0, 3, 15, 60, 250, 1000].entries()) {
-      const { world, leader, others, ids } = await atWork(3 + i);
+      const { world, leader, others, ids } = await startBusyCluster(3 + i);
       const { clock, checker } = world;
       let at = 0;
-      world.once(moment, () => (at = clock.now));
-      if (moment === 'hands over') world.slow(leader, 900);
+      world.onNextLog(moment, () => (at = clock.now));
+      if (moment === 'hands over') world.slowDown(leader, 900);
       else world.crash(leader, 3000);
       await passUntil(world, () => at > 0);
       await clock.runUntil(at + after);
@@ -224,11 +224,11 @@
       for (const id of ids) void world.withdraw(id, node);
       await passUntil(world, () => ids.every((id) => checker.isOver(id)), 8000);
       const confirmedAt = clock.now;
-      await passUntil(world, () => checker.out() === 0, CANCEL);
+      await passUntil(world, () => checker.placedTasks() === 0, CANCEL);
       // Told within the rhythm of reports by whoever leads then, not by a lease that runs out.
       expect(clock.now - confirmedAt).toBeLessThan(0.9 * LEASE);
-      world.slow(leader, 0);
-      await endsWell(world, 30_000);
+      world.slowDown(leader, 0);
+      await expectCleanEnd(world, 30_000);
     }
   },
 );
@@ -237,7 +237,7 @@
   ['without other faults', 0],
   ['with a store outage among them', 8000],
 ])('ten failovers in two minutes, %s, lose no job and run no task twice', async (_, outage) => {
-  const { world, ids } = await atWork(3, { runs: [150_000, 1000] });
+  const { world, ids } = await startBusyCluster(3, { runs: [150_000, 1000] });
   const { clock, checker, state } = world;
   const started = checker.started;
   let led = 0;
@@ -250,26 +250,26 @@
     for (const id of ids) expect(await world.until(world.ask(id))).toBe('running');
   }
   expect(led).toBeGreaterThanOrEqual(10);
-  await endsWell(world, 200_000);
+  await expectCleanEnd(world, 200_000);
   expect(checker.started).toBe(started);
 });
 
 test('jobs cancelled during a partition of a zone with workers and a controller stop within the cancel timeout', async () => {
-  const { world, ids } = await atWork(7, { jobs: 6, runs: [90_000, 5000], machines: 8 });
+  const { world, ids } = await startBusyCluster(7, { jobs: 6, runs: [90_000, 5000], machines: 8 });
   const { clock, checker, cloud } = world;
   const inB = [...cloud.workers.values()].filter(({ listed }) => listed.zone === 'b');
   const cutOff = (): number => inB.reduce((sum, { tasks }) => sum + tasks.size, 0);
   expect(cutOff()).toBeGreaterThan(0);
   const ms = 2.5 * LEASE;
-  partZones(world, ms);
+  partitionZones(world, ms);
   for (const name of ['n-1', ...inB.map(({ listed }) => listed.name)])
-    for (const host of ['state', 'cloud']) world.network.cut(name, host, ms);
+    for (const host of ['state', 'cloud']) world.network.partition(name, host, ms);
   await clock.runUntil(FROM + 4000);
   for (const id of ids.slice(0, 3)) expect(await world.until(world.withdraw(id, 'n-0'))).toBe(true);
   expect(cutOff()).toBeGreaterThan(0);
   await clock.runUntil(FROM + 4000 + CANCEL);
-  expect(ids.slice(0, 3).map((id) => checker.out(id))).toEqual([0, 0, 0]);
-  await endsWell(world);
+  expect(ids.slice(0, 3).map((id) => checker.placedTasks(id))).toEqual([0, 0, 0]);
+  await expectCleanEnd(world);
 });
 
 // 5. New machines are up within two seconds and get work at once while writes lag, and the leader ends.
@@ -279,32 +279,32 @@
     const world = new Simulation(seeded(seed));
     const { clock, checker, cloud, state } = world;
     cloud.capacity = 12;
-    cloud.quick(60_000);
+    cloud.bootQuickly(60_000);
     const ids = ['req-000001', 'req-000002', 'req-000003', 'req-000004'];
     const places = [{ zone: 'b' }, { spread: true }, { oneZone: true }, { spot: false }];
     await clock.runUntil(3000);
     for (const [i, id] of ids.entries()) {
-      world.runs.set(id, [30_000, 1000]);
+      world.runtimes.set(id, [30_000, 1000]);
       void world.user({ ...PLACE, cpus: 4, ...places[i], id, tasks: 4 }, null);
     }
     let wrote = 0;
-    state.onceWritten('run/', () => (wrote = clock.now));
+    state.onNextWrite('run/', () => (wrote = clock.now));
     await passUntil(world, () => wrote > 0);
-    state.late(0.5, 6000);
-    await passUntil(world, () => checker.out() > 0);
+    state.delayTransactions(0.5, 6000);
+    await passUntil(world, () => checker.placedTasks() > 0);
     const listed = new Set(cloud.list().map(({ name }) => name));
     expect([...cloud.workers.keys()].some((name) => !listed.has(name))).toBe(true);
     crashLeader(world, 500);
     await clock.runUntil(clock.now + 3000);
     crashLeader(world, 500);
-    await endsWell(world, 200_000);
+    await expectCleanEnd(world, 200_000);
   },
 );
 
 // 6. An old report reaches every controller just as a new leader begins.
 test('stale heartbeats that reach every controller as a leader begins free, end or place nothing', async () => {
   // Of all reports, also those from before there was a task on the machines.
-  const { world } = await atWork(3, { runs: [90_000, 1000], copies: 60_000 });
+  const { world } = await startBusyCluster(3, { runs: [90_000, 1000], copies: 60_000 });
   const { clock, checker } = world;
   const started = checker.started;
   for (let i = 0; i < 3; i += 1) {
@@ -312,24 +312,24 @@
     crashLeader(world, 5000);
     await clock.runUntil(clock.now + 4500);
   }
-  expect(world.copiesForNext).toBeGreaterThan(20);
-  expect(checker.out()).toBe(9);
-  await endsWell(world, 150_000);
+  expect(world.duplicatesDelivered).toBeGreaterThan(20);
+  expect(checker.placedTasks()).toBe(9);
+  await expectCleanEnd(world, 150_000);
   expect(checker.started).toBe(started);
 });
 
 test('stale heartbeats of an earlier agent epoch do not mask the current one, and its tasks run again', async () => {
-  const { world } = await atWork(3, { runs: [40_000, 1000] });
+  const { world } = await startBusyCluster(3, { runs: [40_000, 1000] });
   const { clock, checker } = world;
-  world.keepCopies(1, 4000);
+  world.keepDuplicates(1, 4000);
   await clock.runUntil(FROM + 4000);
   // All are away for longer than a lease; what comes first to those that are back is older than that.
   for (const node of [0, 1, 2]) world.crash(node, 1.4 * LEASE);
   await clock.runUntil(FROM + 4000 + 1.3 * LEASE);
-  expect(checker.out()).toBe(0);
-  await passUntil(world, () => world.copiesForNext > 0);
-  await passUntil(world, () => checker.out() === 9, LEASE);
-  await endsWell(world, 150_000);
+  expect(checker.placedTasks()).toBe(0);
+  await passUntil(world, () => world.duplicatesDelivered > 0);
+  await passUntil(world, () => checker.placedTasks() === 9, LEASE);
+  await expectCleanEnd(world, 150_000);
 });
 
 // 7. One-task jobs come four a second, a quarter of them cancelled.
@@ -351,7 +351,7 @@
   const lateness: number[] = [];
   for (let i = 0; i < jobs; i += 1) {
     const id = `req-${String(i).padStart(6, '0')}`;
-    world.runs.set(id, [3000, 0]);
+    world.runtimes.set(id, [3000, 0]);
     const sentAt = clock.now + 250 * i;
     clock.at(sentAt, () => {
       void world.user({ ...PLACE, cpus: 1, id, tasks: 1 }, i % 4 === 0 ? 500 + 10 * i : null);
@@ -362,8 +362,8 @@
     });
   }
   await clock.runUntil(10_000 + 250 * jobs + 60_000);
-  expect(checker.broken).toEqual([]);
-  expect(checker.unfinished()).toEqual([]);
+  expect(checker.violations).toEqual([]);
+  expect(checker.unfinishedJobs()).toEqual([]);
   expect(lateness.length).toBe(jobs);
   expect(Math.max(...lateness)).toBeLessThan(1500);
   expect(changes / jobs).toBeLessThanOrEqual(5.2);
@@ -376,12 +376,12 @@
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.add(job('req-1', 1, 4, 50));
-  bench.proven = false;
+  bench.isViewConfirmed = false;
   bench.now += bench.state.config.timing.leaderLeaseMs + 1;
   const blind = bench.hear(report('m', 2));
   expect(blind.some((effect) => effect.kind === 'reply' && effect.body.kind === 'commands')).toBe(true);
   expect(CoreHarness.starts(blind)).toEqual([]);
-  bench.proven = true;
+  bench.isViewConfirmed = true;
   bench.now += 1000;
   expect(CoreHarness.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
 });
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -64,7 +64,7 @@
   // What was stopped goes on before what came after it.
   const after = shift.hear([left, task('req-2/0', 1, 'exited', 'done')]);
   expect(CoreHarness.starts(after)).toEqual([`req-1/${stopped}#2`]);
-  await shift.bench.keep('preemption');
+  await shift.bench.expectTrace('preemption');
 });
 
 test('no task is preempted for equal priority, if it ends about as soon, or if it has just started', () => {
@@ -153,7 +153,7 @@
   expect(begun).toBeGreaterThan(0.5 * bound - 1000);
   expect(begun).toBeLessThan(bound);
   bench.lines.splice(0, bench.lines.findIndex((line) => line.includes('req-9/0')) - 25);
-  await bench.keep('bounded-waiting');
+  await bench.expectTrace('bounded-waiting');
 });
 
 test('of the started job arrays of a class one at a time holds a starvation reservation', () => {
@@ -205,7 +205,7 @@
   expect(CoreHarness.starts(shift.hear([left, gone]))).toEqual(['req-2/0#1']);
   // The second exceeds the guarantee together with the first: it waits like any other.
   expect(stops(shift.hear([left, task('req-2/0', 1, 'running')], 5000))).toEqual([]);
-  await bench.keep('guarantee');
+  await bench.expectTrace('quota-guarantee');
 });
 
 // Late whatever is done, a backlog of 32-core tasks kept a guest's arrays waiting for 400 s.
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -18,7 +18,7 @@
   parseChunkKey,
 } from '../src/core/persistence/index.js';
 import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
-import { seeded, testSettings, TIGHT, UNSEEN, Simulation } from './emulators/simulation.js';
+import { seeded, testSettings, TIGHT, NO_OBSERVATIONS, Simulation } from './emulators/simulation.js';
 
 interface Kept {
   readonly revision: number;
@@ -29,7 +29,7 @@
 
 test('jobs stored by 0.1.0 are loaded, migrated to narrow chunks and completed', async () => {
   const world = new Simulation(seeded(3), { limits: TIGHT });
-  world.shrink();
+  world.reduceLimits();
   world.cloud.capacity = 12;
   world.state.revision = production.revision;
   for (const { key, value, stamp } of production.keys)
@@ -42,8 +42,8 @@
   }
   await world.clock.runUntil(180_000);
   // What production saw completed is not run again, so the checker has not seen all of it run.
-  expect(world.checker.broken.filter((rule) => !rule.startsWith('not_done'))).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations.filter((rule) => !rule.startsWith('not_done'))).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
   expect([...world.state.keys.keys()].filter((key) => /^(run|job)\//.test(key))).toEqual([]);
   expect(world.state.rejected).toBe(0);
 });
@@ -77,7 +77,7 @@
     quiet: [],
     hears: [],
     provenAt: 0,
-    ...UNSEEN,
+    ...NO_OBSERVATIONS,
   });
   expect(earlier.toObject(earlier.decodeDelimited(own))).toMatchObject({ node: 'n-1', term: 8 });
 });
@@ -89,7 +89,7 @@
   const place = { cpus: 1, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
   void world.user({ id: 'req-000001', team: 'crew', tasks: 30, ...place }, null);
   await world.clock.runUntil(60_000);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
   expect(world.state.read('format')).toBeNull();
   // Nor does its silence tell what it will be when it is back.
   world.crash(2, 30_000);
@@ -208,7 +208,7 @@
   const exit = bench.hear(report('m', 4, [{ ...first, stage: 'exited', exit: 'done' }, ...others]));
   // The next task is put in the room; with the chunk that holds both, all of the wide one is held.
   expect(puts(exit)).toEqual(['put run/req-1/24.00000', 'remove run/req-1/00000']);
-  await bench.keep('way-over');
+  await bench.expectTrace('migration');
 });
 
 test('after a crash during migration each task has the state of its narrowest record', () => {
