--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -15,7 +15,7 @@
 import { drawConcurrentFaults, MAX_RUNTIME_MS, partitionZones } from './emulators/faults.js';
 import { NODES, seeded, TIGHT, Simulation } from './emulators/simulation.js';
 
-// The gap: the leader alone cannot know what another controller confirms; then nobody can tell it.
+// The leader cannot learn of a cancellation that another controller confirms, and then nobody can tell it.
 test.each([
   ['one follower', 0, 'none'],
   ['the other follower', 1, 'none'],
@@ -96,7 +96,7 @@
   );
 });
 
-// The fleet that had lost its leases was given back, and booted anew, as soon as the state service was back.
+// Machines whose leases expired in an outage are alive: they are not terminated when the store is back.
 test('machines that kept reporting through a store outage are not silent at its end', () => {
   const bench = new CoreHarness();
   const { workerLeaseMs, tickMs } = bench.state.config.timing;
@@ -133,7 +133,7 @@
   expect(again.sort()).toEqual([0, 1, 2, 3].map((i) => `req-1/${i}#2`));
 });
 
-// 1. A transaction without an answer is carried out late, after newer ones.
+// 1. A transaction without a response is applied late, after newer ones.
 test('delayed transactions: a cancellation applied after the job was reported done changes nothing', async () => {
   const { world, others, ids } = await startBusyCluster(3, { jobs: 1, runs: [24_000, 0] });
   const [id = ''] = ids;
@@ -211,7 +211,7 @@
   expect(checker.started).toBe(started);
 });
 
-// 3. An old report arrives after newer ones.
+// 3. A stale heartbeat arrives after newer ones.
 test('stale heartbeats: a new leader does not take the end of an earlier attempt for the current one', () => {
   const bench = new CoreHarness();
   const claims = { 0: { attempt: 2, machine: 'm', agentEpoch: 3, createdAt: bench.now } };
@@ -234,7 +234,7 @@
   expect(bench.state.machines.get('m')).toMatchObject({ agentEpoch: 3, heartbeatSequence: 40 });
 });
 
-// 4. A leader is cut from the state service and its peers; workers and users still reach it.
+// 4. A leader is partitioned from the store and its peers; workers and users still reach it.
 test('a leader partitioned with its workers and users: cancelled tasks stop in time, no stale read', async () => {
   const { world, leader, others, ids } = await startBusyCluster();
   const { clock, checker } = world;
@@ -260,7 +260,7 @@
   await expectCleanEnd(world);
 });
 
-// 5. A command or its answer is held up for seconds, and the machine then goes on.
+// 5. A command or its response is delayed for seconds, and the machine then resumes.
 test.each([
   ['within its lease', 0.7 * LEASE],
   ['across its lease', 1.2 * LEASE],
@@ -309,7 +309,7 @@
   },
 );
 
-// 7. The state service answers slowly, or refuses the leader and then everybody, while users cancel and ask.
+// 7. The store answers slowly, or refuses the leader and then every node, while users cancel and read.
 test('a slow store and cancellations of unknown outcome cause no stale read, and answers resume', async () => {
   const { world, ids } = await startBusyCluster();
   const { clock, state } = world;
@@ -328,7 +328,7 @@
   await expectCleanEnd(world);
 });
 
-// 8. Controllers hand over and back, all end, and one returns, also within a second.
+// 8. All controllers crash, and one restarts, also within a second.
 test.each([100, 900, 5000])(
   'after a crash of all, one node back alone after %d ms serves; tasks go on',
   async (after) => {
--- a/test/correlated-failures.test.ts
+++ b/test/correlated-failures.test.ts
@@ -13,8 +13,7 @@
 const rented = (effects: readonly Effect[]): number =>
   effects.reduce((sum, effect) => sum + (effect.kind === 'provision' ? effect.count : 0), 0);
 
-// Of two start aims of a class the last one in the settings won: a class that must start within
-// three seconds was served as one that may wait for fifty.
+// Of several start objectives of a class the tightest decides how urgent it is, not the last one in the settings.
 test('a class may have several objectives of each kind, and each counts separately', () => {
   const aims = classAims([
     { kind: 'wait', class: 'rush', within_s: 3 },
@@ -45,8 +44,8 @@
   expect(latestStart(bench.state, rush, bench.time())).toBeLessThanOrEqual(bench.now + 3000);
 });
 
-// A cut held back the returns that a leader had asked for on the wrong side of it; carried out
-// when it ended, they took a third of the fleet from its successor, alive and at work.
+// A partition delays requests to the cloud: terminations of a partitioned leader would take effect after its
+// end, on machines that work for its successor.
 test('a leader whose view is stale requests nothing from the cloud', () => {
   const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
@@ -86,7 +85,7 @@
   return bench;
 }
 
-// Rush work waited 41 s for a zone to come back whose leases had long ended.
+// After lease expiry nothing in the zone runs any more, so waiting for it gains nothing.
 test('tasks of a partitioned zone that waiting would make late run again after lease expiry', () => {
   expect(returned(apart(50).do({ kind: 'tick' }))).toEqual(FAR);
   expect(returned(apart(null).do({ kind: 'tick' }))).toEqual([]);
@@ -94,8 +93,7 @@
   expect(returned(apart(50, false).do({ kind: 'tick' }))).toEqual([]);
 });
 
-// Each change of leader during a cut began the wait anew: a zone was given back six seconds
-// before it came back.
+// A change of leader must not restart the wait for a partitioned zone.
 test('the time since a zone fell silent survives a change of leader', () => {
   const before = apart(45);
   const { timing } = before.state.config;
@@ -138,7 +136,7 @@
   expect(next(new Map([['b', before.now - timing.silenceTimeoutMs]]))).toEqual(FAR);
 });
 
-// What ran on a machine with a notice was lost with it, and found lost only 10 s after.
+// A task that cannot end before the machine is reclaimed is moved before it is lost.
 test('a machine with a termination notice is drained of tasks that cannot finish, and terminated when reclaimed', () => {
   const bench = new CoreHarness();
   for (const name of ['m', 'n', 'o', 'p']) bench.hear(report(name, 1));
@@ -156,7 +154,7 @@
   expect(returned(bench.do({ kind: 'tick' }))).toEqual(['m']);
 });
 
-// Fifty machines each three seconds: a fleet of 600 took 13 s to be asked for.
+// Requests in small batches would delay a scale-out of hundreds of machines by seconds.
 test('scale-out requests all planned machines at once, evenly over zones of equal price', () => {
   const bench = new CoreHarness(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
   bench.now += 1000;
@@ -171,8 +169,7 @@
 const knocked = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'probe' ? [effect.machine] : []));
 
-// A dead machine's tasks waited 11 s to run again: as long as a worker may take that has lost
-// its controller and tries the others.
+// Without probes a dead machine is known only after the time a worker may need to try all controllers.
 test('a machine that fails two probes while most of its neighbours report is terminated', () => {
   const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs, shortSilenceTimeoutMs } = bench.state.config.timing;
@@ -209,7 +206,7 @@
   expect(returned(bench.do({ kind: 'tick' }))).toEqual(['m']);
 });
 
-// A report on its way when the knock met nobody is the newer word.
+// A heartbeat that is on its way when a probe fails is the newer evidence.
 test('a probe result is discarded once the machine reports again', () => {
   const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs } = bench.state.config.timing;
@@ -226,8 +223,7 @@
   expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
 });
 
-// In an outage of the state service each poll and submission went out to it, and all that waited
-// for the cloud was asked anew every second.
+// Retries without a budget would multiply the load on a failing service.
 test('the retry budget limits requests to a failing service until it answers', () => {
   let now = 0;
   const budget = new RetryBudget(
--- a/test/easy-backfilling.test.ts
+++ b/test/easy-backfilling.test.ts
@@ -167,8 +167,7 @@
   expect(onLarge(bench)).toEqual(['req-3/0#1']);
 });
 
-// In a burst every task was placed just before its start aim ran out, and then lacked the
-// second that a start needs to reach its machine: all were late, where most could be in time.
+// A start takes time to reach its machine. Unless that counts, every task of a burst is placed just too late.
 test('a job that can no longer start in time, with its start latency, queues behind one that can', () => {
   const bench = new CoreHarness();
   startWithin(bench, 'class', 5000);
@@ -180,8 +179,7 @@
   expect(waitingJobs(bench.state, bench.time()).map(({ spec }) => spec.id)).toEqual(['req-2', 'req-1']);
 });
 
-// Once late for its start, a rush job kept off the machines that others need for good, and
-// missed its deadline beside free room.
+// A missed start objective must not cost the deadline of the job as well.
 test('a job that missed its start objective is at risk again when its deadline approaches', () => {
   const bench = new CoreHarness();
   startWithin(bench, 'class', 5000);
@@ -194,8 +192,7 @@
   expect([1, 2.5, 10, 17, 25].map(pressedAt)).toEqual([false, true, false, true, false]);
 });
 
-// Most pressed first, a job of many tasks took the room of several that could have been in
-// time, and was late itself.
+// Ordered by urgency alone, a large job would take the resources of several that can still be in time.
 test('of jobs whose deadline is at risk, the one with the least waiting work comes first', () => {
   const bench = new CoreHarness();
   const pressed = (id: string, tasks: number, deadlineS: number): void => {
@@ -211,8 +208,7 @@
   ]);
 });
 
-// With the fleet full, freed room went to whoever waited, on whichever machine: a rush task got
-// its turn soon, but on a machine without its image, and was late by the fetch.
+// A start on a machine without the image is late by the time of its fetch.
 test('headroom is reserved for start-sensitive classes on the machines with most cached images', () => {
   const bench = new CoreHarness();
   startWithin(bench, 'rush', 3000);
--- a/test/failure-suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -86,7 +86,7 @@
 const givenBack = (world: Simulation): LogLine[] =>
   world.logged.filter(({ at, msg, reason }) => at >= FROM && msg === 'give back' && reason !== 'idle');
 
-// A crash cost the lease and a report's hearing, whatever all others knew at once.
+// The evidence of all peers allows an election before the lease expires.
 test('a crashed leader is replaced before its lease expires, and starts continue', async () => {
   const { world, leader } = await atWork();
   world.crash(leader, 60_000);
@@ -100,7 +100,7 @@
   await endsWell(world, 'crash');
 });
 
-// It kept its lease for 45 s, and nothing was started while two healthy controllers stood by.
+// A leader that renews its lease but reaches no worker starts nothing.
 test('a leader without heartbeats transfers leadership to a node that reaches the workers', async () => {
   const { world, leader } = await atWork();
   for (const name of world.cloud.workers.keys()) world.network.partition(`n-${leader}`, name, 40_000);
@@ -112,7 +112,7 @@
   await endsWell(world, 'no-workers');
 });
 
-// The one that had handed over was elected again, heard nobody, and 1,787 tasks lost their lease.
+// Re-elected, it would hear no worker, and their leases would expire.
 test('a node that reaches no machine is not re-elected while another candidate is left', async () => {
   const { world, leader } = await atWork();
   // No new machine, which could reach it.
@@ -133,7 +133,7 @@
   await endsWell(world, 'cut-off-twice');
 });
 
-// The old leader knew nothing of it and answered the workers for 28 s; the new one gave 200 machines back.
+// Without peer links the old leader does not learn of its successor and goes on answering workers.
 test('when peer links are refused, a new leader takes over the workers and terminates none', async () => {
   const { world, leader } = await atWork();
   world.refusePeers(45_000);
@@ -169,7 +169,7 @@
   await endsWell(long.world, 'stall');
 });
 
-// A leader that computed four times slower kept the lead however far it was behind.
+// A leader that computes more slowly than before can be replaced by a node that keeps up.
 test('an overloaded leader transfers leadership exactly once', async () => {
   const { world, leader } = await atWork();
   world.slowDown(leader, 2 * TIMES.tickMs);
@@ -181,7 +181,7 @@
   await endsWell(world, 'slow');
 });
 
-// Each time it came back it got the lead, and was frozen again.
+// A node that returns is likely to fail again soon.
 test('leadership is not transferred back at once to a flapping node', async () => {
   const { world, leader } = await atWork();
   for (const at of [0, 9000, 18_000])
@@ -191,8 +191,8 @@
   await endsWell(world, 'flaps');
 });
 
-// The state service keeps only so many changes: a watch of the record from when it was written ended at
-// once, again and again, and three controllers asked 280,000 times on a day.
+// The store retains a bounded number of changes: a watch from the revision of the record would be compacted
+// at once, again and again.
 test('the rate of leader record watches is bounded, whatever the number of revisions', async () => {
   const { world } = await atWork();
   while (world.state.revision < 500) await world.clock.runUntil(world.clock.now + 1000);
@@ -215,7 +215,7 @@
   await endsWell(world, 'two-crash');
 });
 
-// Its workers reach it, nobody else does: each second in which it keeps them is one in which nothing starts.
+// While it keeps its workers nothing starts: it cannot commit.
 test('a leader partitioned with its workers releases them to its successor, which terminates none', async () => {
   const { world, leader } = await atWork();
   const alone = `n-${leader}`;
--- a/test/fault-attribution.test.ts
+++ b/test/fault-attribution.test.ts
@@ -61,7 +61,7 @@
 
 const MACHINES = ['m', 'n', 'o', 'p', 'q'];
 
-// Two jobs with a mistake cost each machine they met its place, and what ran there: 20 machines in a day.
+// Terminating machines for the errors of a faulty job would lose all other work on them.
 test('jobs that fail on every machine have no machine terminated', () => {
   const floor = new Floor(MACHINES);
   for (const id of ['req-1', 'req-2', 'req-3']) {
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -158,8 +158,8 @@
   await bench.expectTrace('silent-machine');
 });
 
-// Work on a machine taken without notice waited a whole lease before it ran elsewhere. But
-// a leader that hears few of its machines has likely lost them for a while, not for good.
+// Work on a lost machine should not wait for lease expiry. But a leader without most heartbeats has likely
+// lost contact for a while, not the machines.
 test('a silent machine is terminated before its lease expires while most others report', () => {
   const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
@@ -306,8 +306,7 @@
   });
 });
 
-// With hundreds of tasks ending each second, a write for each exit took the whole write
-// budget, and starts waited seconds for theirs.
+// One write for each exit would use up the write budget when hundreds of tasks end each second.
 test('completion: exits of a job are batched, and neither a start nor the job end waits for the batch', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
@@ -375,7 +374,7 @@
   expect(raised).toEqual(['listed']);
 });
 
-// A recorded day: given back 2 s before a hand-over, with four exits that were not written yet.
+// Exits that are not committed would be lost with the machine if leadership changes.
 test('an idle machine is terminated only after its completed tasks are committed', () => {
   const bench = runningOn();
   bench.now += 100_000;
@@ -404,7 +403,7 @@
   expect(later()).toContain('m');
 });
 
-// Its record stayed in the state service for ever, with claims that no later leader needed.
+// Otherwise its record would stay in the store for ever.
 test('the record of a job cancelled during a write of its chunk is removed eventually', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
@@ -422,7 +421,7 @@
   expect(writes).toContainEqual({ remove: 'run/req-1/00000' });
 });
 
-// It counted for no zone: the machine hung in zone a, and started its task beside two others there.
+// Counted for no zone, its task may run in a zone beside as many as are allowed there.
 test('zones: a claim on a machine that a new leader has not heard from may be in any zone', () => {
   const lead = (spread: boolean): CoreHarness => {
     const bench = ledOver(job('req-1', 4, 1, 50, { spread, oneZone: !spread }), ['hung']);
--- a/test/leader-role.test.ts
+++ b/test/leader-role.test.ts
@@ -32,8 +32,7 @@
   expect(world.leaders()).not.toEqual(['n-2']);
 });
 
-// Each change of leader began the wait for silent machines anew: on a recorded day two of
-// them cost 50 tasks on dead machines 9 s more.
+// Each change of leader restarts the wait for silent machines and delays the tasks on dead ones.
 test('leadership is not transferred while machines with tasks have not reported', async () => {
   const world = new Simulation(seeded(5));
   await world.clock.runUntil(3000);
@@ -50,7 +49,7 @@
   expect(world.leaders()).not.toEqual(['n-2']);
 });
 
-// Reports under invented names cost a leader a connection to each, and the plan its patience.
+// Heartbeats of unknown machines must cost the leader neither connections nor a change of plan.
 test('a flood of malformed requests and unknown machines costs neither leadership nor a lease', async () => {
   const world = new Simulation(seeded(5), { keepLog: true });
   await world.clock.runUntil(3000);
@@ -90,9 +89,7 @@
   expect(world.checker.unfinishedJobs()).toEqual([]);
 }
 
-// The leader learned of what its deputies answered up to 17 s late, and gave back 61 machines
-// alive with 441 tasks, which it alone could not hear.
-// It kept its lease for the whole of the cut, and nothing was started.
+// A leader without heartbeats can neither start tasks nor tell dead machines from unreachable ones.
 test('a leader that loses all workers transfers leadership; none is terminated and hardly any lease expires', async () => {
   const { world, workers } = await atWork();
   const [leader] = world.leaders();
@@ -106,8 +103,7 @@
   await endsWell(world);
 });
 
-// Nobody can follow a leader that dies while the state service is away: every worker in the fleet
-// lost its lease, and all its work with it, before the outage was over.
+// No leader can be elected in a store outage; without responses every worker lease would expire.
 test('when the leader crashes in a store outage, followers answer workers from its snapshots and no lease expires', async () => {
   const { world, workers } = await atWork();
   world.state.outage(17_000);
@@ -118,8 +114,7 @@
   await endsWell(world);
 });
 
-// Counted from when it came, a word that a cut had held back would keep tasks alive that were
-// cancelled long before.
+// Counted from its arrival, a snapshot delayed by a partition would keep cancelled tasks alive.
 test('a follower answers workers from a snapshot for the authority window since the snapshot was proven', async () => {
   const timing = timingOf(testSettings(1));
   let now = 0;
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -48,7 +48,7 @@
   return { bench, pass };
 }
 
-// Of 150 machines that hung for 12 s, 149 were given back with 640 tasks, 1 to 3 s before they went on.
+// A paused machine resumes with its tasks if its lease has not expired.
 test('an unresponsive machine whose host accepts connections is kept until its lease has expired', () => {
   const { bench, pass } = silentAfter(null, ['vm-3']);
   const { workerLeaseMs, silenceTimeoutMs } = bench.state.config.timing;
@@ -110,7 +110,7 @@
   return bench;
 }
 
-// A new leader gave back 200 machines alive with 773 tasks: the one before was blind, and held them.
+// The previous leader may be partitioned and still answer these machines.
 test('many machines unheard by a new leader are one event: the previous leader may serve them', () => {
   const after = (hears: number): number => {
     const bench = successor(hears, false);
@@ -138,7 +138,7 @@
   expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
 });
 
-// All unheard machines were called at each tick: a leader of a twelfth of a core could not hear the others.
+// Direct calls to all silent machines at each tick would leave a small leader no time for heartbeats.
 test('a new leader sends a few direct calls if its predecessor may be alive, none at first if it is gone', () => {
   const { maxDirectCallsPerInterval, timing } = successor(0, true).state.config;
   const scouts = called(successor(0, true).do({ kind: 'tick' }));
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -193,7 +193,7 @@
   expect([scene.levelOfB, scene.inherits]).toEqual(['trusted', false]);
 });
 
-// A peer that was frozen again and again got the lead back seven seconds after each time.
+// A node that fails repeatedly must not get the leadership back after each recovery.
 test('a flapping node is trusted at once, but leadership is transferred to it with growing backoff', () => {
   const scene = new Scene(TABLE);
   const settledAfter = (): number => {
@@ -221,7 +221,7 @@
   expect(usual(2000)).toBeGreaterThan(2.5 * usual(500));
 });
 
-// In a burst three controllers of a twelfth of a core handed the lead round every five seconds.
+// Under a burst every node is late: a transfer would only move the load.
 test('a leader that is late only because of its load keeps the leadership', () => {
   const scene = new Scene(TABLE);
   scene.a.hears({ reporting: 40, expected: 40, running: 40, neverReported: 0, silentMs: 5 }, 0, 0);
@@ -265,7 +265,7 @@
   expect(worst).toBeLessThanOrEqual(TIMES.leaderLeaseMs + 2 * hop);
 });
 
-// Held back on the way, what a former life had to say would make the present one a witness, or a leader, again.
+// A delayed message of an earlier incarnation must not count as evidence of the current one.
 test('messages of an earlier incarnation are ignored, however many incarnations followed', () => {
   const scene = new Scene(TABLE);
   const isPresent = (incarnation: string): boolean => scene.a.isPresentLife({ node: 'b', incarnation });
--- a/test/planning-equivalence.test.ts
+++ b/test/planning-equivalence.test.ts
@@ -11,8 +11,7 @@
 const need = room.map((amounts) => ({ ...amounts, gpus: 0 }));
 const at = fc.integer({ min: 1, max: 40 }).map((s) => 102_000 + s * 1000);
 
-// The plan of a burst took tasks x machines x ends: at 160 machines a leader on a twelfth
-// of a core lost its lease over it.
+// An exhaustive search costs tasks x machines x ends, more than a leader's lease allows in a burst.
 test('planned openings select the same machine as an exhaustive search', () => {
   const machine = fc.record({ ready: at, ends: fc.array(fc.record({ at, need }), { maxLength: 4 }) });
   fc.assert(
--- a/test/read-consistency.test.ts
+++ b/test/read-consistency.test.ts
@@ -79,7 +79,7 @@
 
 const names = (count: number): string[] => Array.from({ length: count }, (_, i) => `req-${i}`);
 
-// Each poll of a live job cost a request, of an unknown one two: eight times as many were refused.
+// One store request for each poll would exceed the request limit of the store.
 test('a thousand concurrent reads cost a few store requests; polls each second a bounded number', async () => {
   const slow = new Slow();
   for (const id of names(500)) slow.enter(id);
@@ -165,7 +165,7 @@
   expect((await slow.ask(['req-1', 'req-2'])).map(({ kind }) => kind)).toEqual(['ended', 'live']);
 });
 
-// A record that could not be read was answered 503 for ever: its job was forgotten, though accepted.
+// An unreadable record must not make an accepted job unknown.
 test('a job with a corrupt description is still found', async () => {
   const slow = new Slow();
   slow.store.commit({ preconditions: [], mutations: [{ put: 'job/req-1', value: 'rubbish' }] });
@@ -183,7 +183,7 @@
   expect(admission.enter('show', 'req-3')).not.toBeNull();
 });
 
-// Under a storm of others it was put off anew in each round.
+// Otherwise a burst of other reads could put it off in each batch.
 test('a read that exceeds one batch is among the first of the next', async () => {
   const slow = new Slow(1e6);
   const ids = names(80);
@@ -201,7 +201,7 @@
   expect(answered.slice(0, 40).sort()).toEqual(ids.slice(0, 40).sort());
 });
 
-// Begun anew after each refused page, a list of many pages never ended, and each poll got 503.
+// Restarted after each refused page, a long list would never complete.
 test('a paged list resumes after a page that was refused', async () => {
   const keys = Array.from({ length: 1200 }, (_, i) => `job/req-${String(i).padStart(6, '0')}`);
   let asked = 0;
--- a/test/readiness.test.ts
+++ b/test/readiness.test.ts
@@ -29,7 +29,7 @@
   expect(world.ready()).toEqual([true, true, true]);
 });
 
-// It stayed in the load balancer's list, and answered each user 503, while the others could have served them.
+// Its users are served by the other nodes once the load balancer drops it.
 test('a node that reaches neither the store nor a peer is not ready', async () => {
   const world = new Simulation(seeded(3));
   await world.clock.runUntil(10_000);
--- a/test/response-tracking.test.ts
+++ b/test/response-tracking.test.ts
@@ -32,7 +32,7 @@
   return { bench, seq: 3 };
 }
 
-// It looked alive for ever: each session it got a machine's worth of tasks, and lost them with its lease.
+// Its heartbeats look alive, but each start on it is lost.
 test('a machine that does not acknowledge a start gets no new task until it does', async () => {
   const { bench, seq } = deaf();
   const claim = [...(bench.state.machines.get('m')?.claims.values() ?? [])][0];
@@ -67,7 +67,7 @@
   await bench.expectTrace('unresponsive-stays');
 });
 
-// A leader that is behind its timers answers too late: 8 machines at work were given back with 200 tasks.
+// An overloaded leader responds after the worker's timeout: no fault of the machine.
 test('late responses of an overloaded leader do not count as missed by a machine', () => {
   const { bench, seq } = deaf();
   bench.do({ kind: 'tick', isOverloaded: true });
@@ -94,7 +94,7 @@
   expect(usable(bench, 'm')).toBe(true);
 });
 
-// Where this node's own words get lost, all machines seem deaf: none of them is to blame.
+// If the responses of this node are lost, all machines seem unresponsive and none is at fault.
 test('many unresponsive machines are one event: none is terminated for it', () => {
   const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
@@ -121,7 +121,7 @@
   expect(bench.state.machines.get('m')?.claims.size).toBe(1);
 });
 
-// Copies of a dead machine's reports come in order: to a leader that never heard it they look like its own.
+// To a leader that never heard from the machine, duplicates that arrive in order look like its heartbeats.
 test('duplicates after failover do not keep a machine alive that never shows the fencing token', async () => {
   const bench = new CoreHarness();
   const { workerLeaseMs, silenceTimeoutMs } = bench.state.config.timing;
--- a/test/retransmission.test.ts
+++ b/test/retransmission.test.ts
@@ -27,7 +27,7 @@
   expect(timer.timeout).toBeGreaterThan(1200);
 });
 
-// Each lost answer held the leader's next write up for three times as long as it had to.
+// The next write waits for the outcome of the one before.
 test('a lost response of a service that answers in milliseconds is detected soon', async () => {
   let silent = false;
   const server = createServer((request, response) => {
@@ -49,7 +49,7 @@
   server.close();
 });
 
-// The timer came first after a stall, and an answer that was there was thrown away: its outcome was unknown.
+// After a pause the timer fires before the response that has already arrived is read.
 test('a response that arrived while this process was paused counts', async () => {
   const far = new Worker(
     `const { createServer } = require('node:http');
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -183,7 +183,7 @@
   expect(await get('/v2/runs/req-000021')).toMatchObject({ status: 200, body: { stage: 'withdrawn' } });
 });
 
-// A node that answers polls while no leader works would call it pending for ever.
+// Otherwise a node that answers polls without a leader would report it as pending for ever.
 test('without a leader a poll evaluates the DAG itself', async () => {
   const chain = ['req-000030', 'req-000031', 'req-000032'];
   for (const [i, nameId] of chain.entries())
@@ -196,7 +196,7 @@
   expect((await get('/v2/runs/req-000032')).body).toMatchObject({ stage: 'withdrawn' });
 });
 
-// One poll looked through 50 jobs, and had no answer beyond that for as long as no leader vouched.
+// The number of jobs in a DAG must not bound what a poll can answer.
 test('without a leader a poll evaluates a DAG of any length with a few requests', async () => {
   const chain = Array.from({ length: 150 }, (_, i) => `req-0004${String(100 + i)}`);
   for (const [i, nameId] of chain.entries())
@@ -219,7 +219,7 @@
   settled = true;
 });
 
-// Entered late, after the cancellation has gone through, nobody would withdraw it.
+// Committed after the cancellation has propagated, it would never be cancelled.
 test('a submission commits only while its dependencies are unchanged since they were read', async () => {
   expect((await post({ ...good, nameId: 'req-000040' })).status).toBe(201);
   const modRevision = state.read('job/req-000040')?.modRevision;
@@ -263,7 +263,7 @@
   expect((await get('/ready')).status).toBe(200);
 });
 
-// Thousands of polls at once, as after an outage, piled up behind a state service that did not answer.
+// Thousands of polls at once, as after an outage, must not queue behind a store that does not answer.
 test('load above capacity is shed at once, polls first, with spread retry times', () => {
   let now = 0;
   const admission = new Admission({ ...systemClock, monotonicMs: () => now }, 20);
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -507,7 +507,7 @@
   expect(world.intakeMessages).toBe(0);
 });
 
-// Sent on to a follower that had not taken the leader's word, workers came back at once, and jobs stood still.
+// A follower without the leader's snapshot would redirect the workers straight back.
 test('no worker is redirected to a follower that does not accept heartbeats for this leader', async () => {
   const { world } = await startBusyCluster(3, { sharing: true });
   const before = world.intakeMessages;
--- a/test/stale-reads.test.ts
+++ b/test/stale-reads.test.ts
@@ -41,7 +41,7 @@
   expect(world.readsAfterWrites).toBeGreaterThanOrEqual(30 * 2 * NODES.length);
 });
 
-// 2. A transaction is carried out at once and only its answer is lost, while other nodes read what it wrote.
+// 2. A transaction is applied at once and only its response is lost, while other nodes read what it wrote.
 test.each([
   ['a submission', 'job/'],
   ['claims', 'run/'],
@@ -77,7 +77,7 @@
   await expectCleanEnd(world);
 });
 
-// Elected unseen, a leader had its lease run out 0.8 s later, before its first renewal: nobody led for 3 s more.
+// The lease of a node that does not know of its election must not expire before the first renewal.
 test('a node whose election response is lost keeps its lease and leads', async () => {
   const { world } = await startBusyCluster();
   const terms = (): number => world.logged.filter(({ msg }) => msg === 'elected').length;
@@ -93,7 +93,7 @@
   await expectCleanEnd(world);
 });
 
-// The answer to a renewal is lost only after most of the lease; waiting the usual pause as well let it end.
+// A lost response is known only after most of the lease; a full interval more would let it expire.
 test('a lease renewal whose response is lost is retried before the next one is due', () => {
   const times = timing(testSettings(0));
   const election = createElection('n-0', 'life', times);
@@ -138,7 +138,7 @@
   await expectCleanEnd(world);
 });
 
-// 3. Every team is at its limit, cancelled jobs are on machines cut off or hanging, the leader changes.
+// 3. Every team is at its quota, cancelled jobs are on partitioned or paused machines, the leader changes.
 test.each([
   ['partitioned', 1],
   ['partitioned', 3],
@@ -207,7 +207,7 @@
   expect([...state.keys.keys()].filter((key) => key.includes('req-7'))).toEqual([]);
 });
 
-// 4. Jobs are cancelled in the seconds in which one controller's work changes hands.
+// 4. Jobs are cancelled in the seconds of a change of leader.
 test.each(['hands over', 'elected', 'leading'])(
   'a cancellation takes effect during a change of leader: around "%s"',
   async (moment) => {
@@ -301,7 +301,7 @@
   },
 );
 
-// 6. An old report reaches every controller just as a new leader begins.
+// 6. A stale heartbeat reaches every controller just as a new leader begins.
 test('stale heartbeats that reach every controller as a leader begins free, end or place nothing', async () => {
   // Of all reports, also those from before there was a task on the machines.
   const { world } = await startBusyCluster(3, { runs: [90_000, 1000], copies: 60_000 });
@@ -386,7 +386,7 @@
   expect(CoreHarness.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
 });
 
-// Called directly it answered, so it was never given back; its tasks had long lost their lease.
+// An answer to a direct call does not renew the lease: its tasks are gone.
 test('a machine that reaches no controller and whose lease has expired is terminated although it answers direct calls', () => {
   const bench = new CoreHarness();
   const { silenceTimeoutMs, tickMs, workerLeaseMs } = bench.state.config.timing;
@@ -426,7 +426,7 @@
   expect(returned - since).toBeLessThan(workerLeaseMs + 1.5 * silenceTimeoutMs);
 });
 
-// Each new leader began to wait anew: through ten leaders in two minutes a cancelled task kept its place.
+// Repeated failovers must not extend the wait without bound.
 test('a machine that no leader has heard from is terminated sooner if it holds cancelled tasks', () => {
   const { shortSilenceTimeoutMs, tickMs } = new CoreHarness().state.config.timing;
   const returnedAfter = (cancelled: boolean): number => {
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -38,7 +38,7 @@
   }
 }
 
-// Nothing in the service stopped a task to make room: rush work waited 300 s behind idle-time work.
+// Without preemption urgent work waits behind long best-effort tasks.
 test('best-effort work is preempted with a checkpoint for a job that would miss an objective, and keeps its queue position', async () => {
   const shift = new Shift();
   shift.add(guest('req-1', 2, 4));
@@ -87,7 +87,7 @@
   expect(stops(soon.hear([task('req-1/0', 1, 'running')], 1000))).toEqual([]);
 });
 
-// Stopped again and again before it has saved anything, a task would never end.
+// Preempted again and again before a checkpoint, a task would never end.
 test('a preempted task gains a checkpoint before it may be preempted again', () => {
   const shift = new Shift();
   shift.add(guest('req-1', 1, 8));
@@ -112,7 +112,7 @@
   expect(stops(shift.hear([task('req-1/0', 1, 'running')], 5000))).toEqual([]);
 });
 
-// The paper guards the head alone; in the order of priorities a job of the lowest one waited for ever.
+// EASY protects only the head; ordered by priority alone, a job of the lowest would wait for ever.
 test('a job near the bound on its waiting time gets a reservation against all others', async () => {
   const shift = new Shift();
   const { bench } = shift;
@@ -170,7 +170,7 @@
   expect(state.reservedJobs).toEqual([]);
 });
 
-// Three home jobs that had waited longest held all promises: a guest's arrays began after the bound.
+// Jobs of one class that have waited longest must not hold all reservations.
 test('each class has its own starvation reservations, however long the backlog of another', () => {
   const shift = new Shift();
   const { state } = shift.bench;
@@ -184,7 +184,7 @@
   expect(ids.filter((id) => id < 'req-6')).toHaveLength(2);
 });
 
-// Below its guarantee a team need not wait for what others have borrowed, whatever its priority.
+// Below its guarantee a team need not wait for quota that others have borrowed, whatever its priority.
 test('guaranteed quota is reclaimed by preempting a team above its own guarantee', async () => {
   const shift = new Shift();
   const { bench } = shift;
@@ -208,7 +208,7 @@
   await bench.expectTrace('quota-guarantee');
 });
 
-// Late whatever is done, a backlog of 32-core tasks kept a guest's arrays waiting for 400 s.
+// A job that is late whatever is done gains nothing from precedence over best-effort work.
 test('a job that can no longer meet its deadline queues by arrival among best-effort work', () => {
   const shift = new Shift();
   const { bench } = shift;
@@ -222,7 +222,7 @@
   expect(order).toEqual(['req-4', 'req-2', 'req-3']);
 });
 
-// An array of 20,000 short tasks took the processor that the leader needed to hear its workers.
+// Placing a large array at once would take the processor time that heartbeats need.
 test('an overloaded leader places a bounded number of deferrable tasks, and all that are urgent', () => {
   const bench = new CoreHarness();
   const names = Array.from({ length: 20 }, (_, i) => `m${i}`);
@@ -247,7 +247,7 @@
   expect(claims('req-1')).toBeGreaterThan(100);
 });
 
-// One object for each of 100,000 tasks would not fit a controller of 114 MB beside all else.
+// One object for each task would not fit the memory quota of a controller.
 test('memory for an array of 100,000 tasks is proportional to its running tasks', () => {
   const shift = new Shift();
   const { state } = shift.bench;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -240,7 +240,7 @@
   expect(on('old')).toEqual([24, 25, 26, 27, 28, 29]);
 });
 
-// A transaction that the state service will never take was sent again at every tick.
+// The store never accepts it, so a retry at every tick would be wasted.
 test('a transaction rejected for its size is split, then backed off, and never retried for ever', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
