--- a/test/fleet.test.ts
+++ b/test/correlated-failures.test.ts
@@ -1,4 +1,4 @@
-/** Many machines lost at once: what is given back, what runs again, and what a cut-off leader must not ask for. */
+/** Many machines lost at once: what is terminated, what runs again, and what a partitioned leader must not request. */
 import { expect, test } from 'vitest';
 import { RetryBudget } from '../src/adapters/rate-limiter.js';
 import { countLostObjectives, isStartSensitive, latestStart } from '../src/core/jobs/index.js';
@@ -6,16 +6,15 @@
 import type { Effect } from '../src/core/effects.js';
 import type { ClassObjectives } from '../src/core/model.js';
 import { claimTask } from '../src/core/persistence/index.js';
-import { CoreBench, EIGHT, job, report, task } from './standins/core.js';
+import { CoreHarness, EIGHT, job, report, task } from './emulators/core-harness.js';
 
 const returned = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
 const rented = (effects: readonly Effect[]): number =>
   effects.reduce((sum, effect) => sum + (effect.kind === 'provision' ? effect.count : 0), 0);
 
-// Of two start aims of a class the last one in the settings won: a class that must start within
-// three seconds was served as one that may wait for fifty.
-test('a class may have any number of aims of each kind, and each counts by itself', () => {
+// Of several start objectives of a class the tightest decides how urgent it is, not the last one in the settings.
+test('a class may have several objectives of each kind, and each counts separately', () => {
   const aims = classObjectives([
     { kind: 'wait', class: 'rush', within_s: 3 },
     { kind: 'wait', class: 'rush', within_s: 50 },
@@ -28,7 +27,7 @@
     deadlineMultiples: [1, 1.5],
     finishTargetsMs: [100_000],
   });
-  const bench = new CoreBench();
+  const bench = new CoreHarness();
   (bench.state.config.objectives as Map<string, ClassObjectives>).set(
     'rush',
     aims.get('rush') as ClassObjectives,
@@ -45,13 +44,13 @@
   expect(latestStart(bench.state, rush, bench.time())).toBeLessThanOrEqual(bench.now + 3000);
 });
 
-// A cut held back the returns that a leader had asked for on the wrong side of it; carried out
-// when it ended, they took a third of the fleet from its successor, alive and at work.
-test('a leader whose view is not proven fresh asks nothing of the cloud', () => {
-  const bench = new CoreBench();
+// A partition delays requests to the cloud: terminations of a partitioned leader would take effect after its
+// end, on machines that work for its successor.
+test('a leader whose view is stale requests nothing from the cloud', () => {
+  const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   for (const name of names) bench.hear(report(name, 1));
-  bench.proven = false;
+  bench.isViewConfirmed = false;
   bench.now += 3 * bench.state.config.timing.silenceTimeoutMs;
   bench.state.leadership = {
     ...(bench.state.leadership ?? {
@@ -65,15 +64,15 @@
   };
   bench.add(job('req-1', 9, 8, 50));
   expect([returned(bench.do({ kind: 'tick' })), rented(bench.do({ kind: 'tick' }))]).toEqual([[], 0]);
-  bench.proven = true;
+  bench.isViewConfirmed = true;
   expect(returned(bench.do({ kind: 'tick' }))).toEqual(names);
 });
 
 const FAR = ['p', 'q', 'r', 's'];
 
 /** Four machines of zone b, each with a task of a job that has so long; the leader hears only m, of zone a. */
-function apart(deadlineS: number | null, hears = true): CoreBench {
-  const bench = new CoreBench();
+function apart(deadlineS: number | null, hears = true): CoreHarness {
+  const bench = new CoreHarness();
   for (const name of FAR) bench.hear(report(name, 1, [], { zone: 'b' }));
   bench.add(job('req-1', 4, 8, 20, { deadlineS, submittedAt: bench.now }));
   for (const name of FAR) bench.hear(report(name, 2, [], { zone: 'b' }));
@@ -86,22 +85,21 @@
   return bench;
 }
 
-// Rush work waited 41 s for a zone to come back whose leases had long ended.
-test('of a zone that is cut off, what would be late by waiting runs again once its leases are over', () => {
+// After lease expiry nothing in the zone runs any more, so waiting for it gains nothing.
+test('tasks of a partitioned zone that waiting would make late run again after lease expiry', () => {
   expect(returned(apart(50).do({ kind: 'tick' }))).toEqual(FAR);
   expect(returned(apart(null).do({ kind: 'tick' }))).toEqual([]);
   // One that hears nobody at all has lost the workers, not they their zone.
   expect(returned(apart(50, false).do({ kind: 'tick' }))).toEqual([]);
 });
 
-// Each change of leader during a cut began the wait anew: a zone was given back six seconds
-// before it came back.
-test('how long a zone has been quiet outlives the leader that saw it', () => {
+// A change of leader must not restart the wait for a partitioned zone.
+test('the time since a zone fell silent survives a change of leader', () => {
   const before = apart(45);
   const { timing } = before.state.config;
   const jobs = [...before.state.jobs.values()].map(({ spec, modRevision }) => ({ value: spec, modRevision }));
   const next = (quiet: Map<string, number>): string[] => {
-    const bench = new CoreBench();
+    const bench = new CoreHarness();
     bench.now = before.now;
     const { layout, legacyChunkTasks } = bench.state;
     const term = {
@@ -138,13 +136,13 @@
   expect(next(new Map([['b', before.now - timing.silenceTimeoutMs]]))).toEqual(FAR);
 });
 
-// What ran on a machine with a notice was lost with it, and found lost only 10 s after.
-test('a machine with a notice is drained of what would not end there, and goes back when it is taken', () => {
-  const bench = new CoreBench();
+// A task that cannot end before the machine is reclaimed is moved before it is lost.
+test('a machine with a termination notice is drained of tasks that cannot finish, and terminated when reclaimed', () => {
+  const bench = new CoreHarness();
   for (const name of ['m', 'n', 'o', 'p']) bench.hear(report(name, 1));
   bench.add(job('req-1', 2, 4, 100));
   const before = bench.hear(report('m', 2));
-  expect(CoreBench.starts(before)).toHaveLength(2);
+  expect(CoreHarness.starts(before)).toHaveLength(2);
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')];
   bench.hear(report('m', 3, running, { terminationNoticeS: 20 }));
   bench.do({ kind: 'tick' });
@@ -156,9 +154,9 @@
   expect(returned(bench.do({ kind: 'tick' }))).toEqual(['m']);
 });
 
-// Fifty machines each three seconds: a fleet of 600 took 13 s to be asked for.
-test('all machines that a plan wants are asked for at once, evenly among zones of one price', () => {
-  const bench = new CoreBench(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
+// Requests in small batches would delay a scale-out of hundreds of machines by seconds.
+test('scale-out requests all planned machines at once, evenly over zones of equal price', () => {
+  const bench = new CoreHarness(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
   bench.now += 1000;
   bench.add(job('req-1', 200, 8, 50));
   const asked = bench.do({ kind: 'tick' }).filter((effect) => effect.kind === 'provision');
@@ -171,10 +169,9 @@
 const knocked = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'probe' ? [effect.machine] : []));
 
-// A dead machine's tasks waited 11 s to run again: as long as a worker may take that has lost
-// its controller and tries the others.
-test('a machine that twice takes no connection, while most around it are heard, is given up', () => {
-  const bench = new CoreBench();
+// Without probes a dead machine is known only after the time a worker may need to try all controllers.
+test('a machine that fails two probes while most of its neighbours report is terminated', () => {
+  const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs, shortSilenceTimeoutMs } = bench.state.config.timing;
   const others = ['n', 'o', 'p'];
   let seq = 0;
@@ -209,9 +206,9 @@
   expect(returned(bench.do({ kind: 'tick' }))).toEqual(['m']);
 });
 
-// A report on its way when the knock met nobody is the newer word.
-test('what a knock met counts for nothing once the machine is heard again', () => {
-  const bench = new CoreBench();
+// A heartbeat that is on its way when a probe fails is the newer evidence.
+test('a probe result is discarded once the machine reports again', () => {
+  const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs } = bench.state.config.timing;
   for (const name of ['m', 'n', 'o']) bench.hear(report(name, 1));
   bench.now += 1.3 * maxHeartbeatIntervalMs;
@@ -226,9 +223,8 @@
   expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
 });
 
-// In an outage of the state service each poll and submission went out to it, and all that waited
-// for the cloud was asked anew every second.
-test('a service in trouble is asked only so often, until it answers', () => {
+// Retries without a budget would multiply the load on a failing service.
+test('the retry budget limits requests to a failing service until it answers', () => {
   let now = 0;
   const budget = new RetryBudget(
     {
--- a/test/pipelines.test.ts
+++ b/test/dag-dependencies.test.ts
@@ -1,11 +1,11 @@
-/** Jobs that wait for others: kept traces, and a test for each guard. */
+/** Jobs with dependencies: kept traces, and a test for each guard. */
 import { expect, test } from 'vitest';
 import type { Command, Effect } from '../src/core/effects.js';
 import { resolvedUntil } from '../src/core/jobs/index.js';
 import type { EndedRecord, FinalStage, JobSpec } from '../src/core/types.js';
-import { CoreBench, job, report, task } from './standins/core.js';
+import { CoreHarness, job, report, task } from './emulators/core-harness.js';
 
-const starts = (effects: readonly Effect[]): string[] => CoreBench.starts(effects);
+const starts = (effects: readonly Effect[]): string[] => CoreHarness.starts(effects);
 const questions = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'resolveDependencies' ? effect.ids : []));
 const ended = (stage: FinalStage): EndedRecord => ({ stage, tasks: 1, done: 1, at: 100_000 });
@@ -21,7 +21,7 @@
   #seq = 1;
   #on: ReturnType<typeof task>[] = [];
 
-  constructor(readonly bench: CoreBench) {}
+  constructor(readonly bench: CoreHarness) {}
 
   hear(): string[] {
     const effects = this.bench.hear(report('m', this.#seq++, this.#on));
@@ -43,12 +43,12 @@
 }
 
 function runner(): Runner {
-  const run = new Runner(new CoreBench());
+  const run = new Runner(new CoreHarness());
   run.hear();
   return run;
 }
 
-test('a chain: each job starts at once when the one before it is committed as done', async () => {
+test('chain: each job starts as soon as its predecessor is committed as done', async () => {
   const run = runner();
   const { bench } = run;
   bench.add(piped('req-1', []));
@@ -59,10 +59,10 @@
   expect(run.hear()).toEqual(['req-2/0#1']);
   run.finish('req-2/0');
   expect(run.hear()).toEqual(['req-3/0#1']);
-  await bench.keep('chain');
+  await bench.expectTrace('chain');
 });
 
-test('a diamond: the last job waits for both branches', async () => {
+test('diamond: the last job waits for both branches', async () => {
   const run = runner();
   const { bench } = run;
   bench.add(piped('req-1', []));
@@ -76,10 +76,10 @@
   run.finish('req-3/0');
   run.hear();
   expect(bench.state.jobs.get('req-4')?.claims.size).toBe(1);
-  await bench.keep('diamond');
+  await bench.expectTrace('diamond');
 });
 
-test('a fan: a cancelled job takes along all that need it, in as many transactions as it takes', async () => {
+test('fan-out: cancelling a job cancels all its dependents, in as many transactions as needed', async () => {
   const run = runner();
   const { bench } = run;
   bench.add(piped('req-1', []));
@@ -95,10 +95,10 @@
     bench.now += 250;
   }
   expect([...bench.state.jobs.keys()]).toEqual([]);
-  await bench.keep('fan-cancelled');
+  await bench.expectTrace('fan-cancelled');
 });
 
-test('too early: a job whose last exit is seen but not committed is not done', () => {
+test('a job whose last exit is reported but not committed is not done', () => {
   const run = runner();
   const { bench } = run;
   bench.add(piped('req-1', []));
@@ -117,7 +117,7 @@
   expect(bench.state.jobs.get('req-2')?.claims.size).toBe(0);
 });
 
-test('what is awaited and not known is asked for; only a committed done makes ready', () => {
+test('an unknown dependency is looked up, and only a committed done satisfies it', () => {
   const { bench } = runner();
   expect(questions(bench.add(piped('req-2', ['req-1'])))).toEqual(['req-1']);
   const claims = (): number => bench.state.jobs.get('req-2')?.claims.size ?? 0;
@@ -135,7 +135,7 @@
   expect(claims()).toBe(1);
 });
 
-test('a job that waits is neither the head nor counted as waiting, and blocks nobody', async () => {
+test('a job with open dependencies is neither head nor counted as waiting, and blocks no other', async () => {
   const run = runner();
   const { bench } = run;
   bench.add(job('req-1', 1, 6, 100));
@@ -144,10 +144,10 @@
   bench.add(job('req-3', 1, 2, 1000));
   expect(run.hear().sort()).toEqual(['req-1/0#1', 'req-3/0#1']);
   expect(bench.state.head).toBeNull();
-  await bench.keep('waiting-job');
+  await bench.expectTrace('open-dependency');
 });
 
-test('priority and deadline are passed back through the pipeline', () => {
+test('priority and deadline propagate to the dependencies of a job', () => {
   const { bench } = runner();
   bench.add(piped('req-1', [], { priority: 3 }));
   bench.add(piped('req-2', ['req-1'], { priority: 3 }));
@@ -160,7 +160,7 @@
   expect(first?.inheritedDeadline).toBeGreaterThan(last - 160_000);
 });
 
-test('a leader vouches for cancellations only up to what it has carried through', () => {
+test('a leader confirms cancellations only up to those it has propagated to dependents', () => {
   const { bench } = runner();
   bench.add(piped('req-1', []));
   bench.add(piped('req-2', ['req-1']));
--- a/test/suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -1,14 +1,14 @@
-/** Faults between controllers: who suspects whom, who leads then, when work goes on. Traces are read by people. */
+/** Faults between controllers: suspicion, failover, and when starts continue. Traces are in test/traces/. */
 import { expect, test } from 'vitest';
-import { seeded, testSettings, World, type Logged } from './standins/world.js';
+import { seeded, testSettings, Simulation, type LogLine } from './emulators/simulation.js';
 import { timing } from '../src/config/settings.js';
 
 const TIMES = timing(testSettings(0));
 const FROM = 20_000;
 
 /** A service at work: a stream of small jobs, so that something starts many times a second. */
-async function atWork(seed = 5): Promise<{ world: World; leader: number }> {
-  const world = new World(seeded(seed), { keepLog: true });
+async function atWork(seed = 5): Promise<{ world: Simulation; leader: number }> {
+  const world = new Simulation(seeded(seed), { keepLog: true });
   world.cloud.capacity = 40;
   const wish = { team: 'crew', tasks: 8, cpus: 2, memoryGb: 1, spot: true };
   for (let i = 0; i < 220; i += 1) {
@@ -26,7 +26,7 @@
 const others = (leader: number): number[] => [0, 1, 2].filter((node) => node !== leader);
 
 /** Lets time pass; the longest time without a start, from a moment on. */
-async function pauseIn(world: World, from: number, to: number): Promise<number> {
+async function pauseIn(world: Simulation, from: number, to: number): Promise<number> {
   let longest = 0;
   let last = from;
   let started = world.checker.started;
@@ -51,7 +51,7 @@
   'stepped down',
 ]);
 
-function told({ at, node, msg, ...more }: Logged): string {
+function told({ at, node, msg, ...more }: LogLine): string {
   const { peer, evidence, to, why, reason, term, leader, jobs } = more;
   const about = [
     peer,
@@ -67,27 +67,27 @@
   return `${((at - FROM) / 1000).toFixed(1).padStart(5)} s  ${node}  ${[msg, ...rest, ...loaded].join(': ')}`;
 }
 
-const trace = (world: World): string =>
+const trace = (world: Simulation): string =>
   `${world.logged
     .filter(({ at, msg }) => at >= FROM && TOLD.has(msg))
     .map(told)
     .join('\n')}\n`;
 
-async function endsWell(world: World, name: string): Promise<void> {
-  await expect(trace(world)).toMatchFileSnapshot(`traces/between-${name}.txt`);
+async function endsWell(world: Simulation, name: string): Promise<void> {
+  await expect(trace(world)).toMatchFileSnapshot(`traces/failover-${name}.txt`);
   await world.clock.runUntil(FROM + 160_000);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
   expect([...world.cloud.workers.values()].filter(({ session }) => session > 1)).toEqual([]);
 }
 
-const changes = (world: World): number =>
+const changes = (world: Simulation): number =>
   world.logged.filter(({ at, msg }) => at >= FROM && msg === 'elected').length;
-const givenBack = (world: World): Logged[] =>
+const givenBack = (world: Simulation): LogLine[] =>
   world.logged.filter(({ at, msg, reason }) => at >= FROM && msg === 'give back' && reason !== 'idle');
 
-// A crash cost the lease and a report's hearing, whatever all others knew at once.
-test('a crashed leader is followed before its lease is over, and starts go on', async () => {
+// The evidence of all peers allows an election before the lease expires.
+test('a crashed leader is replaced before its lease expires, and starts continue', async () => {
   const { world, leader } = await atWork();
   world.crash(leader, 60_000);
   expect(await pauseIn(world, FROM, FROM + 15_000)).toBeLessThan(
@@ -100,10 +100,10 @@
   await endsWell(world, 'crash');
 });
 
-// It kept its lease for 45 s, and nothing was started while two healthy controllers stood by.
-test('a leader that hears no worker hands over to one that can reach them', async () => {
+// A leader that renews its lease but reaches no worker starts nothing.
+test('a leader without heartbeats transfers leadership to a node that reaches the workers', async () => {
   const { world, leader } = await atWork();
-  for (const name of world.cloud.workers.keys()) world.network.cut(`n-${leader}`, name, 40_000);
+  for (const name of world.cloud.workers.keys()) world.network.partition(`n-${leader}`, name, 40_000);
   expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(
     4000 + 1000 + 2 * TIMES.maxHeartbeatIntervalMs,
   );
@@ -112,17 +112,17 @@
   await endsWell(world, 'no-workers');
 });
 
-// The one that had handed over was elected again, heard nobody, and 1,787 tasks lost their lease.
-test('a node that reaches no machine is not elected again while another is left', async () => {
+// Re-elected, it would hear no worker, and their leases would expire.
+test('a node that reaches no machine is not re-elected while another candidate is left', async () => {
   const { world, leader } = await atWork();
   // No new machine, which could reach it.
   world.cloud.capacity = 0;
   await world.clock.runUntil(FROM + 8000);
-  for (const name of world.cloud.workers.keys()) world.network.cut(`n-${leader}`, name, 30_000);
+  for (const name of world.cloud.workers.keys()) world.network.partition(`n-${leader}`, name, 30_000);
   await world.clock.runUntil(FROM + 13_000);
   const [second] = world.leaders();
   expect(second).not.toBe(`n-${leader}`);
-  world.freeze(Number(second?.slice(2)), 3 * TIMES.leaderLeaseMs);
+  world.pause(Number(second?.slice(2)), 3 * TIMES.leaderLeaseMs);
   await pauseIn(world, world.clock.now, FROM + 25_000);
   const elected = world.logged
     .filter(({ at, msg }) => at > FROM && msg === 'elected')
@@ -133,8 +133,8 @@
   await endsWell(world, 'cut-off-twice');
 });
 
-// The old leader knew nothing of it and answered the workers for 28 s; the new one gave 200 machines back.
-test('peers refused, then a change of leader: the new one gets the workers, and gives none back', async () => {
+// Without peer links the old leader does not learn of its successor and goes on answering workers.
+test('when peer links are refused, a new leader takes over the workers and terminates none', async () => {
   const { world, leader } = await atWork();
   world.refusePeers(45_000);
   await world.clock.runUntil(FROM + 3000);
@@ -145,7 +145,7 @@
   await endsWell(world, 'refused-peers');
 });
 
-test('peers refused and nothing else: nobody stands, nobody is judged, no worker is kept', async () => {
+test('refused peer links alone cause no election, no suspicion and no lost worker', async () => {
   const { world, leader } = await atWork();
   world.refusePeers(30_000);
   expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(2 * TIMES.maxHeartbeatIntervalMs);
@@ -153,9 +153,9 @@
   await endsWell(world, 'only-refused');
 });
 
-test('a stall of half a lease changes nothing; one of two leases changes the leader once', async () => {
+test('a pause of half a lease changes nothing; one of two leases changes the leader once', async () => {
   const short = await atWork();
-  short.world.freeze(short.leader, 0.5 * TIMES.leaderLeaseMs);
+  short.world.pause(short.leader, 0.5 * TIMES.leaderLeaseMs);
   await pauseIn(short.world, FROM, FROM + 10_000);
   expect([short.world.leaders(), changes(short.world), givenBack(short.world)]).toEqual([
     [`n-${short.leader}`],
@@ -163,37 +163,37 @@
     [],
   ]);
   const long = await atWork();
-  long.world.freeze(long.leader, 2 * TIMES.leaderLeaseMs);
+  long.world.pause(long.leader, 2 * TIMES.leaderLeaseMs);
   await pauseIn(long.world, FROM, FROM + 20_000);
   expect([changes(long.world), givenBack(long.world)]).toEqual([1, []]);
   await endsWell(long.world, 'stall');
 });
 
-// A leader that computed four times slower kept the lead however far it was behind.
-test('a leader that falls behind its own timers hands over, and once only', async () => {
+// A leader that computes more slowly than before can be replaced by a node that keeps up.
+test('an overloaded leader transfers leadership exactly once', async () => {
   const { world, leader } = await atWork();
-  world.slow(leader, 2 * TIMES.tickMs);
+  world.slowDown(leader, 2 * TIMES.tickMs);
   await pauseIn(world, FROM, FROM + 15_000);
   expect(world.leaders()).not.toEqual([`n-${leader}`]);
-  world.slow(leader, 0);
+  world.slowDown(leader, 0);
   await pauseIn(world, world.clock.now, FROM + 25_000);
   expect(changes(world)).toBe(1);
   await endsWell(world, 'slow');
 });
 
-// Each time it came back it got the lead, and was frozen again.
-test('leadership is not handed back at once to a node that flaps', async () => {
+// A node that returns is likely to fail again soon.
+test('leadership is not transferred back at once to a flapping node', async () => {
   const { world, leader } = await atWork();
   for (const at of [0, 9000, 18_000])
-    world.clock.in(at, () => world.freeze(leader, 1.5 * TIMES.leaderLeaseMs));
+    world.clock.in(at, () => world.pause(leader, 1.5 * TIMES.leaderLeaseMs));
   await pauseIn(world, FROM, FROM + 30_000);
   expect(changes(world)).toBeLessThanOrEqual(2);
   await endsWell(world, 'flaps');
 });
 
-// The state service keeps only so many changes: a watch of the record from when it was written ended at
-// once, again and again, and three controllers asked 280,000 times on a day.
-test('however many changes there were, the leader record is asked for only so often', async () => {
+// The store retains a bounded number of changes: a watch from the revision of the record would be compacted
+// at once, again and again.
+test('the rate of leader record watches is bounded, whatever the number of revisions', async () => {
   const { world } = await atWork();
   while (world.state.revision < 500) await world.clock.runUntil(world.clock.now + 1000);
   let asked = 0;
@@ -206,7 +206,7 @@
   expect(asked).toBeLessThan(150);
 });
 
-test('two of three controllers crash at once: the third leads, and starts go on', async () => {
+test('when two of three controllers crash at once, the third leads and starts continue', async () => {
   const { world, leader } = await atWork();
   world.crash(leader, 8000);
   world.crash(others(leader)[0] as number, 8000);
@@ -215,13 +215,13 @@
   await endsWell(world, 'two-crash');
 });
 
-// Its workers reach it, nobody else does: each second in which it keeps them is one in which nothing starts.
-test('a leader alone with its workers lets them go to its successor, which gives none of them back', async () => {
+// While it keeps its workers nothing starts: it cannot commit.
+test('a leader partitioned with its workers releases them to its successor, which terminates none', async () => {
   const { world, leader } = await atWork();
   const alone = `n-${leader}`;
   world.state.refuse(alone, 30_000);
   for (const host of ['cloud', ...others(leader).map((node) => `n-${node}`)])
-    world.network.cut(alone, host, 30_000);
+    world.network.partition(alone, host, 30_000);
   const pause = await pauseIn(world, FROM, FROM + 25_000);
   expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 1000 + 4 * TIMES.maxHeartbeatIntervalMs);
   expect([changes(world), givenBack(world)]).toEqual([1, []]);
@@ -230,7 +230,7 @@
   await endsWell(world, 'alone');
 });
 
-test('a leader that is back within a tenth of a second, again and again in the election, holds nothing up', async () => {
+test('a leader that restarts within 100 ms, repeatedly during the election, delays nothing', async () => {
   const { world, leader } = await atWork();
   for (const at of [0, 150, 400, 900]) world.clock.in(at, () => world.crash(leader, 60));
   world.clock.in(500, () => world.crash(others(leader)[0] as number, 60));
--- a/test/golden.test.ts
+++ b/test/golden.test.ts
@@ -4,7 +4,7 @@
  */
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { expect, test } from 'vitest';
-import * as messages from './standins/golden-messages.js';
+import * as messages from './emulators/golden-messages.js';
 
 const FILES: readonly (readonly [string, () => string[] | Promise<string[]>])[] = [
   ['peers', messages.peers],
@@ -22,7 +22,7 @@
   ['policies', messages.policies],
 ];
 
-test.each(FILES)('%s: byte for byte as recorded', async (name, made) => {
+test.each(FILES)('%s are encoded byte for byte as recorded', async (name, made) => {
   const file = new URL(`golden/${name}.txt`, import.meta.url);
   const text = `${(await made()).join('\n')}\n`;
   if (!existsSync(file) && process.env['GOLDEN_RECORD'] === '1') writeFileSync(file, text);
--- a/test/leading.test.ts
+++ b/test/leader-role.test.ts
@@ -3,12 +3,12 @@
 import type { KeyValueStore } from '../src/adapters/key-value-store.js';
 import { FallbackResponder } from '../src/controller/fallback-responder.js';
 import { timing as timingOf } from '../src/config/settings.js';
-import type { Worker } from './standins/cloud.js';
-import { report, task } from './standins/core.js';
-import { seeded, testSettings, World } from './standins/world.js';
+import type { Worker } from './emulators/cloud.js';
+import { report, task } from './emulators/core-harness.js';
+import { seeded, testSettings, Simulation } from './emulators/simulation.js';
 
-test('a crashed leader is followed by another well within a worker lease', async () => {
-  const world = new World(seeded(5));
+test('a crashed leader is replaced well within a worker lease', async () => {
+  const world = new Simulation(seeded(5));
   await world.clock.runUntil(10_000);
   const [first] = world.leaders();
   const index = Number(first?.slice(2));
@@ -18,10 +18,10 @@
   expect(second).toBeDefined();
 });
 
-test('the badly placed node leads only until a better placed one is back', async () => {
+test('a less suitable node leads only until a more suitable one is back', async () => {
   // With the node after the leader in the leader's own zone, workers of a zone that was cut
   // off tried two nodes in vain and lost their leases before they found the deputy.
-  const world = new World(seeded(5));
+  const world = new Simulation(seeded(5));
   await world.clock.runUntil(10_000);
   world.crash(0, 5000);
   world.crash(1, 5000);
@@ -32,16 +32,15 @@
   expect(world.leaders()).not.toEqual(['n-2']);
 });
 
-// Each change of leader began the wait for silent machines anew: on a recorded day two of
-// them cost 50 tasks on dead machines 9 s more.
-test('no hand-over while machines with tasks have not been heard', async () => {
-  const world = new World(seeded(5));
+// Each change of leader restarts the wait for silent machines and delays the tasks on dead ones.
+test('leadership is not transferred while machines with tasks have not reported', async () => {
+  const world = new Simulation(seeded(5));
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 8, cpus: 4, memoryGb: 2, spot: true };
   void world.user({ ...job, zone: null, oneZone: false, spread: false }, null);
   while (world.checker.started === 0) await world.clock.runUntil(world.clock.now + 100);
   const from = world.clock.now;
-  for (const worker of world.cloud.workers.values()) worker.hang(120_000);
+  for (const worker of world.cloud.workers.values()) worker.pause(120_000);
   world.crash(0, 5000);
   world.crash(1, 5000);
   await world.clock.runUntil(from + 13_000);
@@ -50,9 +49,9 @@
   expect(world.leaders()).not.toEqual(['n-2']);
 });
 
-// Reports under invented names cost a leader a connection to each, and the plan its patience.
-test('a flood of malformed requests and invented machines costs no leadership and no lease', async () => {
-  const world = new World(seeded(5), { keepLog: true });
+// Heartbeats of unknown machines must cost the leader neither connections nor a change of plan.
+test('a flood of malformed requests and unknown machines costs neither leadership nor a lease', async () => {
+  const world = new Simulation(seeded(5), { keepLog: true });
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 30, cpus: 2, memoryGb: 2, spot: true };
   void world.user({ ...job, zone: null, oneZone: false, spread: false }, null);
@@ -68,13 +67,13 @@
   expect(world.cloud.workers.size).toBeGreaterThan(0);
   expect([...world.cloud.workers.values()].every(({ session }) => session === 1)).toBe(true);
   await world.clock.runUntil(80_000);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
 });
 
 /** Workers of one zone, all at work for one job. */
-async function atWork(): Promise<{ world: World; workers: Worker[] }> {
-  const world = new World(seeded(8));
+async function atWork(): Promise<{ world: Simulation; workers: Worker[] }> {
+  const world = new Simulation(seeded(8));
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 60, cpus: 8, memoryGb: 2, spot: true };
   void world.user({ ...job, zone: 'a', oneZone: false, spread: false }, null);
@@ -84,43 +83,39 @@
   return { world, workers };
 }
 
-async function endsWell(world: World): Promise<void> {
+async function endsWell(world: Simulation): Promise<void> {
   await world.clock.runUntil(120_000);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
 }
 
-// The leader learned of what its deputies answered up to 17 s late, and gave back 61 machines
-// alive with 441 tasks, which it alone could not hear.
-// It kept its lease for the whole of the cut, and nothing was started.
-test('a leader that loses all workers hands over: none is given back, and hardly any loses its lease', async () => {
+// A leader without heartbeats can neither start tasks nor tell dead machines from unreachable ones.
+test('a leader that loses all workers transfers leadership; none is terminated and hardly any lease expires', async () => {
   const { world, workers } = await atWork();
   const [leader] = world.leaders();
-  for (const { listed } of workers) world.network.cut(leader ?? '', listed.name, 25_000);
+  for (const { listed } of workers) world.network.partition(leader ?? '', listed.name, 25_000);
   await world.clock.runUntil(39_000);
   expect(world.leaders()).toHaveLength(1);
   expect(world.leaders()).not.toEqual([leader]);
-  expect(workers.filter(({ gone }) => gone)).toEqual([]);
+  expect(workers.filter(({ isTerminated }) => isTerminated)).toEqual([]);
   // One whose turn at a deputy came before the leader knew that it hears nobody may be too late.
   expect(workers.filter(({ session }) => session > 1).length).toBeLessThanOrEqual(1);
   await endsWell(world);
 });
 
-// Nobody can follow a leader that dies while the state service is away: every worker in the fleet
-// lost its lease, and all its work with it, before the outage was over.
-test('a leader dies in an outage: its deputies answer by what it has told them, and no lease is lost', async () => {
+// No leader can be elected in a store outage; without responses every worker lease would expire.
+test('when the leader crashes in a store outage, followers answer workers from its snapshots and no lease expires', async () => {
   const { world, workers } = await atWork();
   world.state.outage(17_000);
   await world.clock.runUntil(15_500);
   world.crash(Number(world.leaders()[0]?.slice(2)), 60_000);
   await world.clock.runUntil(40_000);
-  expect(workers.filter(({ session, gone }) => session > 1 || gone)).toEqual([]);
+  expect(workers.filter(({ session, isTerminated }) => session > 1 || isTerminated)).toEqual([]);
   await endsWell(world);
 });
 
-// Counted from when it came, a word that a cut had held back would keep tasks alive that were
-// cancelled long before.
-test('a deputy answers by what it was told as long as a leader might, from when that was proven', async () => {
+// Counted from its arrival, a snapshot delayed by a partition would keep cancelled tasks alive.
+test('a follower answers workers from a snapshot for the authority window since the snapshot was proven', async () => {
   const timing = timingOf(testSettings(1));
   let now = 0;
   const clock = {
--- a/test/capacity.test.ts
+++ b/test/planning-equivalence.test.ts
@@ -1,19 +1,18 @@
-/** What makes planning and placing cheap at size must not change what they choose. */
+/** The indexes that make planning and placement fast select what an exhaustive search would. */
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { earliestStart, StartQueue, type PlannedMachine } from '../src/core/autoscaling/index.js';
 import { reserveAcrossMachines, earliestShadow, fits, freeResources } from '../src/core/placement/index.js';
 import { claimTask, addJob } from '../src/core/persistence/index.js';
 import { getOrCreateMachine } from '../src/core/fleet/index.js';
-import { CoreBench, EIGHT, job } from './standins/core.js';
+import { CoreHarness, EIGHT, job } from './emulators/core-harness.js';
 
 const room = fc.record({ cpus: fc.integer({ min: 1, max: 8 }), memoryGb: fc.integer({ min: 1, max: 64 }) });
 const need = room.map((amounts) => ({ ...amounts, gpus: 0 }));
 const at = fc.integer({ min: 1, max: 40 }).map((s) => 102_000 + s * 1000);
 
-// The plan of a burst took tasks x machines x ends: at 160 machines a leader on a twelfth
-// of a core lost its lease over it.
-test('openings choose the machine that looking through all of them would', () => {
+// An exhaustive search costs tasks x machines x ends, more than a leader's lease allows in a burst.
+test('planned openings select the same machine as an exhaustive search', () => {
   const machine = fc.record({ ready: at, ends: fc.array(fc.record({ at, need }), { maxLength: 4 }) });
   fc.assert(
     fc.property(
@@ -55,11 +54,11 @@
   );
 });
 
-test('the shadow time of one task is the one that the plain walk over all ends finds', () => {
+test('the shadow time of a single task equals that of an exhaustive walk over all task ends', () => {
   const machines = fc.array(fc.array(fc.record({ need, at }), { maxLength: 5 }), { maxLength: 8 });
   fc.assert(
     fc.property(machines, need, (all, of) => {
-      const bench = new CoreBench();
+      const bench = new CoreHarness();
       const { state } = bench;
       const now = bench.time();
       const nodes = all.map((tasks, i) => {
--- a/test/hearing.test.ts
+++ b/test/response-tracking.test.ts
@@ -1,8 +1,8 @@
-/** Machines that do not hear what they are told, and copies of reports that come late. */
+/** Machines that miss responses, and duplicated heartbeats that arrive late. */
 import { expect, test } from 'vitest';
 import { isSchedulable } from '../src/core/fleet/index.js';
 import type { Effect } from '../src/core/effects.js';
-import { CoreBench, job, report, task, TERM } from './standins/core.js';
+import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
 
 const returned = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
@@ -10,30 +10,30 @@
 /** A worker without an answer gives it up after 4 s, and tries another controller a second later. */
 const UNANSWERED = 5000;
 
-function usable(bench: CoreBench, name: string): boolean {
+function usable(bench: CoreHarness, name: string): boolean {
   const machine = bench.state.machines.get(name);
   return machine !== undefined && isSchedulable(bench.state, machine, bench.time());
 }
 
 /** Others report in their rhythm, so that only one machine is in question. */
-function others(bench: CoreBench, seq: number): void {
+function others(bench: CoreHarness, seq: number): void {
   for (const name of ['n', 'o', 'p', 'q']) bench.hear(report(name, seq));
 }
 
 /** Machine m reports, and hears nothing of what it is told. */
-function deaf(): { bench: CoreBench; seq: number } {
-  const bench = new CoreBench();
+function deaf(): { bench: CoreHarness; seq: number } {
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.now += 1000;
   bench.hear(report('m', 2));
   bench.add(job('req-1', 1, 8, 60));
-  expect(CoreBench.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
+  expect(CoreHarness.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
   others(bench, 1);
   return { bench, seq: 3 };
 }
 
-// It looked alive for ever: each session it got a machine's worth of tasks, and lost them with its lease.
-test('a machine that does not show what it was told to start gets nothing new, and is used once it hears', async () => {
+// Its heartbeats look alive, but each start on it is lost.
+test('a machine that does not acknowledge a start gets no new task until it does', async () => {
   const { bench, seq } = deaf();
   const claim = [...(bench.state.machines.get('m')?.claims.values() ?? [])][0];
   bench.now += UNANSWERED;
@@ -45,10 +45,10 @@
   bench.now += 1000;
   bench.hear(report('m', seq + 2, [started]));
   expect(usable(bench, 'm')).toBe(true);
-  await bench.keep('deaf-recovers');
+  await bench.expectTrace('unresponsive-recovers');
 });
 
-test('a machine that stays deaf goes back, and its tasks run elsewhere once the cloud confirms it', async () => {
+test('a machine that stays unresponsive is terminated, and its tasks run elsewhere after the confirmation', async () => {
   const { bench, seq } = deaf();
   const { silenceTimeoutMs } = bench.state.config.timing;
   const gone: string[] = [];
@@ -64,11 +64,11 @@
   expect([...(bench.state.jobs.get('req-1')?.claims.values() ?? [])].every((c) => c.machine !== 'm')).toBe(
     true,
   );
-  await bench.keep('deaf-stays');
+  await bench.expectTrace('unresponsive-stays');
 });
 
-// A leader that is behind its timers answers too late: 8 machines at work were given back with 200 tasks.
-test('what a busy leader was late to answer is held against nobody', () => {
+// An overloaded leader responds after the worker's timeout: no fault of the machine.
+test('late responses of an overloaded leader do not count as missed by a machine', () => {
   const { bench, seq } = deaf();
   bench.do({ kind: 'tick', isOverloaded: true });
   for (let i = 1; i < 6; i += 1) {
@@ -81,8 +81,8 @@
   }
 });
 
-test('a session that moves on although it was answered is a reason for doubt', () => {
-  const bench = new CoreBench();
+test('an agent epoch that changes although its heartbeat was answered counts as a missed response', () => {
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.now += UNANSWERED;
   bench.hear(report('m', 2));
@@ -94,9 +94,9 @@
   expect(usable(bench, 'm')).toBe(true);
 });
 
-// Where this node's own words get lost, all machines seem deaf: none of them is to blame.
-test('many that do not hear are one event: none is given back for it', () => {
-  const bench = new CoreBench();
+// If the responses of this node are lost, all machines seem unresponsive and none is at fault.
+test('many unresponsive machines are one event: none is terminated for it', () => {
+  const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   let gone: string[] = [];
   for (let seq = 1; seq < 9; seq += 1) {
@@ -108,7 +108,7 @@
   expect(gone).toEqual([]);
 });
 
-test('late copies: an older report is no sign of life, no notice, and ends nothing', () => {
+test('duplicates: a stale heartbeat is no sign of life, carries no termination notice and ends nothing', () => {
   const { bench, seq } = deaf();
   const [claim] = bench.state.machines.get('m')?.claims.values() ?? [];
   bench.now += 1000;
@@ -121,9 +121,9 @@
   expect(bench.state.machines.get('m')?.claims.size).toBe(1);
 });
 
-// Copies of a dead machine's reports come in order: to a leader that never heard it they look like its own.
-test('late copies after a takeover: a machine that never shows our token is not kept alive by them', async () => {
-  const bench = new CoreBench();
+// To a leader that never heard from the machine, duplicates that arrive in order look like its heartbeats.
+test('duplicates after failover do not keep a machine alive that never shows the fencing token', async () => {
+  const bench = new CoreHarness();
   const { workerLeaseMs, silenceTimeoutMs } = bench.state.config.timing;
   others(bench, 1);
   const gone: string[] = [];
@@ -139,5 +139,5 @@
   expect(gone).toContain('m');
   // Its beginning and its end are enough to read.
   bench.lines.splice(30, bench.lines.length - 60);
-  await bench.keep('takeover-copies');
+  await bench.expectTrace('failover-duplicates');
 });
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -1,4 +1,4 @@
-/** Reports that followers take for the leader: each guard with a test that fails without it. */
+/** Heartbeats that followers accept for the leader: each guard has a test that fails without it. */
 import fc from 'fast-check';
 import { describe, expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
@@ -13,10 +13,10 @@
 import { timing } from '../src/config/settings.js';
 import type { AnswersMessage, IntakeMessage, HeartbeatsMessage } from '../src/wire/intake.js';
 import { encodeIntake, StatusReader } from '../src/wire/peers.js';
-import { atWork, CANCEL, DEPUTY_SEED, endsWell } from './standins/at-work.js';
-import { ProcessClock, VirtualClock } from './standins/clock.js';
-import { CoreBench, job, report, task, TERM } from './standins/core.js';
-import { drawDay, NODES, seeded, testSettings, World } from './standins/world.js';
+import { startBusyCluster, CANCEL, DEPUTY_SEED, expectCleanEnd } from './emulators/busy-cluster.js';
+import { ProcessClock, VirtualClock } from './emulators/clock.js';
+import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { drawRun, NODES, seeded, testSettings, Simulation } from './emulators/simulation.js';
 
 const TIMES = timing(testSettings(0));
 const RUNNING = [task('req-1/0', 1, 'running')];
@@ -112,8 +112,8 @@
 
 const LOCAL = `200 ${JSON.stringify({ term: TERM, commands: [] })}`;
 
-describe('a follower answers a report in the leader’s place', () => {
-  test('when it repeats what the leader has answered, and tells the leader of it', async () => {
+describe('a follower answers a heartbeat for the leader', () => {
+  test('when it repeats one that the leader has answered, and forwards a keepalive', async () => {
     const bench = await IntakeBench.settled();
     expect(await bench.take(2)).toBe(LOCAL);
     bench.intake.flush();
@@ -126,17 +126,17 @@
       (bench) => (bench.intake.receive(bench.message({ attention: ['m'] })), bench.take(2)),
     ],
     ['its tasks changed', (bench) => bench.take(2, [task('req-1/0', 1, 'saving')])],
-    ['a task of it ended', (bench) => bench.take(2, [task('req-1/0', 1, 'exited', 'done')])],
-    ['it has not seen the token', (bench) => bench.take(2, RUNNING, { token: TERM - 1 })],
-    ['the cloud will take the machine', (bench) => bench.take(2, RUNNING, { terminationNoticeS: 30 })],
-    ['a report in between went elsewhere', (bench) => bench.take(3)],
-    ['its session is another', (bench) => bench.take(2, RUNNING, { agentEpoch: 2 })],
+    ['one of its tasks ended', (bench) => bench.take(2, [task('req-1/0', 1, 'exited', 'done')])],
+    ['it has not seen the fencing token', (bench) => bench.take(2, RUNNING, { token: TERM - 1 })],
+    ['it carries a termination notice', (bench) => bench.take(2, RUNNING, { terminationNoticeS: 30 })],
+    ['a heartbeat in between went elsewhere', (bench) => bench.take(3)],
+    ['its agent epoch changed', (bench) => bench.take(2, RUNNING, { agentEpoch: 2 })],
   ];
   test.each(news)('not when %s', async (_what, take) => {
     expect(await take(await IntakeBench.settled())).toMatch(/^forwarded/);
   });
 
-  test('not when the leader’s last answer carried a command, or it has more to tell', async () => {
+  test('not when the leader’s last response carried a command or another is pending', async () => {
     for (const pending of [false, true]) {
       const bench = new IntakeBench();
       bench.snapshot();
@@ -147,7 +147,7 @@
   });
 
   // Idle machines that had just come up were taken for silent, and given back one after the other.
-  test('not before the leader has had a report that carries its token', async () => {
+  test('not before the leader has received a heartbeat with its fencing token', async () => {
     const bench = new IntakeBench();
     bench.snapshot();
     await bench.take(1, [], { token: 0 });
@@ -157,7 +157,7 @@
     expect(await bench.take(3, [])).toBe(LOCAL);
   });
 
-  test('not while an exit waits to be written: only the leader can say when it may be forgotten', async () => {
+  test('not while an exit waits to be committed: only the leader knows when it may be forgotten', async () => {
     const bench = await IntakeBench.settled();
     const exited = [task('req-1/0', 1, 'exited', 'done')];
     await bench.take(2, exited);
@@ -165,7 +165,7 @@
     expect(await bench.take(3, exited)).toMatch(/^forwarded/);
   });
 
-  test('not beyond the authority window of the read that proved the leader’s view', async () => {
+  test('not beyond the authority window of the read that confirmed the leader’s view', async () => {
     const bench = await IntakeBench.settled();
     const provenAt = bench.clock.epochMs();
     await bench.world.runUntil(TIMES.authorityWindowMs - 200 - 100);
@@ -175,7 +175,7 @@
     expect(await bench.take(3)).toMatch(/^forwarded/);
   });
 
-  test('not after a gap in the leader’s words, until it has told the whole', async () => {
+  test('not after a gap in the leader’s messages, until a full snapshot arrives', async () => {
     const bench = await IntakeBench.settled();
     bench.message();
     bench.intake.receive(bench.message());
@@ -184,7 +184,7 @@
     expect(await bench.take(2)).toBe(LOCAL);
   });
 
-  test('not on the word of an earlier message that comes after a newer one', async () => {
+  test('not on the basis of a stale message that arrives after a newer one', async () => {
     const bench = await IntakeBench.settled();
     const earlier = bench.message({ isSnapshot: true, viewConfirmedAt: bench.clock.epochMs() });
     bench.snapshot({ attention: ['m'] });
@@ -201,7 +201,7 @@
     expect(await bench.take(2)).toBe('not taken');
   });
 
-  test('not a copy of an earlier report: it is no sign of life', async () => {
+  test('not a duplicate of an earlier heartbeat: it is no sign of life', async () => {
     const bench = await IntakeBench.settled();
     await bench.take(2);
     expect(await bench.take(1)).toBe('503 {}');
@@ -209,7 +209,7 @@
     expect(bench.sent.flatMap(({ keepalives }) => keepalives)).toHaveLength(1);
   });
 
-  test('and lets the leader hear each machine in full every so often', async () => {
+  test('and forwards a full heartbeat of each machine periodically', async () => {
     const bench = await IntakeBench.settled();
     const from = bench.world.now;
     let seq = 1;
@@ -221,7 +221,7 @@
   });
 });
 
-test('a forwarded report that gets no answer is answered without the leader before its worker gives it up', async () => {
+test('a forwarded heartbeat without a response is answered locally before its worker times out', async () => {
   const bench = new IntakeBench();
   bench.snapshot();
   await bench.take(1);
@@ -232,7 +232,7 @@
   expect(bench.alone).toEqual(['m']);
 });
 
-test('when the link to the leader is lost, what waits is routed as without shared reports', async () => {
+test('when the link to the leader is lost, pending heartbeats are routed as without sharing', async () => {
   const bench = new IntakeBench();
   bench.snapshot();
   await bench.take(1);
@@ -241,7 +241,7 @@
   expect(await bench.take(2)).toBe('not taken');
 });
 
-test('a new leader is told again what waits for the answer of the one before', async () => {
+test('heartbeats pending at the previous leader are forwarded again to a new one', async () => {
   const bench = new IntakeBench();
   bench.snapshot();
   await bench.take(1);
@@ -255,13 +255,13 @@
   ]);
 });
 
-describe('a heartbeat', () => {
+describe('a keepalive', () => {
   const machineOf = (
-    bench: CoreBench,
+    bench: CoreHarness,
   ): { lastHeartbeatAt: number | null; heartbeatSequence: number; claims: ReadonlyMap<string, unknown> } =>
     bench.state.machines.get('m') as never;
-  const running = (): CoreBench => {
-    const bench = new CoreBench();
+  const running = (): CoreHarness => {
+    const bench = new CoreHarness();
     bench.hear(report('m', 1));
     bench.add(job('req-1', 1, 4, 50));
     bench.hear(report('m', 2));
@@ -269,7 +269,7 @@
     return bench;
   };
 
-  test('says that a machine lives as of when it came, and proves nothing absent', () => {
+  test('renews a machine as of its arrival, and proves no task absent', () => {
     const bench = running();
     bench.now += 1000;
     bench.do({ kind: 'keepalives', keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 4, ageMs: 300 }] });
@@ -278,8 +278,8 @@
   });
 
   test.each([
-    ['of an earlier report', { agentEpoch: 1, sequence: 3, ageMs: 0 }],
-    ['of a session that this leader has not heard of', { agentEpoch: 2, sequence: 9, ageMs: 0 }],
+    ['of an earlier heartbeat', { agentEpoch: 1, sequence: 3, ageMs: 0 }],
+    ['of an agent epoch unknown to this leader', { agentEpoch: 2, sequence: 9, ageMs: 0 }],
   ])('%s changes nothing', (_what, heartbeat) => {
     const bench = running();
     const { lastHeartbeatAt } = machineOf(bench);
@@ -288,8 +288,8 @@
     expect(machineOf(bench)).toMatchObject({ lastHeartbeatAt, heartbeatSequence: 3 });
   });
 
-  test('of a machine that has not shown this leader its token changes nothing', () => {
-    const bench = new CoreBench();
+  test('of a machine that has not shown the fencing token changes nothing', () => {
+    const bench = new CoreHarness();
     bench.hear(report('m', 1, [], { token: TERM - 1 }));
     const { lastHeartbeatAt } = machineOf(bench);
     bench.now += 1000;
@@ -298,17 +298,17 @@
   });
 });
 
-describe('followers learn of a machine to which there is something to say', () => {
+describe('followers are notified of a machine that needs attention', () => {
   const told = (effects: readonly Effect[]): string[] =>
     effects.flatMap((effect) => (effect.kind === 'attention' ? effect.machines : []));
-  const idle = (): CoreBench => {
-    const bench = new CoreBench();
+  const idle = (): CoreHarness => {
+    const bench = new CoreHarness();
     bench.hear(report('m', 1));
     bench.hear(report('m', 2));
     return bench;
   };
 
-  test('a start', () => {
+  test('for a start', () => {
     const bench = idle();
     expect(told(bench.add(job('req-1', 1, 4, 50)))).toEqual(['m']);
     // Told with the answer, it is no longer due.
@@ -316,7 +316,7 @@
     expect(bench.state.attention.size).toBe(0);
   });
 
-  test('a stop, once its job is cancelled', () => {
+  test('for a stop, once its job is cancelled', () => {
     const bench = idle();
     bench.add(job('req-1', 1, 4, 50));
     bench.hear(report('m', 3));
@@ -329,10 +329,10 @@
     expect(bench.state.attention.size).toBe(0);
   });
 
-  test('a start that may not be sent yet stays due', () => {
+  test('for a start that may not be sent yet, again later', () => {
     const bench = idle();
     bench.add(job('req-1', 1, 4, 50));
-    bench.proven = false;
+    bench.isViewConfirmed = false;
     bench.now += TIMES.leaderLeaseMs;
     bench.hear(report('m', 3));
     expect(bench.state.attention.size).toBe(1);
@@ -341,7 +341,7 @@
 
 /** A leader's side of shared reports over a core with machines, and followers that are driven by hand. */
 class LeaderBench {
-  readonly core = new CoreBench();
+  readonly core = new CoreHarness();
   readonly world = new VirtualClock();
   readonly clock = new ProcessClock(this.world, 1, 0);
   readonly pushed: string[] = [];
@@ -387,7 +387,7 @@
 }
 
 describe('a leader that shares its reports', () => {
-  test('takes forwarded reports of its own term that are not as old as to say nothing', () => {
+  test('accepts forwarded heartbeats of its own term that are recent enough', () => {
     const bench = new LeaderBench();
     bench.receive({});
     bench.receive({ term: TERM - 1 });
@@ -395,7 +395,7 @@
     expect(bench.pushed).toEqual(['m']);
   });
 
-  test('sends a worker to a follower that takes reports, and not at once again', () => {
+  test('redirects a worker to a follower that accepts heartbeats, and not again at once', () => {
     const bench = new LeaderBench();
     bench.shared.sendSnapshots();
     expect(bench.shared.redirect(report('m', 3))).toBe('n-1');
@@ -403,14 +403,14 @@
     expect(bench.shared.redirect(report('m', 4))).toBeNull();
   });
 
-  test('keeps a worker whose followers do not take reports for it', () => {
+  test('keeps a worker if no follower accepts heartbeats for the leader', () => {
     const bench = new LeaderBench();
     bench.taking = false;
     bench.shared.sendSnapshots();
     expect(bench.shared.redirect(report('m', 3))).toBeNull();
   });
 
-  test('keeps a worker that is to be told something, or whose exit waits to be written', () => {
+  test('keeps a worker that needs a command or whose exit waits to be committed', () => {
     const bench = new LeaderBench();
     bench.shared.sendSnapshots();
     expect(bench.shared.redirect(report('m', 3, [task('req-1/0', 1, 'exited', 'done')]))).toBeNull();
@@ -418,7 +418,7 @@
     expect(bench.shared.redirect(report('m', 3))).toBeNull();
   });
 
-  test('tells a follower at once of what it has to say to the workers that report there', async () => {
+  test('notifies a follower at once of its workers that need attention', async () => {
     const bench = new LeaderBench();
     bench.shared.sendSnapshots();
     bench.shared.announceAttention(['m']);
@@ -430,7 +430,7 @@
     expect(bench.sent.at(-1)).toMatchObject({ attention: ['m'], isSnapshot: false });
   });
 
-  test('tells followers of all that it has something to say to, and of what proved its view', () => {
+  test('sends followers all machines that need attention and the confirmation of its view', () => {
     const bench = new LeaderBench();
     bench.core.add(job('req-1', 1, 4, 50));
     bench.shared.sendSnapshots();
@@ -442,13 +442,13 @@
   });
 });
 
-test('a report forwarded late was heard when it came to the follower', () => {
-  const bench = new CoreBench();
+test('a heartbeat forwarded late counts as of its arrival at the follower', () => {
+  const bench = new CoreHarness();
   bench.do({ kind: 'heartbeat', reply: 1, heartbeat: report('m', 1), ageMs: 800 });
   expect(bench.state.machines.get('m')?.lastHeartbeatAt).toBe(bench.now - 800);
 });
 
-test('messages about shared reports survive the wire, and are no status to versions before', () => {
+test('messages about shared heartbeats round-trip, and earlier versions do not take them for a status', () => {
   const envelope = { node: 'n-1', incarnation: 'x', term: 7, sentAt: 1e12 };
   const forwarded = report('m', 9, [task('req-1/0', 2, 'running'), task('req-1/1', 1, 'exited', 'error')], {
     terminationNoticeS: 0,
@@ -489,7 +489,7 @@
   expect(found).toEqual(messages);
 });
 
-test('workers are spread evenly, near ones first, and sharing does not flap', () => {
+test('workers are balanced over controllers, same zone first, and sharing does not flap', () => {
   const load = (
     node: string,
     zone: string,
@@ -512,28 +512,28 @@
   ]);
 });
 
-test('few machines: nothing is shared, whatever happens', async () => {
-  const { world } = await atWork();
+test('with few machines no heartbeat is shared', async () => {
+  const { world } = await startBusyCluster();
   world.crash(0, 2000);
   await world.clock.runUntil(world.clock.now + 30_000);
   expect(world.intakeMessages).toBe(0);
 });
 
-// Sent on to a follower that had not taken the leader's word, workers came back at once, and jobs stood still.
-test('no worker is sent to a follower that does not take reports for this leader', async () => {
-  const { world } = await atWork(3, { sharing: true });
+// A follower without the leader's snapshot would redirect the workers straight back.
+test('no worker is redirected to a follower that does not accept heartbeats for this leader', async () => {
+  const { world } = await startBusyCluster(3, { sharing: true });
   const before = world.intakeMessages;
   await world.clock.runUntil(world.clock.now + 5000);
   expect(world.intakeMessages).toBeGreaterThan(before);
-  world.losesIntake = true;
+  world.dropsIntake = true;
   await world.clock.runUntil(world.clock.now + 120_000);
-  world.losesIntake = false;
-  await endsWell(world);
-  expect(world.checker.lapsed).toBe(0);
+  world.dropsIntake = false;
+  await expectCleanEnd(world);
+  expect(world.checker.expiredTasks).toBe(0);
 });
 
-test('the gap, with reports shared: refused alone, cancellations confirmed elsewhere, then down for all', async () => {
-  const { world, leader, others, ids } = await atWork(3, { sharing: true });
+test('sharing: store refuses only the leader, cancellations confirmed elsewhere, then a full outage: tasks stop in time', async () => {
+  const { world, leader, others, ids } = await startBusyCluster(3, { sharing: true });
   world.state.refuse(NODES[leader] ?? '', 2 * CANCEL);
   await world.clock.runUntil(world.clock.now + 100);
   const cancelled = ids.slice(1);
@@ -541,35 +541,36 @@
     expect(await world.until(world.withdraw(id, NODES[others[0] ?? 0] ?? ''))).toBe(true);
   world.state.outage(2 * CANCEL);
   await world.clock.runUntil(world.clock.now + CANCEL);
-  expect(cancelled.reduce((sum, id) => sum + world.checker.out(id), 0)).toBe(0);
-  await endsWell(world, 400_000);
+  expect(cancelled.reduce((sum, id) => sum + world.checker.placedTasks(id), 0)).toBe(0);
+  await expectCleanEnd(world, 400_000);
 });
 
-test('followers that hold workers and cannot reach the leader let cancelled work go in time', async () => {
-  const { world, leader, others, ids } = await atWork(DEPUTY_SEED, { sharing: true });
+test('followers with workers that cannot reach the leader let cancelled tasks stop in time', async () => {
+  const { world, leader, others, ids } = await startBusyCluster(DEPUTY_SEED, { sharing: true });
   // Words between controllers are held back; the leader and its machines are cut apart as well.
-  for (const other of others) world.network.cut(NODES[leader] ?? '', NODES[other] ?? '', 2 * CANCEL);
-  for (const name of world.cloud.workers.keys()) world.network.cut(name, NODES[leader] ?? '', 2 * CANCEL);
+  for (const other of others) world.network.partition(NODES[leader] ?? '', NODES[other] ?? '', 2 * CANCEL);
+  for (const name of world.cloud.workers.keys())
+    world.network.partition(name, NODES[leader] ?? '', 2 * CANCEL);
   const cancelled = ids.slice(1);
   for (const id of cancelled)
     expect(await world.until(world.withdraw(id, NODES[others[0] ?? 0] ?? ''))).toBe(true);
   await world.clock.runUntil(world.clock.now + CANCEL);
-  expect(cancelled.reduce((sum, id) => sum + world.checker.out(id), 0)).toBe(0);
-  await endsWell(world, 400_000);
+  expect(cancelled.reduce((sum, id) => sum + world.checker.placedTasks(id), 0)).toBe(0);
+  await expectCleanEnd(world, 400_000);
 });
 
-test('days with troubles of every kind and reports shared: no rule is broken, all that was accepted ends', async () => {
+test('sharing: under faults of every kind no rule is violated and every accepted job ends', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 2, max: 14 }),
       async (seed, faults) => {
-        const world = new World(seeded(seed), { copies: true, sharing: true });
-        drawDay(world, 90_000, faults, { jobs: 16, mostTasks: 6, machines: 8, onCall: true });
+        const world = new Simulation(seeded(seed), { copies: true, sharing: true });
+        drawRun(world, 90_000, faults, { jobs: 16, maxTasks: 6, machines: 8, onCall: true });
         await world.clock.runUntil(240_000);
-        world.checker.lookForForgotten(130_000, 240_000);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
+        world.checker.checkUnanswered(130_000, 240_000);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
         expect(world.intakeMessages).toBeGreaterThan(0);
       },
     ),
--- a/test/days.test.ts
+++ b/test/simulated-runs.test.ts
@@ -1,44 +1,44 @@
-/** The whole service through drawn days, every rule of the protocol checked by an outsider. */
+/** Simulated runs of the whole service with drawn faults; an independent checker verifies every rule of the protocol. */
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
-import { Checker } from './standins/checker.js';
-import { drawDay, seeded, TIGHT, World, type DaySize } from './standins/world.js';
+import { Checker } from './emulators/checker.js';
+import { drawRun, seeded, TIGHT, Simulation, type RunSize } from './emulators/simulation.js';
 
 const DAY = 90_000;
 /** Long enough after the last fault for every lease, boot and return. */
 const REST = 150_000;
 
-async function playDay(seed: number, faults: number, cpusMax: number, size?: DaySize): Promise<World> {
-  const world = new World(seeded(seed), { cpusMax, copies: size?.onCall === true });
-  drawDay(world, DAY, faults, size);
+async function playDay(seed: number, faults: number, cpusMax: number, size?: RunSize): Promise<Simulation> {
+  const world = new Simulation(seeded(seed), { cpusMax, copies: size?.onCall === true });
+  drawRun(world, DAY, faults, size);
   await world.clock.runUntil(DAY + REST);
   // The last trouble lasts no longer than this.
-  if (size?.onCall === true) world.checker.lookForForgotten(DAY + 40_000, DAY + REST);
+  if (size?.onCall === true) world.checker.checkUnanswered(DAY + 40_000, DAY + REST);
   return world;
 }
 
-test('a quiet day: every job is done, no rule is broken', async () => {
+test('without faults every job completes and no rule is violated', async () => {
   const world = await playDay(1, 0, 0);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
   expect(world.checker.started).toBeGreaterThan(20);
 });
 
-test('a team at its limit never uses more, and still gets all its work done', async () => {
+test('a team at its quota never exceeds it and completes all its jobs', async () => {
   const world = await playDay(2, 0, 6);
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
 });
 
-test('days with troubles of every kind: no rule is broken, and all that was accepted ends', async () => {
+test('under faults of every kind no rule is violated and every accepted job ends', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 3, max: 14 }),
       async (seed, faults) => {
         const world = await playDay(seed, faults, seed % 2 === 0 ? 0 : 16);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
       },
     ),
     { seed: 7, numRuns: Number(process.env['DAYS'] ?? 25), endOnFailure: true },
@@ -47,25 +47,25 @@
 
 // At this size chunks of one job, transactions and takeovers hold hundreds of claims: what a
 // small day never fills.
-test('a day of 160 machines and thousands of tasks, with troubles: no rule is broken', async () => {
-  const world = await playDay(11, 10, 0, { jobs: 200, mostTasks: 60, machines: 160 });
-  expect(world.checker.broken).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
-  expect(world.cloud.most).toBeGreaterThan(100);
+test('with 160 machines, thousands of tasks and faults no rule is violated', async () => {
+  const world = await playDay(11, 10, 0, { jobs: 200, maxTasks: 60, machines: 160 });
+  expect(world.checker.violations).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
+  expect(world.cloud.peakMachines).toBeGreaterThan(100);
   expect(world.checker.started).toBeGreaterThan(3000);
 }, 300_000);
 
-const PIPELINES: DaySize = { jobs: 6, mostTasks: 5, machines: 8, pipelines: 6 };
+const PIPELINES: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
 
-test('days of pipelines, cancelled anywhere, with troubles: no rule is broken, and all ends', async () => {
+test('with job DAGs, cancellations and faults no rule is violated and every job ends', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 0, max: 12 }),
       async (seed, faults) => {
         const world = await playDay(seed, faults, 0, PIPELINES);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
       },
     ),
     { seed: 8, numRuns: Number(process.env['DAYS'] ?? 25), endOnFailure: true },
@@ -76,31 +76,31 @@
  * An upgrade: all controllers begin as the version before, end and come back new one by one,
  * die in between, and some time after the last the state service's limits shrink.
  */
-async function playUpgrade(seed: number, faults: number): Promise<World> {
-  const world = new World(seeded(seed), { limits: TIGHT, earlier: true });
+async function playUpgrade(seed: number, faults: number): Promise<Simulation> {
+  const world = new Simulation(seeded(seed), { limits: TIGHT, earlier: true });
   const { draw, clock } = world;
-  const wide: DaySize = { jobs: 12, mostTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
-  drawDay(world, DAY, faults, wide);
+  const wide: RunSize = { jobs: 12, maxTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
+  drawRun(world, DAY, faults, wide);
   for (let i = 0; i < 4; i += 1) clock.in(40_000 * draw(), () => world.crash(Math.floor(draw() * 3), 2000));
   [2, 0, 1].forEach((node, i) =>
     clock.in(10_000 + i * (2000 + 10_000 * draw()), () => world.upgrade(node, 4000)),
   );
-  clock.in(45_000 + 20_000 * draw(), () => world.shrink());
+  clock.in(45_000 + 20_000 * draw(), () => world.reduceLimits());
   for (let i = 0; i < 4; i += 1)
     clock.in(45_000 + 25_000 * draw(), () => world.crash(Math.floor(draw() * 3), 2000));
   await clock.runUntil(DAY + REST);
   return world;
 }
 
-test('upgrades under load, leaders of both versions in turn, then small limits: no rule is broken', async () => {
+test('upgrades under load with leaders of both versions, then smaller limits, violate no rule', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 0, max: 6 }),
       async (seed, faults) => {
         const world = await playUpgrade(seed, faults);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
         // Nothing is left of the records of before, nor of any ended job.
         expect([...world.state.keys.keys()].filter((key) => key.startsWith('run/'))).toEqual([]);
       },
@@ -109,18 +109,18 @@
   );
 }, 900_000);
 
-const ON_CALL: DaySize = { jobs: 16, mostTasks: 6, machines: 8, onCall: true };
+const ON_CALL: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
 
-test('what the on-call people met: no rule is broken, nothing is forgotten, every share is served', async () => {
+test('combinations of faults seen in production violate no rule, lose no job and serve every share', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 2, max: 14 }),
       async (seed, faults) => {
         const world = await playDay(seed, faults, 0, ON_CALL);
-        expect(world.checker.broken).toEqual([]);
-        expect(world.checker.unfinished()).toEqual([]);
-        expect(world.checker.underserved((id) => world.broken.has(id))).toEqual([]);
+        expect(world.checker.violations).toEqual([]);
+        expect(world.checker.unfinishedJobs()).toEqual([]);
+        expect(world.checker.underserved((id) => world.faultyJobs.has(id))).toEqual([]);
       },
     ),
     {
@@ -145,14 +145,14 @@
   return checker;
 };
 
-test('the checker fails on planted histories: a job without an answer, a class, a large job', () => {
+test('the checker rejects histories with an unanswered job, a starved class or a starved large job', () => {
   const forgotten = planted();
-  forgotten.asked('req-1', 99_000);
+  forgotten.requested('req-1', 99_000);
   forgotten.answered('req-1', 503, {}, 99_000, 'show');
-  forgotten.lookForForgotten(30_000, 100_000);
-  expect(forgotten.broken).toEqual([]);
-  forgotten.lookForForgotten(20_000, 100_000);
-  expect(forgotten.broken).toEqual(['forgotten: req-1 had no answer for 80 s']);
+  forgotten.checkUnanswered(30_000, 100_000);
+  expect(forgotten.violations).toEqual([]);
+  forgotten.checkUnanswered(20_000, 100_000);
+  expect(forgotten.violations).toEqual(['forgotten: req-1 had no answer for 80 s']);
   const late = planted();
   late.taskStarts('req-1', 0, 'm', 'a', true, 241_000);
   late.taskStarts('req-2', 0, 'm', 'a', true, 1000);
--- a/test/promises.test.ts
+++ b/test/starvation.test.ts
@@ -1,10 +1,10 @@
-/** Promises beyond the head's reservation: bounded waiting, guarantees, and the preemption that keeps them. */
+/** Starvation reservations: bounded waiting, quota guarantees, and the preemption that enforces them. */
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
 import { waitingJobs, waitReason } from '../src/core/placement/index.js';
 import type { JobState } from '../src/core/model.js';
 import type { JobSpec, ReportedTask } from '../src/core/types.js';
-import { CoreBench, job, report, task } from './standins/core.js';
+import { CoreHarness, job, report, task } from './emulators/core-harness.js';
 
 const stops = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) =>
@@ -19,10 +19,10 @@
 
 /** One machine of 8 cpus, whose reports are answered, and a tick before each. */
 class Shift {
-  readonly bench: CoreBench;
+  readonly bench: CoreHarness;
   #seq = 0;
   constructor(cpusMax = 0) {
-    this.bench = new CoreBench(cpusMax);
+    this.bench = new CoreHarness(cpusMax);
     this.hear([]);
   }
   add(spec: JobSpec): void {
@@ -38,8 +38,8 @@
   }
 }
 
-// Nothing in the service stopped a task to make room: rush work waited 300 s behind idle-time work.
-test('idle-time work gives way to what would miss an aim, its progress saved, and goes on in its arrival place', async () => {
+// Without preemption urgent work waits behind long best-effort tasks.
+test('best-effort work is preempted with a checkpoint for a job that would miss an objective, and keeps its queue position', async () => {
   const shift = new Shift();
   shift.add(guest('req-1', 2, 4));
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')];
@@ -51,11 +51,11 @@
   // One is enough, with as long as it needs to save; its room is not free before it is gone.
   expect(stops(told)).toHaveLength(1);
   expect(stops(told)[0]).toMatch(/^req-1\/[01] grace 3$/);
-  expect(CoreBench.starts(told)).toEqual([]);
+  expect(CoreHarness.starts(told)).toEqual([]);
   const [stopped, other] = stops(told)[0]?.startsWith('req-1/0') === true ? [0, 1] : [1, 0];
   const left = task(`req-1/${other}`, 1, 'running');
-  expect(CoreBench.starts(shift.hear([left, task(`req-1/${stopped}`, 1, 'saving')], 1000))).toEqual([]);
-  expect(CoreBench.starts(shift.hear([left, task(`req-1/${stopped}`, 1, 'exited', 'stopped')]))).toEqual([
+  expect(CoreHarness.starts(shift.hear([left, task(`req-1/${stopped}`, 1, 'saving')], 1000))).toEqual([]);
+  expect(CoreHarness.starts(shift.hear([left, task(`req-1/${stopped}`, 1, 'exited', 'stopped')]))).toEqual([
     'req-2/0#1',
   ]);
   shift.hear([left, task('req-2/0', 1, 'running')], 1000);
@@ -63,11 +63,11 @@
   expect(['req-1', 'req-2', 'req-3'].map(why)).toEqual(['first in the queue', null, 'waits for room']);
   // What was stopped goes on before what came after it.
   const after = shift.hear([left, task('req-2/0', 1, 'exited', 'done')]);
-  expect(CoreBench.starts(after)).toEqual([`req-1/${stopped}#2`]);
-  await shift.bench.keep('preemption');
+  expect(CoreHarness.starts(after)).toEqual([`req-1/${stopped}#2`]);
+  await shift.bench.expectTrace('preemption');
 });
 
-test('nothing is stopped for work of equal priority, when it ends about as soon, or has only begun', () => {
+test('no task is preempted for equal priority, if it ends about as soon, or if it has just started', () => {
   const begun = new Shift();
   begun.add(guest('req-1', 1, 8));
   begun.hear([], 1000);
@@ -87,8 +87,8 @@
   expect(stops(soon.hear([task('req-1/0', 1, 'running')], 1000))).toEqual([]);
 });
 
-// Stopped again and again before it has saved anything, a task would never end.
-test('what was stopped once gains a checkpoint before it is stopped again', () => {
+// Preempted again and again before a checkpoint, a task would never end.
+test('a preempted task gains a checkpoint before it may be preempted again', () => {
   const shift = new Shift();
   shift.add(guest('req-1', 1, 8));
   shift.hear([], 1000);
@@ -104,7 +104,7 @@
   expect(stops(shift.hear([task('req-1/0', 2, 'running')], 20_000))).toHaveLength(1);
 });
 
-test('what would lose its work for an aim of its own is not stopped to save another aim', () => {
+test('a task that would miss its own objective is not preempted for the objective of another', () => {
   const shift = new Shift();
   shift.add(job('req-1', 1, 8, 300, { deadlineS: 900 }));
   shift.hear([], 1000);
@@ -112,8 +112,8 @@
   expect(stops(shift.hear([task('req-1/0', 1, 'running')], 5000))).toEqual([]);
 });
 
-// The paper guards the head alone; in the order of priorities a job of the lowest one waited for ever.
-test('a job that nears the bound on waiting gets a reservation against all others', async () => {
+// EASY protects only the head; ordered by priority alone, a job of the lowest would wait for ever.
+test('a job near the bound on its waiting time gets a reservation against all others', async () => {
   const shift = new Shift();
   const { bench } = shift;
   shift.add(job('req-1', 1, 4, 30));
@@ -128,7 +128,7 @@
   while (begun < 0 && bench.now - from < 400_000) {
     shift.add(job(`req-${100 + next}`, 1, 4, 25));
     next += 1;
-    const starts = CoreBench.starts(shift.hear(on, 1000));
+    const starts = CoreHarness.starts(shift.hear(on, 1000));
     on = on.filter(({ job: id }) => id !== 'done');
     for (const start of starts) {
       const [, id = '', index = '', attempt = ''] = /^(.+)\/(\d+)#(\d+)$/.exec(start) ?? [];
@@ -142,7 +142,7 @@
     if (ended.length > 0) {
       const rest = on.filter((one) => !ended.includes(one));
       const said = ended.map(({ job: id, attempt }) => task(`${id}/0`, attempt, 'exited', 'done'));
-      const more = CoreBench.starts(shift.hear([...rest, ...said]));
+      const more = CoreHarness.starts(shift.hear([...rest, ...said]));
       if (more.some((start) => start.startsWith('req-9'))) begun = bench.now - from;
       for (const start of more)
         on.push(task(start.split('#')[0] ?? '', Number(start.split('#')[1]), 'running'));
@@ -153,10 +153,10 @@
   expect(begun).toBeGreaterThan(0.5 * bound - 1000);
   expect(begun).toBeLessThan(bound);
   bench.lines.splice(0, bench.lines.findIndex((line) => line.includes('req-9/0')) - 25);
-  await bench.keep('bounded-waiting');
+  await bench.expectTrace('bounded-waiting');
 });
 
-test('of arrays of a class that have begun, one at a time is promised more', () => {
+test('of the started job arrays of a class one at a time holds a starvation reservation', () => {
   const shift = new Shift();
   const { state } = shift.bench;
   for (const id of ['req-1', 'req-2', 'req-3']) shift.add(guest(id, 9, 4));
@@ -172,8 +172,8 @@
   expect(state.reservedJobs).toEqual([]);
 });
 
-// Three home jobs that had waited longest held all promises: a guest's arrays began after the bound.
-test('each class has promises of its own, however long the backlog of another has waited', () => {
+// Jobs of one class that have waited longest must not hold all reservations.
+test('each class has its own starvation reservations, however long the backlog of another', () => {
   const shift = new Shift();
   const { state } = shift.bench;
   for (let i = 1; i < 6; i += 1) shift.add(job(`req-${i}`, 1, 8, 300));
@@ -186,8 +186,8 @@
   expect(ids.filter((id) => id < 'req-6')).toHaveLength(2);
 });
 
-// Below its guarantee a team need not wait for what others have borrowed, whatever its priority.
-test('a guarantee is taken back from who runs above its own', async () => {
+// Below its guarantee a team need not wait for quota that others have borrowed, whatever its priority.
+test('guaranteed quota is reclaimed by preempting a team above its own guarantee', async () => {
   const shift = new Shift();
   const { bench } = shift;
   const teams = bench.state.config.teams as Map<string, object>;
@@ -204,14 +204,14 @@
   expect([...bench.state.guaranteedJobs].map(({ spec }) => spec.id)).toEqual(['req-2']);
   const left = task('req-1/1', 1, 'running');
   const gone = task('req-1/0', 1, 'exited', 'stopped');
-  expect(CoreBench.starts(shift.hear([left, gone]))).toEqual(['req-2/0#1']);
+  expect(CoreHarness.starts(shift.hear([left, gone]))).toEqual(['req-2/0#1']);
   // The second exceeds the guarantee together with the first: it waits like any other.
   expect(stops(shift.hear([left, task('req-2/0', 1, 'running')], 5000))).toEqual([]);
-  await bench.keep('guarantee');
+  await bench.expectTrace('quota-guarantee');
 });
 
-// Late whatever is done, a backlog of 32-core tasks kept a guest's arrays waiting for 400 s.
-test('a job that can no longer be in time stands in its arrival place among idle-time work', () => {
+// A job that is late whatever is done gains nothing from precedence over best-effort work.
+test('a job that can no longer meet its deadline queues by arrival among best-effort work', () => {
   const shift = new Shift();
   const { bench } = shift;
   shift.add(job('req-1', 1, 8, 300));
@@ -224,9 +224,9 @@
   expect(order).toEqual(['req-4', 'req-2', 'req-3']);
 });
 
-// An array of 20,000 short tasks took the processor that the leader needed to hear its workers.
-test('a leader behind its timers places only so many of what could wait, and all that cannot', () => {
-  const bench = new CoreBench();
+// Placing a large array at once would take the processor time that heartbeats need.
+test('an overloaded leader places a bounded number of deferrable tasks, and all that are urgent', () => {
+  const bench = new CoreHarness();
   const names = Array.from({ length: 20 }, (_, i) => `m${i}`);
   for (const name of names) bench.hear(report(name, 1));
   bench.state.isOverloaded = true;
@@ -249,14 +249,14 @@
   expect(claims('req-1')).toBeGreaterThan(100);
 });
 
-// One object for each of 100,000 tasks would not fit a controller of 114 MB beside all else.
-test('of an array of 100,000 tasks, what is kept follows those that are out', () => {
+// One object for each task would not fit the memory quota of a controller.
+test('memory for an array of 100,000 tasks is proportional to its running tasks', () => {
   const shift = new Shift();
   const { state } = shift.bench;
   shift.add(job('req-1', 100_000, 1, 3));
   let on: ReportedTask[] = [];
   for (let round = 0; round < 40; round += 1) {
-    const starts = CoreBench.starts(shift.hear(on, 1000));
+    const starts = CoreHarness.starts(shift.hear(on, 1000));
     on = starts.map((start) =>
       task(start.split('#')[0] ?? '', Number(start.split('#')[1]), 'exited', 'done'),
     );
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,4 +1,4 @@
-/** Versions side by side, and the way over to small limits. */
+/** Mixed versions, and the migration to smaller limits. */
 import { readFileSync } from 'node:fs';
 import protobuf from 'protobufjs/light.js';
 import { expect, test } from 'vitest';
@@ -17,8 +17,8 @@
   packDemand,
   parseChunkKey,
 } from '../src/core/persistence/index.js';
-import { CoreBench, job, report, task, TERM } from './standins/core.js';
-import { seeded, testSettings, TIGHT, UNSEEN, World } from './standins/world.js';
+import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { seeded, testSettings, TIGHT, NO_OBSERVATIONS, Simulation } from './emulators/simulation.js';
 
 interface Kept {
   readonly revision: number;
@@ -27,9 +27,9 @@
 }
 const production = JSON.parse(readFileSync(new URL('data/production.json', import.meta.url), 'utf8')) as Kept;
 
-test('what production has stored is taken over, narrowed, and brought to its end', async () => {
-  const world = new World(seeded(3), { limits: TIGHT });
-  world.shrink();
+test('jobs stored by 0.1.0 are loaded, migrated to narrow chunks and completed', async () => {
+  const world = new Simulation(seeded(3), { limits: TIGHT });
+  world.reduceLimits();
   world.cloud.capacity = 12;
   world.state.revision = production.revision;
   for (const { key, value, stamp } of production.keys)
@@ -42,13 +42,13 @@
   }
   await world.clock.runUntil(180_000);
   // What production saw completed is not run again, so the checker has not seen all of it run.
-  expect(world.checker.broken.filter((rule) => !rule.startsWith('not_done'))).toEqual([]);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.violations.filter((rule) => !rule.startsWith('not_done'))).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
   expect([...world.state.keys.keys()].filter((key) => /^(run|job)\//.test(key))).toEqual([]);
   expect(world.state.rejected).toBe(0);
 });
 
-test('peers of either version read what the other says', () => {
+test('peers of both versions decode the messages of the other', () => {
   const [status] = new StatusReader().push(Buffer.from(production.status, 'base64'));
   expect(status).toMatchObject({
     node: 'n-0',
@@ -83,19 +83,19 @@
     silentZones: [],
     relayedMachines: [],
     viewConfirmedAt: 0,
-    ...UNSEEN,
+    ...NO_OBSERVATIONS,
   });
   expect(earlier.toObject(earlier.decodeDelimited(own))).toMatchObject({ node: 'n-1', term: 8 });
 });
 
-test('a controller that is not known to be new keeps the format back; service goes on', async () => {
-  const world = new World(seeded(6), { limits: TIGHT, earlier: true });
+test('a controller of unknown version delays the new format; service continues', async () => {
+  const world = new Simulation(seeded(6), { limits: TIGHT, earlier: true });
   world.upgrade(0, 2000);
   world.upgrade(1, 2000);
   const place = { cpus: 1, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
   void world.user({ id: 'req-000001', team: 'crew', tasks: 30, ...place }, null);
   await world.clock.runUntil(60_000);
-  expect(world.checker.unfinished()).toEqual([]);
+  expect(world.checker.unfinishedJobs()).toEqual([]);
   expect(world.state.read('format')).toBeNull();
   // Nor does its silence tell what it will be when it is back.
   world.crash(2, 30_000);
@@ -115,7 +115,7 @@
     ]),
   );
 
-test('every record fits the limits to come', () => {
+test('every record fits the coming limits', () => {
   const settings = testSettings(0, 0, { next: { value_kb: 2, txn_ops: 6, write_rps: 18 } });
   const layout = upgradedLayout(settings, formatRecord(settings, null));
   expect(layout).toMatchObject({ keyWidth: 64, tasksPerChunk: 64, maxMutations: 6, maxValueBytes: 2048 });
@@ -143,7 +143,7 @@
   for (const part of packed) expect(bytes(part)).toBeLessThan(2048);
 });
 
-test('keys of chunks of either version', () => {
+test('chunk keys of both versions are parsed', () => {
   for (const name of [
     { index: 3, width: null },
     { index: 12, width: 64 },
@@ -153,7 +153,7 @@
   expect(parseChunkKey('run/req-1/0.00001')).toBeNull();
 });
 
-test('a width once written only shrinks, and what wide chunks hold is told by the record', () => {
+test('a written chunk width only shrinks, and the record tells what wide chunks hold', () => {
   const tight = testSettings(0, 0, TIGHT);
   const known = formatRecord(tight, null);
   expect(known).toEqual({ format: 2, wide: 128, tasks: 24 });
@@ -176,7 +176,7 @@
   });
 });
 
-test('limits to come: optional, each of them, and checked', () => {
+test('each of the coming limits is optional and validated', () => {
   const settings = testSettings(0);
   const withNext = (next: unknown): unknown => ({
     ...settings,
@@ -200,15 +200,15 @@
   );
 
 /** A leader with eight tasks of a large job on a machine, as production writes them. */
-function leading(): CoreBench {
-  const bench = new CoreBench(0, undefined, TIGHT);
+function leading(): CoreHarness {
+  const bench = new CoreHarness(0, undefined, TIGHT);
   bench.hear(report('m', 1));
   bench.add(job('req-1', 60, 1, 500));
   bench.hear(report('m', 2));
   return bench;
 }
 
-test('the way over: a narrow chunk outranks the wide one, which goes when all it knows is held', async () => {
+test('migration: a narrow chunk supersedes the wide one, which is removed once all its tasks are covered', async () => {
   const bench = leading();
   const settings = testSettings(0, 0, TIGHT);
   bench.do({ kind: 'adoptLayout', layout: upgradedLayout(settings, formatRecord(settings, null)) });
@@ -220,11 +220,11 @@
   const exit = bench.hear(report('m', 4, [{ ...first, stage: 'exited', exit: 'done' }, ...others]));
   // The next task is put in the room; with the chunk that holds both, all of the wide one is held.
   expect(puts(exit)).toEqual(['put run/req-1/24.00000', 'remove run/req-1/00000']);
-  await bench.keep('way-over');
+  await bench.expectTrace('migration');
 });
 
-test('after a crash on the way over, each task counts as its narrowest record says', () => {
-  const bench = new CoreBench(0, undefined, TIGHT);
+test('after a crash during migration each task has the state of its narrowest record', () => {
+  const bench = new CoreHarness(0, undefined, TIGHT);
   const settings = testSettings(0, 0, TIGHT);
   const format = formatRecord(settings, null);
   const of = { team: 'crew', cpus: 1, gpus: 0, memoryGb: 1, attempts: {} };
@@ -252,9 +252,9 @@
   expect(on('old')).toEqual([24, 25, 26, 27, 28, 29]);
 });
 
-// A transaction that the state service will never take was sent again at every tick.
-test('what is refused for its size is split, then left for a while, and never sent for ever', () => {
-  const bench = new CoreBench();
+// The store never accepts it, so a retry at every tick would be wasted.
+test('a transaction rejected for its size is split, then backed off, and never retried for ever', () => {
+  const bench = new CoreHarness();
   bench.hear(report('m', 1));
   let sent = 0;
   let effects = bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 8, 1, 50), modRevision: 101 } });
