--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,14 +1,172 @@
+import js from '@eslint/js';
+import vitest from '@vitest/eslint-plugin';
+import prettier from 'eslint-config-prettier';
+import { createTypeScriptImportResolver } from 'eslint-import-resolver-typescript';
+import { importX } from 'eslint-plugin-import-x';
+import jsdoc from 'eslint-plugin-jsdoc';
+import globals from 'globals';
 import tseslint from 'typescript-eslint';
 
+/** The files that only start or operate the service; nothing that does its work may import them. */
+const ENTRY_POINTS = ['cli', 'client', 'index', 'launch', 'main', 'service'].map(
+  (name) => `./src/${name}.ts`,
+);
+
+/** Which directory may import which: each zone forbids `from`, apart from `except` (relative to `from`). */
+const IMPORT_ZONES = [
+  { target: './src', from: ['./test', './lab', './bench'], message: 'src/ stands alone.' },
+  { target: './src/core', from: './src', except: ['./core'], message: 'core/ imports only core/.' },
+  {
+    target: './src/membership',
+    from: './src',
+    except: ['./core', './membership'],
+    message: 'membership/ imports only core/.',
+  },
+  {
+    target: './src/wire',
+    from: './src',
+    // wire/peers.ts encodes the view and the links that membership/views.ts defines.
+    except: ['./core', './membership/views.ts', './wire'],
+    message: 'wire/ imports only core/ and the views of membership/.',
+  },
+  {
+    target: './src/adapters',
+    from: ['./src/controller', ...ENTRY_POINTS],
+    message: 'adapters/ imports neither controller/ nor an entry point.',
+  },
+  { target: './src/controller', from: ENTRY_POINTS, message: 'controller/ imports no entry point.' },
+];
+
+const NOT_PURE = 'core/, membership/ and wire/ are pure: no I/O, clock or randomness.';
+const IMPURE_GLOBALS = [
+  ...[
+    'clearImmediate',
+    'clearInterval',
+    'clearTimeout',
+    'console',
+    'crypto',
+    'fetch',
+    'performance',
+    'process',
+  ],
+  ...['queueMicrotask', 'setImmediate', 'setInterval', 'setTimeout'],
+];
+
 export default tseslint.config(
-  { ignores: ['target', 'node_modules', 'journal', '*.mjs', 'eslint.config.js'] },
-  ...tseslint.configs.strict,
+  { ignores: ['target', 'node_modules', 'journal'] },
+  { linterOptions: { noInlineConfig: true, reportUnusedDisableDirectives: 'error' } },
+  js.configs.recommended,
+  {
+    rules: {
+      // `== null` stands for null and undefined together.
+      eqeqeq: ['error', 'always', { null: 'ignore' }],
+      'no-useless-rename': 'error',
+      'object-shorthand': 'error',
+    },
+  },
+  {
+    files: ['**/*.{js,mjs}'],
+    extends: [tseslint.configs.strict, tseslint.configs.stylistic],
+    languageOptions: { globals: globals.node },
+  },
   {
+    files: ['**/*.ts'],
+    extends: [tseslint.configs.strictTypeChecked, tseslint.configs.stylisticTypeChecked],
+    languageOptions: { parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname } },
+    plugins: { 'import-x': importX },
+    settings: { 'import-x/resolver-next': [createTypeScriptImportResolver()] },
     rules: {
-      '@typescript-eslint/no-explicit-any': 'error',
+      'import-x/first': 'error',
+      'import-x/no-cycle': 'error',
+      'import-x/no-duplicates': 'error',
+      'import-x/no-extraneous-dependencies': 'error',
+      'import-x/no-restricted-paths': ['error', { zones: IMPORT_ZONES }],
+      'import-x/no-self-import': 'error',
+      'import-x/no-useless-path-segments': 'error',
+      'import-x/order': ['error', { groups: ['builtin', 'external', 'parent', 'sibling', 'index'] }],
+
       '@typescript-eslint/no-unused-vars': ['error', { argsIgnorePattern: '^_', ignoreRestSiblings: true }],
-      // Events and late results use methods as statements on purpose.
-      '@typescript-eslint/no-invalid-void-type': 'off',
+      // `() => call()` hands a call on; braces would add nothing.
+      '@typescript-eslint/no-confusing-void-expression': ['error', { ignoreArrowShorthand: true }],
+      // Numbers are written into messages everywhere.
+      '@typescript-eslint/restrict-template-expressions': ['error', { allowNumber: true }],
+      '@typescript-eslint/restrict-plus-operands': ['error', { allowNumberAndString: true }],
+      // Brackets mark a key of a raw message or a setting from outside, of which the type promises nothing.
+      '@typescript-eslint/dot-notation': ['error', { allowIndexSignaturePropertyAccess: true }],
+      // Its mend is a `!`, which no-non-null-assertion forbids.
+      '@typescript-eslint/non-nullable-type-assertion-style': 'off',
+      // Narrowing does not see that a call or an await changes a field in between: most of 14 places are such.
+      '@typescript-eslint/no-unnecessary-condition': 'off',
+      // 15 places, not yet mended; the mend is by hand since it turns a check for null into a comparison with undefined.
+      '@typescript-eslint/prefer-optional-chain': 'off',
+    },
+  },
+  {
+    files: ['src/**/*.ts'],
+    extends: [jsdoc.configs['flat/recommended-typescript-error']],
+    rules: {
+      'import-x/no-extraneous-dependencies': ['error', { devDependencies: false }],
+      'max-lines-per-function': ['error', { max: 60, skipBlankLines: true, skipComments: true }],
+      'jsdoc/require-jsdoc': [
+        'error',
+        {
+          publicOnly: true,
+          // Its mend is an empty comment.
+          enableFixer: false,
+          require: { ClassDeclaration: true, FunctionDeclaration: true },
+          contexts: [
+            'TSInterfaceDeclaration',
+            'TSTypeAliasDeclaration',
+            'TSEnumDeclaration',
+            'ExportNamedDeclaration[declaration.type="VariableDeclaration"]',
+          ],
+        },
+      ],
+      // Names and types say what goes in and out; a tag is written where they do not.
+      'jsdoc/require-param': 'off',
+      'jsdoc/require-returns': 'off',
+      'jsdoc/require-yields': 'off',
+    },
+  },
+  {
+    files: ['src/{core,membership,wire}/**/*.ts'],
+    rules: {
+      'no-restricted-imports': ['error', { patterns: [{ group: ['node:*'], message: NOT_PURE }] }],
+      'no-restricted-globals': ['error', ...IMPURE_GLOBALS.map((name) => ({ name, message: NOT_PURE }))],
+      'no-restricted-properties': [
+        'error',
+        { object: 'Date', property: 'now', message: NOT_PURE },
+        { object: 'Math', property: 'random', message: NOT_PURE },
+      ],
+      'no-restricted-syntax': [
+        'error',
+        { selector: 'NewExpression[callee.name="Date"][arguments.length=0]', message: NOT_PURE },
+      ],
+    },
+  },
+  {
+    files: ['test/**/*.test.ts'],
+    extends: [vitest.configs.recommended],
+    rules: {
+      'vitest/consistent-test-it': ['error', { fn: 'test', withinDescribe: 'test' }],
+      'vitest/no-disabled-tests': 'error',
+      'vitest/no-focused-tests': 'error',
+      'vitest/no-duplicate-hooks': 'error',
+      'vitest/valid-expect-in-promise': 'error',
+      // 5 places, not yet mended: tests over many cases expect by case.
+      'vitest/no-conditional-expect': 'off',
+      // 1 place: the helper class of a test states what each of its steps expects.
+      'vitest/no-standalone-expect': 'off',
+    },
+  },
+  {
+    files: ['test/**/*.ts'],
+    rules: {
+      // 4 places, not yet mended: log fields and status fields are of unknown type and written into texts.
+      '@typescript-eslint/no-base-to-string': 'off',
+      // 1 place: a stored ratio of 17 digits is wanted.
+      'no-loss-of-precision': 'off',
     },
   },
+  prettier,
 );
