--- a/eslint.config.js
+++ b/eslint.config.js
@@ -74,7 +74,12 @@
     extends: [tseslint.configs.strictTypeChecked, tseslint.configs.stylisticTypeChecked],
     languageOptions: { parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname } },
     plugins: { 'import-x': importX },
-    settings: { 'import-x/resolver-next': [createTypeScriptImportResolver()] },
+    settings: {
+      'import-x/resolver-next': [createTypeScriptImportResolver()],
+      // Without these, no-cycle follows no import of a TypeScript file.
+      'import-x/extensions': ['.ts'],
+      'import-x/parsers': { '@typescript-eslint/parser': ['.ts'] },
+    },
     rules: {
       'import-x/first': 'error',
       'import-x/no-cycle': 'error',
