--- a/.ci/verdict.mjs
+++ b/.ci/verdict.mjs
@@ -20,7 +20,8 @@
 const known = new Map();
 for (const line of lines.filter((one) => one.trim() !== '')) {
   const [test, cause, issue, ...more] = line.split('|').map((part) => part.trim());
-  if (!test || !cause || !issue || more.length > 0) faults.push(`${listFile}: not \`test | cause | issue\`: ${line}`);
+  if (!test || !cause || !issue || more.length > 0)
+    faults.push(`${listFile}: not \`test | cause | issue\`: ${line}`);
   else if (known.has(test)) faults.push(`${listFile}: listed twice: ${test}`);
   else known.set(test, { cause, issue, status: null });
 }
--- a/bench/fleet.ts
+++ b/bench/fleet.ts
@@ -1,6 +1,6 @@
 /** One version of the core through a start, a burst, a mass loss and a takeover, at one size. */
-import { core, records } from '#version';
 import { FleetWorld, HUGE, TINY } from './world.js';
+import { core, records } from '#version';
 
 const fleet = Number(process.argv[2] ?? 600);
 const world = new FleetWorld(core, records, fleet);
--- a/bench/version.ts
+++ b/bench/version.ts
@@ -1,5 +1,9 @@
 /** What the benchmark needs of a version of the core, whichever it is. */
-export type State = { layout: unknown; legacyChunkTasks: number; jobs: Map<string, unknown> };
+export interface State {
+  layout: unknown;
+  legacyChunkTasks: number;
+  jobs: Map<string, unknown>;
+}
 export interface Spec {
   readonly id: string;
   readonly image: string;
--- a/bench/world.ts
+++ b/bench/world.ts
@@ -75,7 +75,7 @@
 };
 export const TINY: Shape = { ...HUGE, jobClass: 'playback', tasks: 1, runS: 5 };
 
-export const settings = {
+const settings = {
   host_name: 'n-0',
   zone: 'a',
   public_addr: '127.0.0.1:7000',
--- a/demo/emulators.ts
+++ b/demo/emulators.ts
@@ -2,9 +2,9 @@
  * The emulators on loopback, in real time: a key-value store, a cloud and its workers, and
  * the settings of three controllers, for trying rowanferry out. For development only.
  */
-import express, { type Request, type Response } from 'express';
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
+import express, { type Request, type Response } from 'express';
 import { HttpClient } from '../src/adapters/http-client.js';
 import type { ListedMachine, Mutation } from '../src/core/types.js';
 import { parseAddress } from '../src/config/settings.js';
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -83,7 +83,7 @@
   settings.forEach(({ host_name }, i) => start(host_name, i));
   const first = await leader();
   say(`three controllers are up; ${first} leads`);
-  const id = String(demoJob.nameId);
+  const id = demoJob.nameId;
   await ask('POST', '/v2/runs', JSON.stringify({ ...demoJob, movements: 24 }));
   say(`${id} is accepted: 24 tasks of ${demoJob.cores} cores`);
   let killed: string | null = null;
@@ -91,7 +91,7 @@
   const until = Date.now() + GIVE_UP_MS;
   while (Date.now() < until) {
     const { stage, done, running } = await ask('GET', `/v2/runs/${id}`, null);
-    const line = `${String(stage)}: ${String(done ?? 0)} done, ${String(running ?? 0)} running`;
+    const line = `${String(stage)}: ${Number(done ?? 0)} done, ${Number(running ?? 0)} running`;
     if (line !== before) say(`  ${line}`);
     before = line;
     if (stage === 'done') {
--- a/lab/emulator/cloud.ts
+++ b/lab/emulator/cloud.ts
@@ -5,7 +5,7 @@
 import type { MachineIdentity } from './hollow-worker.js';
 
 /** The only type of machine that the lab's cloud rents. */
-export const MACHINE_TYPE = 'lab-machine';
+const MACHINE_TYPE = 'lab-machine';
 
 const MAX_RENTAL = 50;
 const MAX_PAGE = 500;
--- a/lab/emulator/state-service.ts
+++ b/lab/emulator/state-service.ts
@@ -1,9 +1,9 @@
 /** The state service as a process: PROTOCOL's keys, transactions, leases and watches over HTTP. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { createServer as createListener, type Server } from 'node:net';
-import { answerJson, bytesSince, readJson, TrafficMeter } from './http.js';
 import { monotonicMs } from '../clock.js';
-import { Store, type StoreLimits, type StoreTransaction } from './store.js';
+import { answerJson, bytesSince, readJson, TrafficMeter } from './http.js';
+import { Store, type StoreLimits } from './store.js';
 
 const EXPIRY_EVERY_MS = 20;
 const MAX_ROWS = 1000;
@@ -123,7 +123,7 @@
       answerJson(response, 400, { error: 'malformed' });
       return;
     }
-    const outcome = this.#store.commit(body as StoreTransaction, bytes);
+    const outcome = this.#store.commit(body, bytes);
     switch (outcome.kind) {
       case 'applied':
         answerJson(response, 200, { ledgerRev: outcome.revision });
--- a/lab/main.ts
+++ b/lab/main.ts
@@ -2,11 +2,11 @@
  * The scale run: real controllers, the lab's own state service and cloud, and hollow workers, on loopback and
  * in real time. Exit codes: 0 done; 1 a rule was broken or the run could not be made; 2 wrong use.
  */
-import { Command, CommanderError, InvalidArgumentError } from 'commander';
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, readdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
+import { Command, CommanderError, InvalidArgumentError } from 'commander';
 import { cloudAddress, portTrouble, publicAddress, stateHost, statePort } from './addresses.js';
 import type { Variant } from './controllers.js';
 import { runStateProcess } from './emulator/state-process.js';
@@ -132,8 +132,14 @@
 
 async function main(): Promise<void> {
   const [role] = process.argv.slice(2);
-  if (role === 'state' && process.send !== undefined) return runStateProcess();
-  if (role === 'workers' && process.send !== undefined) return runWorkerHost();
+  if (role === 'state' && process.send !== undefined) {
+    runStateProcess();
+    return;
+  }
+  if (role === 'workers' && process.send !== undefined) {
+    runWorkerHost();
+    return;
+  }
   const command = new Command('scale')
     .description('runs controllers with hollow workers at size, and measures and checks them')
     .argument('<scenario>', `a scenario of ${SCENARIOS}, or a file`)
--- a/lab/measure/samples.ts
+++ b/lab/measure/samples.ts
@@ -29,7 +29,7 @@
 }
 
 /** Figures of a role, over the seconds that are measured. */
-export interface RoleFigures {
+interface RoleFigures {
   readonly core: number;
   readonly coreP95: number;
   readonly residentMb: number;
--- a/lab/run.ts
+++ b/lab/run.ts
@@ -34,7 +34,7 @@
 const VIOLATIONS_TOLD = 10;
 
 /** Something that keeps a run from being made; the lab ends with 1. */
-export class RunError extends Error {}
+class RunError extends Error {}
 
 /** What a run leaves. */
 export interface RunResult {
--- a/lab/scenario.ts
+++ b/lab/scenario.ts
@@ -95,7 +95,7 @@
 export class ScenarioError extends Error {}
 
 /** Number of teams of a scenario. */
-export function teamCount(scenario: Scenario): number {
+function teamCount(scenario: Scenario): number {
   return scenario.teams.reduce((sum, group) => sum + group.count, 0);
 }
 
--- a/src/adapters/cloud.ts
+++ b/src/adapters/cloud.ts
@@ -1,5 +1,4 @@
 /** Client of the cloud provider: within its rate, backing off while it fails. */
-import type { Clock } from './clock.js';
 import type { ListedMachine, MachineType } from '../core/types.js';
 import { parseAddress, type PlatformSettings } from '../config/settings.js';
 import {
@@ -9,6 +8,7 @@
   parseMachinePage,
   parseProvisioned,
 } from '../wire/cloud.js';
+import type { Clock } from './clock.js';
 import { HttpClient, type HttpResponse } from './http-client.js';
 import { RateLimiter, RetryBudget } from './rate-limiter.js';
 
--- a/src/adapters/job-reader.ts
+++ b/src/adapters/job-reader.ts
@@ -3,10 +3,10 @@
  * of the live jobs is refreshed by one request for all lookups that came before it, so each result is as fresh as
  * a read made after its lookup. Ended jobs never change and are read once. Alternatives: docs/reads.md.
  */
-import type { Clock } from './clock.js';
 import { decodeEnded, decodeJob, endedKey, JOB_PREFIX, jobKey, jobOfKey } from '../core/persistence/index.js';
 import type { EndedRecord, JobSpec } from '../core/types.js';
 import type { KeyChange } from '../wire/key-value-store.js';
+import type { Clock } from './clock.js';
 import type { KeyValueStore } from './key-value-store.js';
 
 /** What is stored of a job; `unknown`: the store does not answer. */
--- a/src/adapters/key-value-store.ts
+++ b/src/adapters/key-value-store.ts
@@ -1,5 +1,4 @@
 /** Client of the consensus-backed key-value store: reads, compare-and-swap, watches and leases. */
-import type { Clock } from './clock.js';
 import {
   parseAddress,
   timing,
@@ -20,6 +19,7 @@
   type Entry,
 } from '../wire/key-value-store.js';
 import type { Transaction } from '../core/types.js';
+import type { Clock } from './clock.js';
 import { DEFAULT_MAX_RESPONSE_BYTES, HttpClient, type HttpResponse } from './http-client.js';
 import { RateLimiter, RetryBudget } from './rate-limiter.js';
 import { RetransmissionTimer } from './retransmission-timer.js';
--- a/src/adapters/peer-links.ts
+++ b/src/adapters/peer-links.ts
@@ -1,12 +1,12 @@
 /** Links between controllers: each node dials every other one and sends it its status. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
-import type { Clock } from './clock.js';
 import { snapshotIntervalMs } from '../membership/evidence-rules.js';
 import type { LinkState } from '../membership/status.js';
 import type { Log, EventCounter } from '../observability/logging.js';
 import { parseAddress, type PlatformSettings, type Timing } from '../config/settings.js';
 import type { IntakeMessage } from '../wire/intake.js';
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../wire/peers.js';
+import type { Clock } from './clock.js';
 
 /** A link with more bytes unsent counts as stuck, unless single messages are large. */
 const MIN_UNSENT_BYTES = 256 * 1024;
@@ -28,11 +28,11 @@
   /** Counts messages that cannot be read. */
   readonly malformed: Pick<EventCounter, 'count'>;
   /** The node's status, as it is sent to the other controllers. */
-  status(): PeerStatus;
-  onStatus(status: PeerStatus): void;
+  readonly status: () => PeerStatus;
+  readonly onStatus: (status: PeerStatus) => void;
   /** What became of the link to a peer, each time that changes or is tried. */
-  onLink(node: string, link: LinkState): void;
-  onIntake(message: IntakeMessage): void;
+  readonly onLink: (node: string, link: LinkState) => void;
+  readonly onIntake: (message: IntakeMessage) => void;
 }
 
 /** A link that this node dialled. */
--- a/src/adapters/public-server.ts
+++ b/src/adapters/public-server.ts
@@ -1,6 +1,6 @@
 /** The node's public port: heartbeats of workers and questions about jobs bypass the router, all else is routed. */
-import express, { type ErrorRequestHandler, type Express, type RequestHandler } from 'express';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
+import express, { type ErrorRequestHandler, type Express, type RequestHandler } from 'express';
 import { parseJson } from '../core/values.js';
 import type { LatencyHistograms } from '../observability/latency.js';
 import type { EventCounter, Log } from '../observability/logging.js';
@@ -91,7 +91,7 @@
   readonly response: ServerResponse;
   /** The job asked about, if its path names one. */
   readonly job?: string;
-  run(): Promise<UserResponse>;
+  readonly run: () => Promise<UserResponse>;
 }
 
 /** Serves a user request if admission lets it in; rejects if `run` does. */
@@ -152,6 +152,7 @@
 
 /**
  * Creates the public port's server; it does not listen yet.
+ * @param api What the port serves.
  * @param sockets Sockets of the process's quota, of which the port takes a share.
  * @param log Where failures of requests are logged; their senders only learn that they may try again.
  */
--- a/src/adapters/user-requests.ts
+++ b/src/adapters/user-requests.ts
@@ -1,10 +1,10 @@
 /** User requests: submit, show and cancel, served by every node from the key-value store. */
-import type { Clock } from './clock.js';
 import { satisfiesConstraints, fits, WAIT_REASONS } from '../core/placement/index.js';
 import type { TeamQuota } from '../core/model.js';
 import type { Precondition, EndedRecord, JobSpec, MachineType, Mutation } from '../core/types.js';
 import { endedKey, jobBytes, jobKey } from '../core/persistence/index.js';
 import { encodeJobView, JOB_ID, parseSubmission, type JobView } from '../wire/users.js';
+import type { Clock } from './clock.js';
 import { JobReader, type JobLookup } from './job-reader.js';
 import type { KeyValueStore } from './key-value-store.js';
 
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -43,7 +43,7 @@
 } as const satisfies Record<string, Figure>;
 
 /** The name of a figure, as in the policy file. */
-export type FigureName = keyof typeof FIGURES;
+type FigureName = keyof typeof FIGURES;
 
 const NAMES = Object.keys(FIGURES) as FigureName[];
 const isFigure = (name: string): name is FigureName => name in FIGURES;
@@ -100,10 +100,11 @@
 /** A fault as `line:column: reason`. */
 export const formatFault = ({ line, column, reason }: PolicyFault): string => `${line}:${column}: ${reason}`;
 
-export type Evaluate = (values: Values) => number;
+/** Evaluates a compiled expression over the values of its variables. */
+type Evaluate = (values: Values) => number;
 
 /** A compiled expression and the line that it stands on. */
-export interface Compiled {
+interface Compiled {
   readonly evaluate: Evaluate;
   readonly line: number;
 }
@@ -202,7 +203,7 @@
 
 /**
  * Compiles one expression.
- * @throws the expression language's own error if it does not parse or check, {@link PolicyError} if it is no number.
+ * @throws {Error} The expression language's own error if it does not parse or check, {@link PolicyError} if it is no number.
  */
 function compile(figure: Figure, source: string): Evaluate {
   const expression = environment(figure.scope).parse(source);
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -5,8 +5,8 @@
 import type { Clock } from '../adapters/clock.js';
 import type { SchedulingPolicy } from '../core/model.js';
 import type { Log } from '../observability/logging.js';
-import type { CommandLoop } from './command-loop.js';
 import type { PlatformSettings, Timing } from '../config/settings.js';
+import type { CommandLoop } from './command-loop.js';
 
 /** What a controller needs of the world around it. */
 export interface Ports {
--- a/src/controller/effect-executor.ts
+++ b/src/controller/effect-executor.ts
@@ -40,14 +40,20 @@
   /** Begins to carry out an effect; it doesn't wait for the outcome. */
   execute(effect: Effect): void {
     switch (effect.kind) {
-      case 'reply':
-        return this.#deliverReply(effect);
+      case 'reply': {
+        this.#deliverReply(effect);
+        return;
+      }
       case 'commit':
         return void this.#commit(effect);
-      case 'resolveDependencies':
-        return this.handlers.resolveDependencies(effect.ids);
-      case 'reconcile':
-        return this.handlers.reconcile(effect.jobs, effect.chunks);
+      case 'resolveDependencies': {
+        this.handlers.resolveDependencies(effect.ids);
+        return;
+      }
+      case 'reconcile': {
+        this.handlers.reconcile(effect.jobs, effect.chunks);
+        return;
+      }
       case 'sendCommands':
         return void this.#sendCommands(effect);
       case 'probe':
@@ -59,12 +65,18 @@
       case 'saveDemandHistory':
         // A lost write costs nothing: the history is written again at its next interval.
         return void this.context.ports.state.commit(effect.transaction);
-      case 'attention':
-        return this.handlers.announceAttention(effect.machines);
-      case 'steppedDown':
-        return this.handlers.steppedDown(effect.reason);
-      case 'log':
-        return this.context.ports.log[effect.level](effect.detail, effect.event);
+      case 'attention': {
+        this.handlers.announceAttention(effect.machines);
+        return;
+      }
+      case 'steppedDown': {
+        this.handlers.steppedDown(effect.reason);
+        return;
+      }
+      case 'log': {
+        this.context.ports.log[effect.level](effect.detail, effect.event);
+        return;
+      }
     }
   }
 
--- a/src/controller/format-upgrade.ts
+++ b/src/controller/format-upgrade.ts
@@ -26,9 +26,9 @@
   /** Time between two reads of the format record, in milliseconds. */
   readonly pollIntervalMs: number;
   /** Revision of the term record while this node leads, else `null`. */
-  termRevision(): number | null;
+  readonly termRevision: () => number | null;
   /** Whether a controller that cannot read the format sends status messages now. */
-  hearsEarlierVersion(): boolean;
+  readonly hearsEarlierVersion: () => boolean;
   /** Called once, when the format is known to be in force. */
   onAdopted(record: FormatRecord): void;
 }
--- a/src/controller/leader-role.ts
+++ b/src/controller/leader-role.ts
@@ -1,6 +1,5 @@
 /** The leader's role: it loads what its predecessors have committed, then watches the jobs and the cloud. */
 import { readJob } from '../adapters/job-reader.js';
-import type { ControllerContext } from './context.js';
 import type { LoadedChunk, ReconciledRecords } from '../core/effects.js';
 import {
   decodeChunk,
@@ -22,11 +21,12 @@
 } from '../core/persistence/index.js';
 import type { EndedRecord, JobSpec, Versioned } from '../core/types.js';
 import type { ElectionResult } from '../membership/election.js';
-import type { FailureDetector } from './failure-detector.js';
-import type { PeerExchange } from './peer-exchange.js';
 import type { PlatformSettings } from '../config/settings.js';
 import { initialLayout, formatRecord, upgradedLayout } from '../config/record-layout.js';
 import type { Entry } from '../wire/key-value-store.js';
+import type { PeerExchange } from './peer-exchange.js';
+import type { FailureDetector } from './failure-detector.js';
+import type { ControllerContext } from './context.js';
 
 function decodeJobs(entries: readonly Entry[]): Versioned<JobSpec>[] {
   const jobs: Versioned<JobSpec>[] = [];
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -2,33 +2,33 @@
 import { Admission } from '../adapters/admission.js';
 import type { PeerTraffic } from '../adapters/peer-links.js';
 import { UserRequests } from '../adapters/user-requests.js';
-import { storeContactAgeMs, type ControllerContext, type Ports, type LeadershipView } from './context.js';
 import { FORMAT, LEADER_KEY, type LeaderRecord } from '../core/persistence/index.js';
 import { createState } from '../core/create-state.js';
-import { FallbackResponder } from './fallback-responder.js';
 import { describeLeaderView } from '../observability/status-page.js';
-import { EffectExecutor } from './effect-executor.js';
-import { ElectionDriver } from './election-driver.js';
-import { FollowerRole } from './follower-role.js';
 import { LatencyHistograms } from '../observability/latency.js';
-import { LeaderRole } from './leader-role.js';
 import { EventCounter } from '../observability/logging.js';
-import { CommandLoop } from './command-loop.js';
-import { FailureDetector } from './failure-detector.js';
-import { PeerExchange } from './peer-exchange.js';
-import { HeartbeatIntake } from './heartbeat-intake.js';
-import { SharedHeartbeats } from './shared-heartbeats.js';
 import { createElection, type ElectionResult } from '../membership/election.js';
 import type { Resignation } from '../membership/membership.js';
 import type { LinkState } from '../membership/status.js';
 import { createCoreConfig } from '../config/core-config.js';
 import { strictestLimits, timing, type PlatformSettings } from '../config/settings.js';
-import { FormatUpgrade } from './format-upgrade.js';
 import { upgradedLayout } from '../config/record-layout.js';
 import type { Heartbeat } from '../core/types.js';
 import type { IntakeMessage } from '../wire/intake.js';
 import type { PeerStatus } from '../wire/peers.js';
 import { encodeRedirect, encodeReply, parseHeartbeat } from '../wire/workers.js';
+import { FormatUpgrade } from './format-upgrade.js';
+import { SharedHeartbeats } from './shared-heartbeats.js';
+import { HeartbeatIntake } from './heartbeat-intake.js';
+import { PeerExchange } from './peer-exchange.js';
+import { FailureDetector } from './failure-detector.js';
+import { CommandLoop } from './command-loop.js';
+import { LeaderRole } from './leader-role.js';
+import { FollowerRole } from './follower-role.js';
+import { ElectionDriver } from './election-driver.js';
+import { EffectExecutor } from './effect-executor.js';
+import { FallbackResponder } from './fallback-responder.js';
+import { storeContactAgeMs, type ControllerContext, type Ports, type LeadershipView } from './context.js';
 
 export type { Ports };
 
@@ -74,7 +74,7 @@
       ports.clock,
       ports.log,
       (effect) => this.#executor.execute(effect),
-      ({ elapsedMs: elapsedMs, cpuMs: cpuMs }) =>
+      ({ elapsedMs, cpuMs }) =>
         this.#failureDetector.membership.processingRate.record(elapsedMs, cpuMs, ports.clock.monotonicMs()),
     );
     const leadershipView: LeadershipView = {
--- a/src/controller/peer-exchange.ts
+++ b/src/controller/peer-exchange.ts
@@ -1,11 +1,11 @@
 /** The exchange of status with the other controllers: what they are told, and what of theirs is believed. */
-import type { LiveJobsSnapshot } from './fallback-responder.js';
-import { storeContactAgeMs, type ControllerContext } from './context.js';
 import { FORMAT } from '../core/persistence/index.js';
 import { resolvedUntil } from '../core/jobs/index.js';
 import { WAIT_REASONS, waitReason } from '../core/placement/index.js';
 import type { MemberStatus } from '../membership/status.js';
 import type { JobCount, PeerStatus, SilentZone } from '../wire/peers.js';
+import { storeContactAgeMs, type ControllerContext } from './context.js';
+import type { LiveJobsSnapshot } from './fallback-responder.js';
 
 /** The part of a status that the failure detector provides. */
 export type FailureDetectorStatus = Pick<
--- a/src/controller/shared-heartbeats.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -2,7 +2,7 @@
  * The leader's side of shared heartbeats: it answers what followers forward, tells them for which machines it has
  * commands, and decides which workers report to which follower.
  */
-import type { Heartbeat, WorkerCommand } from '../core/types.js';
+import type { Heartbeat } from '../core/types.js';
 import {
   chooseRebalancing,
   chooseFollower,
@@ -16,7 +16,7 @@
 import type { ControllerContext } from './context.js';
 
 /** A controller that may take reports, as this one knows it. */
-export interface FollowerCandidate {
+interface FollowerCandidate {
   readonly node: string;
   readonly zone: string;
 }
@@ -32,13 +32,6 @@
   push(report: Heartbeat, ageMs: number, answer: (answer: Omit<ForwardedAnswer, 'reference'>) => void): void;
 }
 
-/** A reply of the core to a forwarded report. */
-export interface CoreAnswer {
-  readonly isAccepted: boolean;
-  readonly needsAttention: boolean;
-  readonly commands: readonly WorkerCommand[];
-}
-
 interface Outbox {
   number: number;
   answers: ForwardedAnswer[];
--- a/src/core/fleet/health-summary.ts
+++ b/src/core/fleet/health-summary.ts
@@ -2,9 +2,9 @@
  * The fleet's health in one pass over the machines, made at each tick: which zones report, which are
  * partitioned, and whether so many machines are silent together that it is one event.
  */
-import { isExpectedToReport } from './probes.js';
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
+import { isExpectedToReport } from './probes.js';
 
 /** A zone of which a smaller share reports may be partitioned, or this node be. */
 const MIN_REPORTING_SHARE = 0.5;
--- a/src/core/fleet/worker-commands.ts
+++ b/src/core/fleet/worker-commands.ts
@@ -57,7 +57,7 @@
 }
 
 /** The commands for a worker in answer to the heartbeat last taken in. */
-export function commandsFor(state: CoreState, machine: Machine): WorkerCommand[] {
+function commandsFor(state: CoreState, machine: Machine): WorkerCommand[] {
   const commands: WorkerCommand[] = [];
   const listed = new Set<string>();
   for (const reported of machine.reportedTasks) {
--- a/src/core/jobs/best-effort.ts
+++ b/src/core/jobs/best-effort.ts
@@ -1,9 +1,9 @@
 /** Best-effort work, done in idle time, and whether it may use on-demand machines. */
-import { expectedRun } from './jobs.js';
 import { fits, satisfiesConstraints } from '../placement/resources.js';
 import type { JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
+import { expectedRun } from './jobs.js';
 
 /** The lowest priority of a submission. */
 export const LOW_PRIORITY = 3;
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -4,11 +4,11 @@
  * cancelled. Both outcomes are final, so what has been learned stays true. Jobs are indexed by
  * those they depend on, so that an outcome costs no more than the jobs that it makes ready.
  */
-import { expectedRun, isReady, startLatency, updateTaskCounts } from './jobs.js';
 import { markDirty } from '../persistence/dirty-jobs.js';
 import type { FinalOutcome, JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { EndedRecord, FinalStage } from '../types.js';
+import { expectedRun, isReady, startLatency, updateTaskCounts } from './jobs.js';
 
 /** Outcomes that are remembered at least; with more live jobs, twice their number is. */
 const MIN_REMEMBERED_OUTCOMES = 4000;
--- a/src/core/jobs/objectives.ts
+++ b/src/core/jobs/objectives.ts
@@ -3,11 +3,11 @@
  * each to be met. Each objective counts by itself, any number of them: one that is lost no
  * longer makes a job urgent, and the next one does in its time.
  */
-import { expectedRun, startLatency } from './jobs.js';
 import { fits } from '../placement/resources.js';
 import type { ClassObjectives, JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
+import { expectedRun, startLatency } from './jobs.js';
 
 const NO_OBJECTIVES: ClassObjectives = { startTargetsMs: [], deadlineMultiples: [], finishTargetsMs: [] };
 /** What a deadline means to a class whose objectives do not speak of it. */
@@ -18,11 +18,11 @@
 const SCALE_OUT_WAIT_SHARE = 0.5;
 
 /** The objectives of a job's class; all lists are empty if it has none. */
-export const objectivesOf = (state: CoreState, spec: JobSpec): ClassObjectives =>
+const objectivesOf = (state: CoreState, spec: JobSpec): ClassObjectives =>
   state.config.objectives.get(spec.jobClass) ?? NO_OBJECTIVES;
 
 /** The strictest start objective of a class, in milliseconds from being ready; undefined: none. */
-export const strictestStartTarget = (state: CoreState, spec: JobSpec): number | undefined =>
+const strictestStartTarget = (state: CoreState, spec: JobSpec): number | undefined =>
   objectivesOf(state, spec).startTargetsMs[0];
 
 /** Whether there is a time by which a job should be done, for itself or for its dependents. */
--- a/src/core/persistence/layout-migration.ts
+++ b/src/core/persistence/layout-migration.ts
@@ -3,8 +3,14 @@
  * for the change itself: what is committed stands in the records of the layout before, and each of these is
  * superseded as its tasks change.
  */
-import { DURABLE_EXIT, isExitDurable, type Chunk, type JobState, type Machine } from '../model.js';
-import type { RecordLayout } from '../model.js';
+import {
+  DURABLE_EXIT,
+  isExitDurable,
+  type Chunk,
+  type JobState,
+  type Machine,
+  type RecordLayout,
+} from '../model.js';
 import type { CoreState } from '../state.js';
 import { chunkIndexOf, chunkRange, markTaskDirty, storedChunkKey } from './chunks.js';
 import { markDirty } from './dirty-jobs.js';
--- a/src/core/persistence/transaction-draft.ts
+++ b/src/core/persistence/transaction-draft.ts
@@ -5,8 +5,8 @@
  * that nothing of a leader that has been superseded is applied, nor anything in a wrong order.
  */
 import { isComplete } from '../jobs/jobs.js';
-import { isDone, type CommitInFlight, type Chunk, type JobState, type Now } from '../model.js';
-import type { SupersededChunk } from '../model.js';
+import { isDone } from '../model.js';
+import type { SupersededChunk, CommitInFlight, Chunk, JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { FinalStage, Mutation, Precondition } from '../types.js';
 import { buildChunkRecord, chunkIndexOf, chunkRange, hasClaimIn, storedChunkKey } from './chunks.js';
--- a/src/core/placement/capacity-index.ts
+++ b/src/core/placement/capacity-index.ts
@@ -2,6 +2,8 @@
  * Index of the machines that tasks may be placed on, by their free resources: what fits a
  * task is found without looking at the machines that are full.
  */
+import type { LiveClaim, Machine } from '../model.js';
+import type { JobSpec, MachineType, ResourceRequest } from '../types.js';
 import {
   bucketOf,
   createNodeGroup,
@@ -11,8 +13,6 @@
 } from './node-capacity.js';
 import { allocate, fits, noResources, release } from './resources.js';
 import { ShadowTimeCache, type NodeShadow } from './shadow-time-cache.js';
-import type { LiveClaim, Machine } from '../model.js';
-import type { JobSpec, MachineType, ResourceRequest } from '../types.js';
 
 export type { NodeCapacity, NodeGroup } from './node-capacity.js';
 
--- a/src/core/placement/capacity-refresh.ts
+++ b/src/core/placement/capacity-refresh.ts
@@ -1,9 +1,9 @@
 /** Keeps the capacity index in line with the machines. */
 import { expectedEnd } from '../fleet/expected-end.js';
 import { isSchedulable } from '../fleet/machines.js';
-import type { NodeCapacity } from './capacity-index.js';
 import type { LiveClaim, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
+import type { NodeCapacity } from './capacity-index.js';
 
 /** Whether tasks may be placed on a machine, as far as its own state goes. */
 function isPlaceable(state: CoreState, machine: Machine, now: Now): boolean {
--- a/src/core/placement/constrained-types.ts
+++ b/src/core/placement/constrained-types.ts
@@ -1,8 +1,8 @@
 /** Constrained machine types: those that some job can use nothing but. */
-import { fits } from './resources.js';
 import type { JobState } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
+import { fits } from './resources.js';
 
 /** Types that some waiting job can use nothing but, with the first such job of each. */
 export function constrainedTypes(state: CoreState, queue: readonly JobState[]): Map<string, JobState> {
--- a/src/core/placement/easy.ts
+++ b/src/core/placement/easy.ts
@@ -6,6 +6,8 @@
 import { isDeadlineAtRisk, losesObjectiveWithin } from '../jobs/objectives.js';
 import { nextTask, waitingTasks } from '../jobs/jobs.js';
 import { claimTask } from '../persistence/claims.js';
+import type { HeadReservation, JobState, Now } from '../model.js';
+import type { CoreState } from '../state.js';
 import { CandidateSet } from './candidates.js';
 import type { NodeCapacity } from './capacity-index.js';
 import { refreshCapacity } from './capacity-refresh.js';
@@ -22,8 +24,6 @@
 import { waitedMs } from './starvation.js';
 import { isWithinTeamQuota } from './team-quota.js';
 import { zoneFilter } from './zone-constraints.js';
-import type { HeadReservation, JobState, Now } from '../model.js';
-import type { CoreState } from '../state.js';
 
 /**
  * Deferrable tasks placed per tick by a leader that is behind its timers: it needs the processor
--- a/src/core/placement/headroom.ts
+++ b/src/core/placement/headroom.ts
@@ -3,11 +3,11 @@
  * to boot. It is a reservation for tasks that are expected to arrive.
  */
 import { isStartSensitive } from '../jobs/objectives.js';
+import type { Demand, Now } from '../model.js';
+import type { CoreState } from '../state.js';
 import type { NodeCapacity } from './capacity-index.js';
 import { constrainedTypesInDemand, soleType } from './constrained-types.js';
 import { fits, satisfiesConstraints } from './resources.js';
-import type { Demand, Now } from '../model.js';
-import type { CoreState } from '../state.js';
 
 /** Number of mean arrival gaps without an arrival after which a class is taken to have ended for now. */
 export const MAX_ARRIVAL_GAPS = 8;
--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -2,7 +2,6 @@
  * Placement: which task goes to which machine, and when, by EASY backfilling. Code outside the
  * core imports from here alone.
  */
-export { CapacityIndex, type NodeCapacity, type NodeGroup } from './capacity-index.js';
 export * from './constrained-types.js';
 export * from './easy.js';
 export * from './headroom.js';
--- a/src/core/placement/job-reservation.ts
+++ b/src/core/placement/job-reservation.ts
@@ -1,5 +1,7 @@
 /** Reservations for blocked jobs: the nodes that a job may reserve, and which of them it does. */
 import { isSchedulable } from '../fleet/machines.js';
+import type { JobState, Now } from '../model.js';
+import type { CoreState } from '../state.js';
 import type { NodeCapacity } from './capacity-index.js';
 import { avoidsConstrainedTypes, startTogetherCount, type PlacementPass } from './placement-pass.js';
 import { isExcluded, satisfiesConstraints } from './resources.js';
@@ -12,8 +14,6 @@
   type ReservedCapacity,
 } from './shadow-time.js';
 import { zoneFilter } from './zone-constraints.js';
-import type { JobState, Now } from '../model.js';
-import type { CoreState } from '../state.js';
 
 const noConstrainedCapacity: ReadonlyMap<NodeCapacity, ReservedCapacity> = new Map();
 
--- a/src/core/placement/node-capacity.ts
+++ b/src/core/placement/node-capacity.ts
@@ -2,9 +2,9 @@
  * Capacity of one worker node as placement sees it, and the groups of like nodes that the
  * capacity index sorts into buckets of free CPUs.
  */
-import { RESOURCE_EPSILON } from './resources.js';
 import type { Machine } from '../model.js';
 import type { MachineType, Resources } from '../types.js';
+import { RESOURCE_EPSILON } from './resources.js';
 
 /** Number of equal steps into which a machine type's CPUs are divided for the buckets. */
 const CPU_BUCKETS = 32;
--- a/src/core/placement/placement-pass.ts
+++ b/src/core/placement/placement-pass.ts
@@ -1,21 +1,21 @@
 /** State of one pass over the queue: what is reserved in it, and what it has found out so far. */
 import { isDeadlineAtRisk } from '../jobs/objectives.js';
 import { waitingTasks } from '../jobs/jobs.js';
+import type { JobState, Now } from '../model.js';
+import type { CoreState } from '../state.js';
+import type { ResourceRequest } from '../types.js';
 import type { NodeCapacity } from './capacity-index.js';
 import { soleType } from './constrained-types.js';
 import { addResources, allocate, fits, noResources } from './resources.js';
 import type { Reservation, ReservedCapacity } from './shadow-time.js';
-import type { JobState, Now } from '../model.js';
-import type { CoreState } from '../state.js';
-import type { ResourceRequest } from '../types.js';
 
 /** The reservation of one job; it binds all other jobs. */
-export interface JobReservation extends Reservation {
+interface JobReservation extends Reservation {
   readonly job: JobState;
 }
 
 /** A request that no node has room for in this pass, with or without the headroom. */
-export interface UnplaceableRequest {
+interface UnplaceableRequest {
   readonly request: ResourceRequest;
   readonly includesHeadroom: boolean;
 }
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -9,11 +9,11 @@
 import { spotSlots } from '../jobs/best-effort.js';
 import { hasDeadline } from '../jobs/objectives.js';
 import { expectedEnd } from '../fleet/expected-end.js';
-import type { NodeCapacity } from './capacity-index.js';
-import { addResources, allocate, fits, release, RESOURCE_EPSILON, resourcesOf } from './resources.js';
 import type { JobState, LiveClaim, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { ResourceRequest, Resources } from '../types.js';
+import { addResources, allocate, fits, release, RESOURCE_EPSILON, resourcesOf } from './resources.js';
+import type { NodeCapacity } from './capacity-index.js';
 
 /** Share of a job's longest wait that a task of it runs at least before it may be preempted. */
 const MIN_RUN_SHARE = 0.125;
@@ -23,7 +23,7 @@
 const STOP_HEARTBEATS = 2;
 
 /** What a task loses by being stopped now, in milliseconds of its run. */
-export function preemptionLossMs({ job, runningSince, stage }: LiveClaim, now: Now): number {
+function preemptionLossMs({ job, runningSince, stage }: LiveClaim, now: Now): number {
   const { checkpointS, saveS, form } = job.spec;
   if (stage !== 'running' || runningSince === null) return 0;
   const ranMs = now.monotonicMs - runningSince;
--- a/src/core/placement/scoring.ts
+++ b/src/core/placement/scoring.ts
@@ -3,6 +3,8 @@
 import { isDeadlineAtRisk, isStartSensitive, startDeadline } from '../jobs/objectives.js';
 import { expectedRun } from '../jobs/jobs.js';
 import { isSchedulable } from '../fleet/machines.js';
+import type { JobState, Machine, Now } from '../model.js';
+import type { CoreState } from '../state.js';
 import type { NodeCapacity } from './capacity-index.js';
 import { avoidsConstrainedTypes, type PlacementPass } from './placement-pass.js';
 import {
@@ -15,8 +17,6 @@
 } from './resources.js';
 import { mayBackfill } from './shadow-time.js';
 import type { ZoneFilter } from './zone-constraints.js';
-import type { JobState, Machine, Now } from '../model.js';
-import type { CoreState } from '../state.js';
 
 /** Penalty of an on-demand machine against a spot machine that fits as well. */
 const ON_DEMAND_PENALTY = 1;
--- a/src/core/placement/shadow-time-cache.ts
+++ b/src/core/placement/shadow-time-cache.ts
@@ -3,9 +3,9 @@
  * queue: only nodes that have changed are computed again.
  */
 import TinyQueue from 'tinyqueue';
-import type { NodeCapacity } from './node-capacity.js';
 import type { Machine } from '../model.js';
 import type { Resources } from '../types.js';
+import type { NodeCapacity } from './node-capacity.js';
 
 /** When a blocked task would fit one node, and what is free on it then. */
 export interface NodeShadow {
--- a/src/core/placement/shadow-time.ts
+++ b/src/core/placement/shadow-time.ts
@@ -4,12 +4,12 @@
  * left beside the job then. Both are counted per machine and resource.
  */
 import { expectedEnd } from '../fleet/expected-end.js';
-import type { NodeCapacity } from './capacity-index.js';
-import { allocate, fits, release, resourcesOf } from './resources.js';
-import type { NodeShadow } from './shadow-time-cache.js';
 import type { LiveClaim, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { ResourceRequest, Resources } from '../types.js';
+import type { NodeCapacity } from './capacity-index.js';
+import { allocate, fits, release, resourcesOf } from './resources.js';
+import type { NodeShadow } from './shadow-time-cache.js';
 
 /** Capacity of one node that is reserved for a blocked job. */
 export interface ReservedCapacity {
--- a/src/core/placement/starvation.ts
+++ b/src/core/placement/starvation.ts
@@ -5,9 +5,9 @@
  * longest wait gets a reservation of its own, whatever its priority or size, and all others must
  * pass the two backfilling tests against it too.
  */
-import { isFaultyJob } from './resources.js';
 import type { JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
+import { isFaultyJob } from './resources.js';
 
 /** Starvation reservations of one class at a time; more would leave little of the queue's order. */
 const MAX_RESERVED_JOBS_PER_CLASS = 2;
--- a/src/core/placement/team-quota.ts
+++ b/src/core/placement/team-quota.ts
@@ -1,8 +1,8 @@
 /** Team quotas: the resources that a team is guaranteed, and the limit on what it may use. */
 import { isReady } from '../jobs/jobs.js';
-import { isFaultyJob, RESOURCE_EPSILON } from './resources.js';
 import type { JobState, TeamUsage } from '../model.js';
 import type { CoreState } from '../state.js';
+import { isFaultyJob, RESOURCE_EPSILON } from './resources.js';
 
 /** Whether a job's team stays within its limit with `count` more tasks of the job; a limit of 0 is none. */
 export function isWithinTeamQuota(state: CoreState, job: JobState, count: number): boolean {
--- a/src/core/placement/wait-reason.ts
+++ b/src/core/placement/wait-reason.ts
@@ -1,7 +1,7 @@
 /** Why a job's tasks wait, in the words shown to users. */
-import { isFaultyJob } from './resources.js';
 import type { JobState } from '../model.js';
 import type { CoreState } from '../state.js';
+import { isFaultyJob } from './resources.js';
 
 /** All reasons; their order is fixed, for peers exchange positions in it. */
 export const WAIT_REASONS = [
--- a/src/core/placement/zone-constraints.ts
+++ b/src/core/placement/zone-constraints.ts
@@ -1,7 +1,7 @@
 /** Zone constraints of a job: all tasks in one zone, or no more than half of them in any. */
-import type { NodeCapacity } from './capacity-index.js';
 import type { JobState } from '../model.js';
 import type { CoreState } from '../state.js';
+import type { NodeCapacity } from './capacity-index.js';
 
 /** Tells whether a job's next task may be placed in a zone. */
 export type ZoneFilter = (zone: string) => boolean;
--- a/src/membership/evidence-rules.ts
+++ b/src/membership/evidence-rules.ts
@@ -105,7 +105,7 @@
 }
 
 /** Suspected: any one of these. */
-export const SUSPICION_RULES: readonly EvidenceRule[] = [
+const SUSPICION_RULES: readonly EvidenceRule[] = [
   { name: 'unusually silent', holds: ({ arrivals }, { now }) => arrivals.phi(now) >= SUSPICION_PHI },
   { name: 'link lost', holds: ({ linkLostAt }) => linkLostAt !== null },
   {
@@ -121,7 +121,7 @@
 ];
 
 /** A leader has crashed, and may be succeeded before its lease is over: all of these. */
-export const CRASH_RULES: readonly EvidenceRule[] = [
+const CRASH_RULES: readonly EvidenceRule[] = [
   // A cut is silent; what is refused has a host that is there, and no such process on it.
   {
     name: 'refused since its last word',
@@ -162,7 +162,7 @@
 ];
 
 /** A peer that a leader may hand over to: all of these. */
-export const SUCCESSOR_RULES: readonly EvidenceRule[] = [
+const SUCCESSOR_RULES: readonly EvidenceRule[] = [
   {
     name: 'heard',
     holds: ({ arrivals, linkLostAt }, { now }) => linkLostAt === null && arrivals.phi(now) < SUSPICION_PHI,
@@ -190,7 +190,7 @@
 export const MACHINES_UNREACHABLE = 'this node cannot reach its machines';
 
 /** A leader hands over to a fit peer: any one of these. */
-export const TRANSFER_RULES: readonly EvidenceRule[] = [
+const TRANSFER_RULES: readonly EvidenceRule[] = [
   {
     name: MACHINES_UNREACHABLE,
     holds: (_, context) =>
--- a/src/membership/status.ts
+++ b/src/membership/status.ts
@@ -23,7 +23,7 @@
 }
 
 /** The outcome of one controller's probes of a sample of machines. */
-export interface ProbeCounts {
+interface ProbeCounts {
   /** The number of the leader's probe round; each has a sample of its own. */
   readonly round: number;
   readonly reachable: number;
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -33,6 +33,7 @@
   });
 }
 
+/** An entry as the store writes it; null if it is malformed. */
 function parseEntry(body: unknown): Entry | null {
   const raw = asObject(body);
   if (raw === null || !isText(raw['key']) || !isCount(raw['stamp'])) return null;
--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -3,6 +3,7 @@
  * goes in several: the first is a message as ever, with a part of the lists, and says how many follow.
  */
 import protobuf from 'protobufjs/light.js';
+import { LINK_STATES, type LinkState, type Observation, type MemberStatus } from '../membership/status.js';
 import {
   INTAKE_TYPES,
   intakeFromWire,
@@ -13,7 +14,6 @@
   type WireIntake,
 } from './intake.js';
 import { nameBytes, portionsOf } from './portions.js';
-import { LINK_STATES, type LinkState, type Observation, type MemberStatus } from '../membership/status.js';
 
 /** Progress of a job's tasks, for the job's status page on any controller. */
 export interface JobCount {
--- a/src/wire/portions.ts
+++ b/src/wire/portions.ts
@@ -6,7 +6,7 @@
 /** Of a list that is cut, the most items in one portion. */
 const MAX_PORTION_ITEMS = 2000;
 /** Of a list that is cut, the most bytes in one portion; the rest of a frame of 64 KiB is for all else. */
-export const MAX_PORTION_BYTES = 40 * 1024;
+const MAX_PORTION_BYTES = 40 * 1024;
 /** Bytes that the length and the tag of a name take, at most. */
 const NAME_OVERHEAD_BYTES = 4;
 
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -5,7 +5,7 @@
 /** The form of a job id. */
 export const JOB_ID = /^req-\d{1,18}$/;
 /** Tasks of one job, at most. */
-export const MAX_TASKS = 100_000;
+const MAX_TASKS = 100_000;
 
 const PRIORITIES = new Map<unknown, Priority>([
   ['prod', 0],
@@ -109,6 +109,7 @@
 
 /**
  * Reads a submission; the reason of a refusal names the first field at fault.
+ * @param body The request's body, as JSON was parsed.
  * @param submittedAt Time of day, in milliseconds since the epoch.
  */
 export function parseSubmission(body: unknown, submittedAt: number): ParseResult<JobSpec> {
@@ -126,7 +127,7 @@
 const MAX_LISTED_DEPENDENCIES = 20;
 
 /** The stage of a job, as its user sees it. */
-export type JobStage = 'pending' | 'running' | FinalStage;
+type JobStage = 'pending' | 'running' | FinalStage;
 
 /** A job as its user sees it. */
 export interface JobView {
--- a/test/emulators/cloud.ts
+++ b/test/emulators/cloud.ts
@@ -416,7 +416,11 @@
       },
       terminate: async (names) => {
         tell(`return ${encodeTerminateRequest(names)}`);
-        return (await change(() => names.forEach((name) => this.terminate(name)) ?? true)) ?? false;
+        const terminateAll = (): boolean => {
+          for (const name of names) this.terminate(name);
+          return true;
+        };
+        return (await change(terminateAll)) ?? false;
       },
       probe: async (address): Promise<boolean> => {
         this.network.onMessage?.(node, address, 'connect');
--- a/test/emulators/faults.ts
+++ b/test/emulators/faults.ts
@@ -40,7 +40,7 @@
     for (const other of hosts) if (!inB(other)) world.network.partition(one, other, ms);
 }
 
-export const FAULTS: Readonly<Record<string, Fault>> = {
+const FAULTS: Readonly<Record<string, Fault>> = {
   'store refuses the leader': (world) => {
     const ms = between(world, 5000, CANCEL_TIMEOUT_MS);
     world.state.refuse(leaderOf(world), ms);
@@ -300,7 +300,7 @@
 ];
 
 /** Injects faults, each within the effects of the one before; at times users cancel meanwhile. */
-export function beginFaults(world: Simulation, names: readonly string[], met: (name: string) => void): void {
+function beginFaults(world: Simulation, names: readonly string[], met: (name: string) => void): void {
   const [name, ...more] = names;
   if (name === undefined) return;
   met(name);
--- a/test/failure-suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -1,7 +1,7 @@
 /** Faults between controllers: suspicion, failover, and when starts continue. Traces are in test/traces/. */
 import { expect, test } from 'vitest';
-import { seeded, testSettings, Simulation, type LogLine } from './emulators/simulation.js';
 import { timing } from '../src/config/settings.js';
+import { seeded, testSettings, Simulation, type LogLine } from './emulators/simulation.js';
 
 const TIMES = timing(testSettings(0));
 const FROM = 20_000;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,11 +1,11 @@
 /** Fleets of 8,000 machines: every limit of messages and memory is above what they need. */
-import protobuf from 'protobufjs/light.js';
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
 import { createServer, Agent, request, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { tmpdir } from 'node:os';
 import { getHeapStatistics } from 'node:v8';
 import { join } from 'node:path';
+import protobuf from 'protobufjs/light.js';
 import { afterEach, describe, expect, test } from 'vitest';
 import { readScenario } from '../lab/scenario.js';
 import { Admission } from '../src/adapters/admission.js';
@@ -397,7 +397,7 @@
       stage: 'running' as const,
       ageS: 100,
     }));
-    bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: listed as never });
+    bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: listed });
     expect(bench.state.machines.size).toBe(0);
   });
 
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -8,12 +8,12 @@
 import { UserRequests } from '../src/adapters/user-requests.js';
 import { systemClock } from '../src/adapters/clock.js';
 import { parseHeartbeat } from '../src/wire/workers.js';
+import type { KeyValueStore } from '../src/adapters/key-value-store.js';
 import { TYPES } from './emulators/cloud.js';
 import { VirtualClock } from './emulators/clock.js';
 import { Network } from './emulators/network.js';
 import { StateEmulator } from './emulators/state.js';
 import { seeded } from './emulators/simulation.js';
-import type { KeyValueStore } from '../src/adapters/key-value-store.js';
 
 const state = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
 let down = false;
@@ -284,13 +284,9 @@
 ])('%s %s that fails gets 503, and its cause is logged', async (method, path) => {
   const logged: object[] = [];
   const fail = (): Promise<never> => Promise.reject(new RangeError('cause of the failure'));
-  const failing = createPublicServer(
-    { ...api, users: { ...users, submit: fail, show: fail, cancel: fail } },
-    100,
-    {
-      error: (fields: object, event?: string) => logged.push({ ...fields, event }),
-    },
-  );
+  const failing = createPublicServer({ ...api, users: { submit: fail, show: fail, cancel: fail } }, 100, {
+    error: (fields: object, event?: string) => logged.push({ ...fields, event }),
+  });
   await new Promise<void>((resolve) => failing.listen(0, '127.0.0.1', resolve));
   const { port } = failing.address() as AddressInfo;
   const own = new HttpClient({ host: '127.0.0.1', port }, 1);
