--- a/bench/between.ts
+++ b/bench/between.ts
@@ -86,11 +86,11 @@
   const early = after.filter(({ at }) => at < from + LENGTH);
   return {
     pause,
-    suspected: since(early.find(({ msg, peer }) => msg === 'suspected' && peer === leader)?.at),
-    elected: since(early.find(({ msg }) => msg === 'elected')?.at),
-    changes: early.filter(({ msg }) => msg === 'elected').length,
+    suspected: since(early.find(({ msg, peer }) => msg === 'peer suspected' && peer === leader)?.at),
+    elected: since(early.find(({ msg }) => msg === 'leader elected')?.at),
+    changes: early.filter(({ msg }) => msg === 'leader elected').length,
     // No machine fails on these days: whatever is given back, but for want of work, was alive.
-    givenBack: after.filter(({ msg, reason }) => msg === 'give back' && reason !== 'idle').length,
+    givenBack: after.filter(({ msg, reason }) => msg === 'machine terminated' && reason !== 'idle').length,
     leases: [...world.cloud.workers.values()].reduce((sum, { session }) => sum + session - 1, 0),
     broken: world.checker.violations,
     unfinished: world.checker.unfinishedJobs().length,
--- a/src/adapters/peer-links.ts
+++ b/src/adapters/peer-links.ts
@@ -85,7 +85,9 @@
   /** Listens for the other controllers and dials them. */
   start(): void {
     const { host, port } = parseAddress(this.options.settings.peer_bind);
-    this.#server.on('error', (error) => this.options.log.error({ error: error.message }, 'peer port'));
+    this.#server.on('error', (error) =>
+      this.options.log.error({ error: error.message }, 'peer server failed'),
+    );
     this.#server.listen(port, host);
     for (const { host_name, peer_addr } of this.options.settings.others)
       void this.#dial(host_name, peer_addr);
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -31,9 +31,9 @@
   const policy = createPolicy(settings, policyFile === undefined ? '' : readText(policyFile), log);
   // Whatever goes wrong from here on is logged and survived; only a bad start ends the process.
   process.on('uncaughtException', (error) =>
-    log.error({ error: error.message, stack: error.stack }, 'uncaught'),
+    log.error({ error: error.message, stack: error.stack }, 'uncaught exception'),
   );
-  process.on('unhandledRejection', (reason) => log.error({ reason: String(reason) }, 'unhandled'));
+  process.on('unhandledRejection', (reason) => log.error({ reason: String(reason) }, 'unhandled rejection'));
   startService(settings, policy, log);
 }
 
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -308,7 +308,7 @@
 
   #logFault(name: FigureName, line: number, reason: string): void {
     if (!this.#loggedFaults.has(name))
-      this.log?.info({ figure: name, line, reason }, 'policy fault, the default serves');
+      this.log?.info({ figure: name, line, reason }, 'policy expression failed');
     this.#loggedFaults.add(name);
   }
 
--- a/src/controller/command-loop.ts
+++ b/src/controller/command-loop.ts
@@ -52,7 +52,7 @@
       // leadership; the store holds the committed state.
       this.log.error(
         { error: String(error), stack: error instanceof Error ? error.stack : '' },
-        'step failed',
+        'command batch failed',
       );
       effects = step(this.state, [{ kind: 'resign', reason: 'internal fault' }], now);
     }
--- a/src/controller/failure-detector.ts
+++ b/src/controller/failure-detector.ts
@@ -3,7 +3,12 @@
  * membership; what follows from that is carried out: machines are probed for a leader that misses heartbeats, a
  * leader transfers its leadership, a crashed leader is replaced. The status that peers receive is put together here.
  */
-import { Membership, type SuspicionState, type Resignation } from '../membership/membership.js';
+import {
+  Membership,
+  type Resignation,
+  type SuspicionLevel,
+  type SuspicionState,
+} from '../membership/membership.js';
 import { MACHINES_UNREACHABLE, MIN_UNEXPECTED_REPORTS } from '../membership/evidence-rules.js';
 import type { LinkState, MemberStatus } from '../membership/status.js';
 import { storeContactAgeMs, type ControllerContext } from './context.js';
@@ -12,6 +17,13 @@
 /** Machines that are probed in one round, at most. */
 const MAX_PROBED_MACHINES = 8;
 
+/** The log event that tells of a peer's new level. */
+const SUSPICION_EVENTS: Readonly<Record<SuspicionLevel, string>> = {
+  trusted: 'peer trusted',
+  suspected: 'peer suspected',
+  'given up': 'peer failed',
+};
+
 /** What the detector has its controller do. */
 export interface FailureDetectorActions {
   /** The leader that this node follows has crashed: its record may be replaced before its lease expires. */
@@ -136,7 +148,7 @@
   #logSuspicion({ node, level, evidence, since }: SuspicionState, now: number): void {
     const view = this.membership.statusOf(node);
     const detail = { peer: node, evidence, forMs: Math.round(now - since), lateMs: view?.timerLagMs ?? 0 };
-    this.common.ports.log.info(detail, level);
+    this.common.ports.log.info(detail, SUSPICION_EVENTS[level]);
   }
 
   /** Whether this node, as a leader, may hand over to a peer; what that needs to be known is asked for. */
@@ -181,7 +193,7 @@
     });
     const { health } = this.common.commands.state;
     if (unheard)
-      this.common.ports.log.info({ asks: this.#probeRequests.length, ...health }, 'hears few workers');
+      this.common.ports.log.info({ asks: this.#probeRequests.length, ...health }, 'worker contact degraded');
     this.actions.broadcastStatus();
     void this.#probe(this.#probeRequests, round);
   }
--- a/src/controller/leader-role.ts
+++ b/src/controller/leader-role.ts
@@ -135,7 +135,7 @@
     this.common.leadershipView.highestTerm = Math.max(this.common.leadershipView.highestTerm, won.term);
     this.common.leadershipView.leader = this.common.settings.host_name;
     this.common.leadershipView.leadingTerm = won.term;
-    this.common.ports.log.info({ term: won.term }, 'elected');
+    this.common.ports.log.info({ term: won.term }, 'leader elected');
     for (;;) {
       const sentAt = this.common.ports.clock.monotonicMs();
       const [jobs, runs, demandHistory, format] = await Promise.all([
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -247,7 +247,7 @@
       termRevision: () => commands.state.leadership?.modRevision ?? null,
       hearsEarlierVersion: () => this.#peers.hasPeerOfEarlierFormat(),
       onAdopted: (record) => {
-        ports.log.info(record, 'every controller reads the new format');
+        ports.log.info(record, 'storage format upgraded');
         ports.state.applyLimits(strictestLimits(settings));
         commands.push({ kind: 'adoptLayout', layout: upgradedLayout(settings, record) });
       },
@@ -286,7 +286,7 @@
     void this.#keepTicking();
     void this.#keepContact();
     void this.#upgrade.run();
-    ports.log.info({ node: settings.host_name, incarnation: ports.incarnation }, 'started');
+    ports.log.info({ node: settings.host_name, incarnation: ports.incarnation }, 'controller started');
   }
 
   /** What the other controllers are told. */
@@ -373,7 +373,7 @@
     for (;;) {
       const from = clock.monotonicMs();
       if (from - toldAt > workerLeaseMs) {
-        this.malformed.flush(this.#context.ports.log, 'malformed');
+        this.malformed.flush(this.#context.ports.log, 'malformed input received');
         toldAt = from;
       }
       await clock.sleep(tickMs);
@@ -400,7 +400,7 @@
     const { leader, leaderRevision } = this.#context.leadershipView;
     if (this.#replacedRevision === leaderRevision) return;
     this.#replacedRevision = leaderRevision;
-    this.#context.ports.log.info({ leader }, 'the leader has crashed, standing early');
+    this.#context.ports.log.info({ leader }, 'leader failure detected');
     void this.#campaignEarly(leaderRevision);
   }
 
@@ -417,7 +417,7 @@
     const { leadership } = commands.state;
     if (leadership === null || this.#transferredTerm === leadership.term) return;
     this.#transferredTerm = leadership.term;
-    ports.log.info({ to, why: reason }, 'hands over');
+    ports.log.info({ to, why: reason }, 'leadership transfer started');
     await this.#leaderRole.drainForTransfer();
     if (commands.state.leadership?.term === leadership.term)
       this.#election.dispatch({ kind: 'transferLeadership', to });
@@ -492,7 +492,7 @@
   #onSteppedDown(reason: string): void {
     const { leadershipView, ports, settings } = this.#context;
     this.#sharedHeartbeats.clear();
-    ports.log.info({ reason }, 'stepped down');
+    ports.log.info({ reason }, 'leader stepped down');
     if (leadershipView.leader === settings.host_name) leadershipView.leader = null;
     leadershipView.leadingTerm = 0;
     this.#election.dispatch({ kind: 'resign' });
--- a/src/controller/shared-heartbeats.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -268,7 +268,7 @@
     if (this.#isSharing !== before)
       this.common.ports.log.info(
         { machines: machines.size, from, with: candidates.length },
-        'sharing of reports',
+        'heartbeat sharing changed',
       );
     this.#forgetTerminated();
     // A follower that has not taken this leader's word would send every worker back.
--- a/src/core/autoscaling/provisioning.ts
+++ b/src/core/autoscaling/provisioning.ts
@@ -54,5 +54,5 @@
   for (const name of names)
     if (!state.terminatedMachines.has(name)) registerInstance(machineOf(name), request);
   if (names.length < request.count) blockKind(state, request, now);
-  log(effects, 'rented', { request: requestId, got: names.length, of: request.count });
+  log(effects, 'machines provisioned', { request: requestId, got: names.length, of: request.count });
 }
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -42,7 +42,7 @@
     if (machine.terminationReason === null || isTerminationPending(state, machine, now)) continue;
     machine.terminationRequestedAt = now.monotonicMs;
     names.push(machine.name);
-    log(effects, 'give back', {
+    log(effects, 'machine terminated', {
       machine: machine.name,
       reason: machine.terminationReason,
       tasks: machine.claims.size,
--- a/src/core/autoscaling/scale-out.ts
+++ b/src/core/autoscaling/scale-out.ts
@@ -43,7 +43,7 @@
       count: Math.min(left, MAX_INSTANCES_PER_REQUEST),
     };
     state.provisioningRequests.set(requestId, { requestId, ...instances, requestedAt: now.monotonicMs });
-    log(effects, 'rent', { request: requestId, ...instances });
+    log(effects, 'machines requested', { request: requestId, ...instances });
     effects.push({ kind: 'provision', requestId, ...instances });
   }
 }
--- a/src/core/fleet/cloud-listing.ts
+++ b/src/core/fleet/cloud-listing.ts
@@ -65,7 +65,7 @@
   }
   // One line for all: a failover registers a whole fleet at once.
   if (added.length > 0)
-    log(effects, 'machines taken on from the list', {
+    log(effects, 'machines adopted', {
       machines: added.length,
       first: added.slice(0, MAX_LOGGED_NAMES),
     });
--- a/src/core/fleet/heartbeats.ts
+++ b/src/core/fleet/heartbeats.ts
@@ -88,7 +88,7 @@
 ): void {
   machine.reclaimedAt = now.monotonicMs + noticeS * 1000;
   state.isPlacementDue = true;
-  log(effects, 'machine will be taken', { machine: machine.name, inS: noticeS });
+  log(effects, 'machine reclaim announced', { machine: machine.name, inS: noticeS });
 }
 
 function applyTaskReports(state: CoreState, machine: Machine, heartbeat: Heartbeat, now: Now): void {
--- a/src/core/leadership.ts
+++ b/src/core/leadership.ts
@@ -52,7 +52,7 @@
   loadChunks(state, command.chunks, now, (name) => getOrCreateMachine(state, name, now));
   restoreDemandHistory(state, command.demandHistory, now);
   state.isPlacementDue = true;
-  log(effects, 'leading', {
+  log(effects, 'leader state loaded', {
     term: command.term,
     jobs: command.jobs.length,
     chunks: command.chunks.length,
--- a/src/core/persistence/commit.ts
+++ b/src/core/persistence/commit.ts
@@ -98,7 +98,7 @@
 function shrinkTransactions(state: CoreState, commit: CommitInFlight, now: Now, effects: Effect[]): void {
   const { layout, writesJobsSingly } = state;
   const { tickMs, workerLeaseMs } = state.config.timing;
-  log(effects, 'write too large for the state service', {
+  log(effects, 'transaction rejected as too large', {
     most: layout.maxMutations,
     lone: writesJobsSingly,
   });
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -86,7 +86,7 @@
 function logUnexpectedReports(state: CoreState, effects: Effect[]): void {
   const unexpected = state.unexpected.splice(0);
   if (unexpected.length === 0) return;
-  log(effects, 'machines report unexpectedly', {
+  log(effects, 'unexpected machines reported', {
     machines: unexpected.length,
     first: unexpected.slice(0, MAX_LOGGED_MACHINES),
   });
--- a/src/service.ts
+++ b/src/service.ts
@@ -31,7 +31,7 @@
   });
   const server = createPublicServer(node, settings.cluster.quota.sockets, log);
   const { host, port } = parseAddress(settings.public_addr);
-  server.on('error', (error) => log.error({ error: error.message }, 'public port'));
+  server.on('error', (error) => log.error({ error: error.message }, 'public server failed'));
   server.listen(port, host);
   const peers = new PeerLinks({
     settings,
--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -305,7 +305,9 @@
     expect(checker.placedTasks()).toBe(9);
     await expectCleanEnd(world);
     expect(checker.started).toBe(started + checker.expiredTasks);
-    expect(world.logged.filter(({ msg, tasks }) => msg === 'give back' && Number(tasks) > 0)).toEqual([]);
+    expect(
+      world.logged.filter(({ msg, tasks }) => msg === 'machine terminated' && Number(tasks) > 0),
+    ).toEqual([]);
   },
 );
 
--- a/test/emulators/faults.ts
+++ b/test/emulators/faults.ts
@@ -291,8 +291,10 @@
   (world, lasts, begin) => world.clock.in(Math.max(0, lasts + between(world, -500, 500)), begin),
   (world, _, begin) => world.clock.in(LEADER_LEASE_MS + between(world, -500, 1000), begin),
   (world, _, begin) => world.clock.in(WORKER_LEASE_MS + between(world, -1500, 1500), begin),
-  (world, _, begin) => world.onNextLog('elected', () => world.clock.in(between(world, 0, 1500), begin)),
-  (world, _, begin) => world.onNextLog('leading', () => world.clock.in(between(world, 0, 300), begin)),
+  (world, _, begin) =>
+    world.onNextLog('leader elected', () => world.clock.in(between(world, 0, 1500), begin)),
+  (world, _, begin) =>
+    world.onNextLog('leader state loaded', () => world.clock.in(between(world, 0, 300), begin)),
   (world, _, begin) => world.state.onNextWrite('run/', () => world.clock.in(between(world, 0, 20), begin)),
   (world, _, begin) => world.state.onNextDelayedCommit(() => world.clock.in(between(world, 0, 300), begin)),
   (world, _, begin) => world.state.onNextLostResponse(() => world.clock.in(between(world, 0, 300), begin)),
--- a/test/emulators/simulation.ts
+++ b/test/emulators/simulation.ts
@@ -435,7 +435,7 @@
       return;
     const entry = JSON.parse(line) as { msg: string };
     if (this.options.keepLog === true) this.logged.push({ at: this.clock.now, node, ...entry });
-    if (entry.msg === 'leading') this.#deliverDuplicates(node);
+    if (entry.msg === 'leader state loaded') this.#deliverDuplicates(node);
     const calls = this.#logListeners.get(entry.msg) ?? [];
     this.#logListeners.delete(entry.msg);
     for (const call of calls) call();
--- a/test/failure-suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -40,15 +40,15 @@
 }
 
 const TOLD = new Set([
-  'suspected',
-  'given up',
-  'trusted',
-  'hears few workers',
-  'hands over',
-  'the leader has crashed, standing early',
-  'elected',
-  'leading',
-  'stepped down',
+  'peer suspected',
+  'peer failed',
+  'peer trusted',
+  'worker contact degraded',
+  'leadership transfer started',
+  'leader failure detected',
+  'leader elected',
+  'leader state loaded',
+  'leader stepped down',
 ]);
 
 function told({ at, node, msg, ...more }: LogLine): string {
@@ -63,7 +63,7 @@
     term === undefined ? undefined : `term ${String(term)}`,
   ];
   const rest = about.filter((one) => one !== undefined).map(String);
-  const loaded = jobs === undefined || msg !== 'leading' ? [] : [`${String(jobs)} jobs`];
+  const loaded = jobs === undefined || msg !== 'leader state loaded' ? [] : [`${String(jobs)} jobs`];
   return `${((at - FROM) / 1000).toFixed(1).padStart(5)} s  ${node}  ${[msg, ...rest, ...loaded].join(': ')}`;
 }
 
@@ -82,9 +82,11 @@
 }
 
 const changes = (world: Simulation): number =>
-  world.logged.filter(({ at, msg }) => at >= FROM && msg === 'elected').length;
+  world.logged.filter(({ at, msg }) => at >= FROM && msg === 'leader elected').length;
 const givenBack = (world: Simulation): LogLine[] =>
-  world.logged.filter(({ at, msg, reason }) => at >= FROM && msg === 'give back' && reason !== 'idle');
+  world.logged.filter(
+    ({ at, msg, reason }) => at >= FROM && msg === 'machine terminated' && reason !== 'idle',
+  );
 
 // The evidence of all peers allows an election before the lease expires.
 test('a crashed leader is replaced before its lease expires, and starts continue', async () => {
@@ -93,9 +95,9 @@
   expect(await pauseIn(world, FROM, FROM + 15_000)).toBeLessThan(
     TIMES.leaderLeaseMs + 2 * TIMES.maxHeartbeatIntervalMs,
   );
-  const elected = world.logged.find(({ at, msg }) => at > FROM && msg === 'elected');
+  const elected = world.logged.find(({ at, msg }) => at > FROM && msg === 'leader elected');
   expect((elected?.at ?? Infinity) - FROM).toBeLessThan(TIMES.leaderLeaseMs);
-  expect(world.logged.some(({ msg }) => msg === 'the leader has crashed, standing early')).toBe(true);
+  expect(world.logged.some(({ msg }) => msg === 'leader failure detected')).toBe(true);
   expect(changes(world)).toBe(1);
   await endsWell(world, 'crash');
 });
@@ -125,7 +127,7 @@
   world.pause(Number(second?.slice(2)), 3 * TIMES.leaderLeaseMs);
   await pauseIn(world, world.clock.now, FROM + 25_000);
   const elected = world.logged
-    .filter(({ at, msg }) => at > FROM && msg === 'elected')
+    .filter(({ at, msg }) => at > FROM && msg === 'leader elected')
     .map(({ node }) => node);
   expect(elected).toHaveLength(2);
   expect(elected).not.toContain(`n-${leader}`);
--- a/test/leader-role.test.ts
+++ b/test/leader-role.test.ts
@@ -61,7 +61,7 @@
   await world.clock.runUntil(55_000);
   expect(world.leaders()).toEqual(leaders);
   // Some 2,000 at each node; a line a lease tells of them.
-  const lines = world.logged.filter(({ msg }) => msg === 'malformed');
+  const lines = world.logged.filter(({ msg }) => msg === 'malformed input received');
   expect(lines.length).toBeLessThanOrEqual(3 * 4);
   expect(lines.reduce((sum, { reports }) => sum + Number(reports), 0)).toBeGreaterThan(3000);
   expect(world.cloud.workers.size).toBeGreaterThan(0);
--- a/test/stale-reads.test.ts
+++ b/test/stale-reads.test.ts
@@ -60,7 +60,9 @@
   expect(told.every((stage) => (prefix === 'ended/' ? stage === 'done' : stage !== null))).toBe(true);
   await expectCleanEnd(world, 90_000);
   expect(world.checker.started).toBe(3);
-  expect(new Set(world.logged.filter(({ msg }) => msg === 'elected').map(({ term }) => term)).size).toBe(1);
+  expect(
+    new Set(world.logged.filter(({ msg }) => msg === 'leader elected').map(({ term }) => term)).size,
+  ).toBe(1);
 });
 
 test('a cancellation whose response is lost is visible on every node at once', async () => {
@@ -80,7 +82,7 @@
 // The lease of a node that does not know of its election must not expire before the first renewal.
 test('a node whose election response is lost keeps its lease and leads', async () => {
   const { world } = await startBusyCluster();
-  const terms = (): number => world.logged.filter(({ msg }) => msg === 'elected').length;
+  const terms = (): number => world.logged.filter(({ msg }) => msg === 'leader elected').length;
   const before = terms();
   world.state.loseNextResponse(puts('leader'));
   let lost = false;
@@ -214,7 +216,7 @@
 });
 
 // 4. Jobs are cancelled in the seconds of a change of leader.
-test.each(['hands over', 'elected', 'leading'])(
+test.each(['leadership transfer started', 'leader elected', 'leader state loaded'])(
   'a cancellation takes effect during a change of leader: around "%s"',
   async (moment) => {
     for (const [i, after] of [0, 3, 15, 60, 250, 1000].entries()) {
@@ -222,7 +224,7 @@
       const { clock, checker } = world;
       let at = 0;
       world.onNextLog(moment, () => (at = clock.now));
-      if (moment === 'hands over') world.slowDown(leader, 900);
+      if (moment === 'leadership transfer started') world.slowDown(leader, 900);
       else world.crash(leader, 3000);
       await passUntil(world, () => at > 0);
       await clock.runUntil(at + after);
@@ -252,7 +254,7 @@
     const before = world.logged.length;
     crashLeader(world, 3000);
     await clock.runUntil(clock.now + 11_000);
-    led += world.logged.slice(before).filter(({ msg }) => msg === 'leading').length;
+    led += world.logged.slice(before).filter(({ msg }) => msg === 'leader state loaded').length;
     for (const id of ids) expect(await world.until(world.ask(id))).toBe('running');
   }
   expect(led).toBeGreaterThanOrEqual(10);
