--- a/src/adapters/key-value-store.ts
+++ b/src/adapters/key-value-store.ts
@@ -173,7 +173,7 @@
   async list(prefix: string): Promise<{ entries: Entry[]; revision: number } | 'unknown'> {
     const entries: Entry[] = [];
     let revision: number | null = null;
-    let tries = 0;
+    let failedAttempts = 0;
     for (;;) {
       const after = entries.at(-1)?.key;
       const query = `prefix=${encodeURIComponent(prefix)}${after === undefined ? '' : `&after=${encodeURIComponent(after)}`}&page=${PAGE_ENTRIES}`;
@@ -181,11 +181,11 @@
       const page = answer.status === 200 ? parsePage(answer.body) : null;
       if (page === null) {
         // The page is repeated, not the list: at a low rate a list begun anew each time would never end.
-        if (revision === null || ++tries >= MAX_PAGE_ATTEMPTS) return 'unknown';
+        if (revision === null || ++failedAttempts >= MAX_PAGE_ATTEMPTS) return 'unknown';
         await this.clock.sleep(this.#timing.tickMs);
         continue;
       }
-      tries = 0;
+      failedAttempts = 0;
       // Changes after the first page are seen by a watch that begins at its revision.
       revision ??= page.revision;
       entries.push(...page.entries);
--- a/src/cli/user-client.ts
+++ b/src/cli/user-client.ts
@@ -55,8 +55,8 @@
     for (;;) {
       const answer = await this.#request('GET', path, null);
       const stage = asObject(answer.body)?.['stage'];
-      const over = stage === 'done' || stage === 'withdrawn';
-      if (!follow || over || (answer.status !== 200 && answer.status !== 503)) return this.#print(answer);
+      const isFinal = stage === 'done' || stage === 'withdrawn';
+      if (!follow || isFinal || (answer.status !== 200 && answer.status !== 503)) return this.#print(answer);
       const line = JSON.stringify(answer.body);
       if (line !== last && answer.status === 200) this.output.out(line);
       last = line;
--- a/src/config/core-config.ts
+++ b/src/config/core-config.ts
@@ -7,22 +7,26 @@
 export function classObjectives(
   objectives: PlatformSettings['cluster']['objectives'],
 ): Map<string, ClassObjectives> {
-  const aims = new Map<
+  const objectivesByClass = new Map<
     string,
     { startTargetsMs: number[]; deadlineMultiples: number[]; finishTargetsMs: number[] }
   >();
   for (const { kind, class: name, within_s, times } of objectives) {
     if (name === undefined) continue;
-    const own = aims.get(name) ?? { startTargetsMs: [], deadlineMultiples: [], finishTargetsMs: [] };
-    aims.set(name, own);
+    const own = objectivesByClass.get(name) ?? {
+      startTargetsMs: [],
+      deadlineMultiples: [],
+      finishTargetsMs: [],
+    };
+    objectivesByClass.set(name, own);
     if (kind === 'wait' && within_s !== undefined) own.startTargetsMs.push(within_s * 1000);
     else if (kind === 'finished' && within_s !== undefined) own.finishTargetsMs.push(within_s * 1000);
     else if (kind === 'deadline') own.deadlineMultiples.push(times ?? 1);
   }
-  for (const own of aims.values())
+  for (const own of objectivesByClass.values())
     for (const list of [own.startTargetsMs, own.deadlineMultiples, own.finishTargetsMs])
       list.sort((a, b) => a - b);
-  return aims;
+  return objectivesByClass;
 }
 
 /** The configuration of the scheduling core. */
--- a/src/controller/failure-detector.ts
+++ b/src/controller/failure-detector.ts
@@ -126,7 +126,7 @@
     const now = this.#now;
     const age = storeContactAgeMs(this.common);
     const changed = this.membership.assess(now, age);
-    for (const standing of changed) this.#logSuspicion(standing, now);
+    for (const suspicion of changed) this.#logSuspicion(suspicion, now);
     // What one concludes by itself the others may need as a second witness.
     if (changed.some(({ level }) => level !== 'trusted')) this.actions.broadcastStatus();
     const { leadershipView, commands } = this.common;
--- a/src/controller/fallback-responder.ts
+++ b/src/controller/fallback-responder.ts
@@ -157,12 +157,12 @@
    * there are new ones, for until it knows they are silent to it, and else now and then.
    */
   async #announceMachines(): Promise<void> {
-    let told = 0;
+    let publishedMachines = 0;
     let toldAt = -Infinity;
     while (this.#isWatching) {
       const machines = this.answeredMachines();
       const due = this.clock.monotonicMs() - toldAt > 2 * this.timing.maxHeartbeatIntervalMs;
-      if (machines.length > 0 && (due || machines.length > told)) {
+      if (machines.length > 0 && (due || machines.length > publishedMachines)) {
         const at = this.clock.epochMs();
         for (const [part, some] of packMachines(machines, this.valueBytes).entries()) {
           const value: RelayRecord = { at, machines: some };
@@ -172,7 +172,7 @@
           });
         }
         toldAt = this.clock.monotonicMs();
-        told = machines.length;
+        publishedMachines = machines.length;
       }
       await this.clock.sleep(2 * this.timing.tickMs);
     }
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -225,8 +225,8 @@
 
   /** Whether a peer has been heard within the longest report. */
   hasContact(node: string, now: number): boolean {
-    const heardAt = this.#peers.get(node)?.lastStatusAt ?? null;
-    return heardAt !== null && now - heardAt < this.timing.maxHeartbeatIntervalMs;
+    const lastStatusAt = this.#peers.get(node)?.lastStatusAt ?? null;
+    return lastStatusAt !== null && now - lastStatusAt < this.timing.maxHeartbeatIntervalMs;
   }
 
   /** Whether another controller than one is heard. */
@@ -279,9 +279,9 @@
       const evidence = crashed
         ? this.table.crashed.map(({ name }) => name).join(', ')
         : (suspicion?.name ?? 'it speaks');
-      const standing: SuspicionState = { node: peer.node, level, since: now, evidence };
-      this.#suspicions.set(peer.node, standing);
-      changed.push(standing);
+      const state: SuspicionState = { node: peer.node, level, since: now, evidence };
+      this.#suspicions.set(peer.node, state);
+      changed.push(state);
       if (level === 'suspected' && before?.level === 'trusted') this.#recordSuspicion(peer.node, now);
     }
     return changed;
@@ -315,10 +315,10 @@
    */
   isStable(node: string, settled: number, now: number): boolean {
     const peer = this.#peers.get(node);
-    const standing = this.#suspicions.get(node);
-    if (peer === undefined || standing === undefined || standing.level !== 'trusted') return false;
+    const suspicion = this.#suspicions.get(node);
+    if (peer === undefined || suspicion === undefined || suspicion.level !== 'trusted') return false;
     const wait = settled * Math.min(MAX_SETTLING_FACTOR, 2 ** this.#suspicionCount(node, now));
-    return now - Math.max(peer.contactSince, standing.since) > wait;
+    return now - Math.max(peer.contactSince, suspicion.since) > wait;
   }
 
   /** Whether a leader may hand over to a peer as it is now. */
--- a/src/membership/worker-router.ts
+++ b/src/membership/worker-router.ts
@@ -50,25 +50,29 @@
 
   /** Whether a worker with this token left its leader by itself, sent by nobody. */
   isUnexpected(machine: string, token: number, reach: LeaderReachability, now: number): boolean {
-    const sent = this.#redirectedAt.get(machine);
+    const redirectedAt = this.#redirectedAt.get(machine);
     const { maxHeartbeatIntervalMs, workerLeaseMs } = this.timing;
     if (token === 0 || token !== reach.token) return false;
-    return sent === undefined || now - sent > workerLeaseMs || now - sent > 1.5 * maxHeartbeatIntervalMs;
+    return (
+      redirectedAt === undefined ||
+      now - redirectedAt > workerLeaseMs ||
+      now - redirectedAt > 1.5 * maxHeartbeatIntervalMs
+    );
   }
 
   route(machine: string, token: number, reach: LeaderReachability, now: number): WorkerRoute {
     const { maxHeartbeatIntervalMs, workerLeaseMs, leaderLeaseMs } = this.timing;
     const { leader, linkLostAt } = reach;
     if (leader === null || reach.token === 0 || token > reach.token) return 'away';
-    const sent = this.#redirectedAt.get(machine);
+    const redirectedAt = this.#redirectedAt.get(machine);
     // It takes a worker some seconds to try a node that does not answer: back after so long, it
     // has tried the leader in vain, even if this node hears it; as have others of its zone if
     // the leader calls that silent. It is answered once and then redirected again: kept here
     // for longer, it would be silent to a leader that may reach it again, and be terminated alive.
     const inVain =
-      sent === undefined
+      redirectedAt === undefined
         ? reach.isZoneSilent
-        : now - sent < workerLeaseMs && now - sent > 1.5 * maxHeartbeatIntervalMs;
+        : now - redirectedAt < workerLeaseMs && now - redirectedAt > 1.5 * maxHeartbeatIntervalMs;
     // Nobody listens there: it is followed within a moment, and the next controller may be its
     // successor already. Workers that are sent back would try a dead leader by turns. Where no
     // other controller is left, this node will lead: sent away, workers might come back too late for their lease.
@@ -77,7 +81,8 @@
     // Links that are refused between controllers say nothing of the workers' connections to the leader.
     const reachable = reach.hasContact || (linkLostAt !== null && reach.isRecordConfirmed);
     if (reachable && !inVain && !falling) {
-      if (sent === undefined || now - sent > 1.5 * maxHeartbeatIntervalMs) this.#recordRedirect(machine, now);
+      if (redirectedAt === undefined || now - redirectedAt > 1.5 * maxHeartbeatIntervalMs)
+        this.#recordRedirect(machine, now);
       return 'on';
     }
     this.#recordRedirect(machine, now);
--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -318,10 +318,10 @@
   }
 
   /** Takes the first frame of a message, which is the whole of it but for what large fleets say. */
-  #begin(continuations: number, take: (rest: Continuation | null) => void): void {
+  #begin(continuations: number, complete: (rest: Continuation | null) => void): void {
     this.#partial = null;
-    if (continuations === 0) take(null);
-    else this.#partial = { remaining: continuations, received: [], complete: take };
+    if (continuations === 0) complete(null);
+    else this.#partial = { remaining: continuations, received: [], complete };
   }
 
   #continue(continuation: Continuation): void {
