--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -1,4 +1,4 @@
-/** The things a leader knows of, by subject. The model's public face: other modules import from here alone. */
+/** Data model of a leader's scheduling state, one file per subject. Other modules import it only from here. */
 export * from './model/config.js';
 export * from './model/job.js';
 export * from './model/leadership.js';
--- a/src/core/model/config.ts
+++ b/src/core/model/config.ts
@@ -1,16 +1,16 @@
-/** The configuration that a leader goes by, as derived from the settings and the policy. */
+/** The configuration of a leader, derived from the settings and the scheduling policy. */
 import type { Timing } from '../timing.js';
 import type { JobSpec, MachineType } from '../types.js';
 
-/** The time of a step, by both clocks. */
+/** The time of a step on the monotonic clock and on the wall clock. */
 export interface Now {
-  /** Steady milliseconds: never set back, and without meaning outside this process. */
+  /** Milliseconds of the monotonic clock, which is never set back and has no meaning outside this process. */
   readonly monotonicMs: number;
-  /** Time of day, in milliseconds since the Unix epoch. */
+  /** Wall-clock time, in milliseconds since the Unix epoch. */
   readonly epochMs: number;
 }
 
-/** What a team may use: its guarantee is served before others' work, its maximum is never exceeded. */
+/** Quota of a team: jobs within a guarantee are placed before all others, and a maximum is never exceeded. */
 export interface TeamQuota {
   /** 0: no guarantee. */
   readonly guaranteedCpus: number;
@@ -22,66 +22,69 @@
   readonly maxGpus: number;
 }
 
-/** All that a leader's decisions go by besides the state. */
+/** The inputs of a leader's decisions other than the state. */
 export interface CoreConfig {
   readonly timing: Timing;
   /** Quotas by team. */
   readonly teams: ReadonlyMap<string, TeamQuota>;
-  /** What the settings' service-level objectives ask for, by job class. */
+  /** Service-level objectives of the settings, by job class. */
   readonly objectives: ReadonlyMap<string, ClassObjectives>;
-  /** How earlier versions write, and this one until every controller reads what it would write. */
+  /** Layout of earlier versions; this version writes it too until every controller can read the new format. */
   readonly initialLayout: RecordLayout;
-  /** Milliseconds by which the cloud's list of machines may lag behind. */
+  /** Longest time, in milliseconds, by which the cloud's list of machines may be out of date. */
   readonly listLagMs: number;
-  /** Machines that are called directly within the longest time between two heartbeats, at most. */
+  /** Largest number of direct calls to workers within the longest heartbeat interval. */
   readonly maxDirectCallsPerInterval: number;
   readonly policy: SchedulingPolicy;
 }
 
-/** The service-level objectives of a job class; any number of each kind, each list in ascending order. */
+/** Service-level objectives of a job class. Each list is in ascending order and may have any length. */
 export interface ClassObjectives {
-  /** Milliseconds from being ready within which a task is to start. */
+  /** Milliseconds from a job becoming ready within which a task must start. */
   readonly startTargetsMs: readonly number[];
-  /** Multiples of the deadline by which a job is to be done. */
+  /** Multiples of a job's deadline, counted from its submission, within which it must be done. */
   readonly deadlineMultiples: readonly number[];
-  /** Milliseconds from being ready within which a job is to be done. */
+  /** Milliseconds from a job becoming ready within which it must be done. */
   readonly finishTargetsMs: readonly number[];
 }
 
-/** How chunk records are cut, and how much is written at once. */
+/** Width and keys of chunk records, and the limits on a transaction, a value and the write rate. */
 export interface RecordLayout {
-  /** Tasks of a chunk as they stand in the chunk's key; null: the first versions' keys, which do not say. */
+  /** Tasks per chunk as stated in a chunk's key; null: the keys of the first versions, which do not state it. */
   readonly keyWidth: number | null;
-  /** Tasks of a chunk. */
+  /** Tasks per chunk. */
   readonly tasksPerChunk: number;
-  /** Most mutations in a transaction. */
+  /** Largest number of mutations in a transaction. */
   readonly maxMutations: number;
-  /** Most bytes of a value. */
+  /** Largest size of a value, in bytes. */
   readonly maxValueBytes: number;
-  /** Mutations a second that a leader keeps to in the long run. */
+  /** Average rate that a leader's writes may not exceed, in mutations per second. */
   readonly writesPerSecond: number;
-  /** Mutations that it may save up while it writes less. */
+  /** Largest number of unused mutations that a leader may accumulate for a burst. */
   readonly writeBurst: number;
 }
 
-/** What operators may change; see `policy`. */
+/** Scheduling parameters that operators may change; see `config/policy`. */
 export interface SchedulingPolicy {
   /** Expected run time of a task of this job, in milliseconds. */
   readonly expectedRunMs: (job: JobSpec) => number;
-  /** A task past its expected end is expected to run on for so long, in milliseconds. */
+  /** How much longer a task past its expected end is expected to run, in milliseconds. */
   readonly overrunAllowanceMs: (job: JobSpec) => number;
-  /** Longest wait of a new leader before it places, in milliseconds. */
+  /** Longest time that a new leader waits for machines to report before it places tasks, in milliseconds. */
   readonly maxPlacementDelayMs: number;
   /** How long an idle machine of this type is kept, in milliseconds. */
   readonly idleTimeoutMs: (type: MachineType, spot: boolean) => number;
-  /** A ready job is to be served at least so often, in milliseconds, whatever its priority or size. */
+  /**
+   * Longest time that a ready job should wait since it became ready or a task of it was last placed, in
+   * milliseconds, whatever its priority or size.
+   */
   readonly maxWaitMs: (job: JobSpec) => number;
   /** Share of a job's deadline slack that it may spend waiting for resources. */
   readonly deadlineSlackShare: (job: JobSpec) => number;
-  /** Headroom for a class that cannot wait for a boot, as a multiple of the most it used of late. */
+  /** Headroom for a class that cannot wait for a machine to boot, as a multiple of its recent peak demand. */
   readonly headroomFactor: (job: JobSpec) => number;
   /** Milliseconds in which the peak of a class's demand decays to 1/e. */
   readonly demandDecayMs: number;
-  /** Number of machines from which on followers answer heartbeats, too. */
+  /** Smallest number of machines with which followers answer heartbeats, too. */
   readonly sharedHeartbeatsMinMachines: number;
 }
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -1,13 +1,13 @@
 /** Jobs, the claims of their tasks, and the chunks in which these are stored. */
 import type { FinalStage, JobSpec, Priority, TaskStage } from '../types.js';
 
-/** What a job's next write is for; the first is written first when not all fit. */
+/** Reasons for a job's next write, in the order in which jobs are written when not all fit into a transaction. */
 export const WRITE_REASONS = ['start', 'end', 'exit', 'clean'] as const;
 
 /** One of `WRITE_REASONS`. */
 export type WriteReason = (typeof WRITE_REASONS)[number];
 
-/** A task put on a machine and not yet proven gone from it. */
+/** The placement of a task on a machine, kept until the task is proven to be gone from it. */
 export interface LiveClaim {
   readonly job: JobState;
   /** Index of the task in its job. */
@@ -16,107 +16,107 @@
   readonly attempt: number;
   /** Name of the machine. */
   readonly machine: string;
-  /** Agent epoch of the machine's worker that the task was given to. */
+  /** Agent epoch of the machine's worker to which the task was assigned. */
   readonly agentEpoch: number;
-  /** Epoch milliseconds. */
+  /** Epoch milliseconds of the placement. */
   readonly createdAt: number;
-  /** Version of its chunk that first held it: durable once that is committed. */
+  /** First version of its chunk that contains the claim, which is durable once that version is committed. */
   version: number;
-  /** A start may have been sent, by this leader or one before. */
+  /** A start command may have been sent, by this leader or an earlier one. */
   startSent: boolean;
-  /** What the worker last reported of it; null: nothing yet. */
+  /** Stage that the worker last reported for the task; null: none yet. */
   stage: TaskStage | null;
-  /** Steady milliseconds of its first report as running; null: there was none. */
+  /** Monotonic milliseconds at which the task was first reported as running; null: not yet. */
   runningSince: number | null;
-  /** Steady milliseconds at which it is expected to be done. */
+  /** Monotonic milliseconds at which the task is expected to be done. */
   expectedEnd: number;
-  /** It got its resources by a starvation reservation: the last to be preempted. */
+  /** The task's job had a starvation reservation: it is preempted only for a job within its team's guarantee. */
   readonly isReserved: boolean;
-  /** To be stopped although its job goes on. */
+  /** The task must be stopped although its job continues. */
   stopRequested: boolean;
 }
 
 /** A run of consecutive tasks of a job that is stored as one record. */
 export interface Chunk {
   readonly index: number;
-  /** Of its record; 0: the key does not exist; null: unknown until it is read again. */
+  /** Revision of its record; 0: the key does not exist; null: unknown until it is read again. */
   modRevision: number | null;
-  /** Raised with each change of what is to be stored. */
+  /** Incremented with each change of the state that must be stored. */
   version: number;
   /** The latest version known to be stored. */
   committedVersion: number;
-  /** Version that the latest claim in it came with. */
+  /** The version with which its latest claim was added. */
   claimedVersion: number;
-  /** Steady milliseconds since which changes that can wait have waited to be written; null: there are none. */
+  /** Monotonic milliseconds of the first change since its latest write was applied; null: no change since. */
   dirtySince: number | null;
-  /** Steady milliseconds before which it is not written: the key-value store would not take it. */
+  /** Monotonic milliseconds before which it is not written, after the store rejected it or it was too large. */
   blockedUntil: number;
 }
 
-/** A record of another layout: what the chunks of the layout now in use do not hold of its tasks is in it. */
+/** A chunk record of another layout. It stays valid for those of its tasks that no current chunk record holds. */
 export interface SupersededChunk {
-  /** Null: unknown until it is read again. */
+  /** Revision of the record; null: unknown until it is read again. */
   modRevision: number | null;
-  /** Its first task. */
+  /** Index of its first task. */
   readonly first: number;
-  /** The task after its last. */
+  /** Index of its last task plus one. */
   readonly end: number;
 }
 
-/** What a leader knows of a job. */
+/** A leader's state of a job. */
 export interface JobState {
   readonly spec: JobSpec;
-  /** Of the job's record: it tells the order in which jobs were accepted. */
+  /** Revision of the job's record; these revisions give the order in which jobs were accepted. */
   readonly modRevision: number;
-  /** How it ended; null: it is live. */
+  /** How the job ended; null: it is live. */
   finalStage: FinalStage | null;
-  /** Jobs that it depends on and that are not known to be done; it is ready when there are none. */
+  /** Ids of the jobs that it depends on and that are not known to be done; it is ready once there are none. */
   readonly pendingDependencies: Set<string>;
-  /** Epoch milliseconds from which it could start: its submission, or the end of its last dependency. */
+  /** Epoch milliseconds from which the job could start: its submission, or the end of its last dependency. */
   readyAt: number;
-  /** Its own priority, or the highest of those that depend on it. */
+  /** The highest priority among the job's own and those of the jobs that depend on it. */
   priority: Priority;
-  /** Epoch milliseconds by which jobs that depend on it want it done; Infinity: none does. */
+  /** Epoch milliseconds by which the deadlines of its dependents require it to be done; Infinity: none does. */
   inheritedDeadline: number;
-  /** Tasks of it that wait for a machine, as last counted. */
+  /** Number of its tasks that wait for a machine, as last counted. */
   waitingCount: number;
-  /** Tasks of it that are on machines or wait, as last counted. */
+  /** Number of its tasks on machines or, unless the job is faulty, waiting for one, as last counted. */
   outstanding: number;
-  /** Tasks that their workers report as running. */
+  /** Number of its tasks that workers report as running. */
   runningCount: number;
-  /** What its next write is for; null: there is nothing to be written. */
+  /** Reason for the job's next write; null: nothing has to be written. */
   writeReason: WriteReason | null;
-  /** Steady milliseconds from which only exits have waited to be written. */
+  /** Monotonic milliseconds since which its write reason is `exit`, if it is. */
   exitsSince: number;
-  /** Steady milliseconds at which a task of it was last put on a machine; -Infinity: never. */
+  /** Monotonic milliseconds at which a task of the job was last placed; -Infinity: never. */
   lastPlacedAt: number;
-  /** Steady milliseconds at which a task of it was last preempted; -Infinity: never. */
+  /** Monotonic milliseconds at which a task of the job was last preempted; -Infinity: never. */
   lastPreemptedAt: number;
-  /** It stands in the order of the queue. */
+  /** The job has a position in the queue. */
   isQueued: boolean;
-  /** Its arrival, or becoming ready, has been counted in the demand. */
+  /** The job has been counted in the demand of its class, which happens when it arrives or becomes ready. */
   isCountedInDemand: boolean;
-  /** Tasks done, one bit each, the lowest bit of a byte first. */
+  /** Bit set of the tasks that are done; a byte's lowest bit is its first task. */
   readonly doneBits: Uint8Array;
-  /** Tasks done. */
+  /** Number of tasks that are done. */
   doneCount: number;
-  /** Latest attempt, by task. */
+  /** Number of the latest attempt, by task index. */
   readonly attempts: Map<number, number>;
-  /** By task. */
+  /** By task index. */
   readonly claims: Map<number, LiveClaim>;
-  /** Tasks to place again, lowest first; they go before those from `nextNewTask` on. */
+  /** Tasks to be placed again, lowest index first; they are placed before those from `nextNewTask` on. */
   readonly retryTasks: number[];
-  /** The first task that may never have been placed. */
+  /** Index of the first task that may never have been placed. */
   nextNewTask: number;
-  /** By index. */
+  /** Chunks of the current layout, by index. */
   readonly chunks: Map<number, Chunk>;
-  /** By key; each is removed once the chunks of the layout now in use hold all that is known of its tasks. */
+  /** By key; each record is removed once the committed current chunks hold all that is known of its tasks. */
   readonly supersededChunks: Map<string, SupersededChunk>;
-  /** Attempts in a row since it was found to be at fault. */
+  /** Consecutive failed tries since the job was found to be faulty; the retry backoff grows with it. */
   failedAttempts: number;
-  /** Steady milliseconds before which none of its tasks is placed. */
+  /** Monotonic milliseconds before which none of its tasks is placed. */
   retryAt: number;
-  /** Machines on which it has failed since a task of it last completed. */
+  /** Names of the machines on which its tasks have failed since one of them last completed. */
   readonly failedMachines: Set<string>;
 }
 
--- a/src/core/model/leadership.ts
+++ b/src/core/model/leadership.ts
@@ -1,27 +1,27 @@
-/** A leader's term, and its commit under way. */
+/** The leadership of a controller, and the commit in flight. */
 import type { Chunk, JobState } from './job.js';
 
-/** The term of this controller as leader. Times are in steady milliseconds. */
+/** This controller's leadership for one term. Times are in monotonic milliseconds. */
 export interface Leadership {
-  /** The fencing token: it is raised with each election. */
+  /** The fencing token, which increases with each election. */
   readonly term: number;
-  /** Of the term's record; every transaction of this leader is conditional on it. */
+  /** Revision of the term's record; every transaction of this leader is conditional on it. */
   readonly modRevision: number;
-  /** When it began. */
+  /** When the leadership began. */
   readonly since: number;
-  /** Until when it may answer workers. */
+  /** When the leader's authority to answer workers ends. */
   authorityUntil: number;
-  /** When the latest read was sent that proved the leader's view of the jobs. */
+  /** When the latest read that confirmed the leader's view of the jobs was sent. */
   viewConfirmedAt: number;
-  /** It is being transferred: nothing new is begun. */
+  /** The leadership is being transferred: no task is placed, no failure is inferred and the fleet is not scaled. */
   isTransferring?: boolean;
-  /** The leader before may be alive, partitioned from the key-value store and still answering workers. */
+  /** The previous leader may be alive, partitioned from the key-value store and still answering workers. */
   readonly previousLeaderMayBeAlive?: boolean;
-  /** Direct calls that may still be made (`left`), as of `at`. */
+  /** Direct calls to workers that may still be made (`left`), as of the time `at`. */
   readonly directCallBudget: { left: number; at: number };
 }
 
-/** What the commit under way changes once it is applied. */
+/** The changes of the commit in flight, which take effect once it is applied. */
 export interface CommitInFlight {
   readonly id: number;
   /** Chunks that it writes or removes. */
@@ -30,7 +30,7 @@
     readonly chunk: Chunk;
     /** The version of the chunk that it writes. */
     readonly version: number;
-    /** Its record is removed, not written. */
+    /** The chunk's record is removed, not written. */
     readonly isRemoved: boolean;
   }[];
   /** Jobs that it ends as done. */
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -1,19 +1,19 @@
-/** Machines, the exits that they report, and requests for more of them. */
+/** Machines, the task exits that they report, and provisioning requests. */
 import type { TerminationReason } from '../fleet/termination-reasons.js';
 import type { ListedMachine, ReportedTask, Resources } from '../types.js';
 import type { Chunk, JobState, LiveClaim } from './job.js';
 
 /** An exit that a worker has reported, and what has to be committed before the worker may forget it. */
 export interface RecordedExit {
-  /** Null: nothing has to be committed for it. */
+  /** The exited task's job; null: nothing has to be committed for the exit. */
   readonly job: JobState | null;
-  /** The chunk that holds the task; null: as for `job`. */
+  /** The chunk that holds the task; null: nothing has to be committed for the exit. */
   readonly chunk: Chunk | null;
-  /** Version of the chunk that first held the exit. */
+  /** First version of the chunk that contains the exit. */
   readonly version: number;
 }
 
-/** An exit for which nothing has to be committed: the worker may forget it at once. */
+/** An exit for which nothing has to be committed: the worker may forget it immediately. */
 export const DURABLE_EXIT: RecordedExit = { job: null, chunk: null, version: 0 };
 
 /** Whether an exit has reached the key-value store, so that the worker may forget it. */
@@ -27,13 +27,14 @@
 }
 
 /**
- * What a leader knows of a machine. Fields stand in groups by the module of the core that writes them; others only
- * read. Times are in steady milliseconds.
+ * A leader's state of a machine. The fields are grouped by the core modules that write them; other modules only read
+ * them. Times are in monotonic milliseconds.
  */
 export interface Machine {
-  // Identity and description: `fleet/machines`, from the cloud's list or the machine's first heartbeat.
+  // Identity and description: written by `fleet/cloud-listing` and `fleet/heartbeats`, whichever comes first, and by
+  // `autoscaling/provisioning`.
   readonly name: string;
-  /** Where its worker is called; empty: unknown. */
+  /** Address at which its worker is called; empty: unknown. */
   address: string;
   /** Name of its machine type; empty: unknown. */
   type: string;
@@ -42,106 +43,111 @@
   spot: boolean;
   /** Position in the order in which machines became known. */
   readonly discoveryOrder: number;
-  /** When it became known; its silence counts from here as long as nothing was heard of it. */
+  /** When this leader first learned of it; until its first heartbeat, its silence is counted from here. */
   discoveredAt: number;
 
-  // Life in the cloud: `fleet/machines` from the list and heartbeats, `autoscaling` from provisioning.
+  // Instance lifecycle: written by `fleet/cloud-listing`, `fleet/heartbeats` and `autoscaling/provisioning`.
   /** When its provisioning was requested, as far as known. */
   provisionedAt: number;
-  /** As last listed; null: not listed yet. */
+  /** Stage in which the cloud last listed it; null: not listed yet. */
   cloudStage: ListedMachine['stage'] | null;
-  /** When the cloud reclaims it, by its termination notice; null: no notice. */
+  /** When the cloud reclaims it according to its termination notice; null: no notice. */
   reclaimedAt: number | null;
 
-  // Termination: `fleet/machines`, `fleet/fault-attribution` and `autoscaling` give the reason; `autoscaling` makes
-  // the request, and the handler of its outcome clears it.
-  /** Why it gets no more work and is terminated; null while it is of use. */
+  // Termination: the reason is given through `fleet/machines`, and `fleet/fault-attribution` may withdraw it;
+  // `autoscaling/scale-in` makes the request, and `command-handlers` clears it if it fails.
+  /** Why it gets no more tasks and is terminated; null: it stays in use. */
   terminationReason: TerminationReason | null;
   /** When its termination was requested; null: not under way. */
   terminationRequestedAt: number | null;
 
-  // Heartbeats: `fleet/machines` and `fleet/keepalives`; `heartbeat-intake` corrects a forwarded one's arrival.
+  // Heartbeats: written by `fleet/heartbeats` and `fleet/keepalives`, exits by `fleet/task-reports`, too;
+  // `heartbeat-intake` corrects the arrival time of a forwarded heartbeat.
   /** Agent epoch of its latest heartbeat. */
   agentEpoch: number;
   /** Sequence number of its latest heartbeat within that epoch. */
   heartbeatSequence: number;
-  /** When its latest heartbeat arrived; null before the first that this leader saw. */
+  /** When its latest heartbeat arrived; null: this leader has received none yet. */
   lastHeartbeatAt: number | null;
-  /** When the first heartbeat arrived that this leader saw. */
+  /** When the first heartbeat arrived that this leader received; null: none yet. */
   firstHeartbeatAt: number | null;
-  /** Its latest heartbeat carried this leader's token: it tells all that is on the machine. */
+  /** Its latest heartbeat carried this leader's token, so it lists all tasks on the machine. */
   isReconciled: boolean;
   /** Tasks of its latest heartbeat with status. */
   reportedTasks: readonly ReportedTask[];
-  /** Exits that it reports, by `job/task#attempt`. */
+  /** Task exits that it reports, by `job/task#attempt`. */
   readonly exits: Map<string, RecordedExit>;
-  /** The heartbeat that waits for an answer: the id of the reply, and when it was taken in. */
+  /** The heartbeat that waits for an answer: id of the reply, and when the leader received it; null: none waits. */
   pendingHeartbeat: { readonly reply: number; readonly since: number } | null;
-  /** It answers direct calls, and its lease has expired since its last heartbeat: no controller has contact. */
+  /** It answers direct calls, but its lease has expired since its last heartbeat: no controller receives any. */
   leaseExpired: boolean;
   /** When this leader's token was last announced to it by a direct call; null: never. */
   tokenSentAt: number | null;
 
-  // Contact with others: `command-handlers` from relays, `fleet/machines` from answers to direct calls.
+  // Contact with other controllers: written by `command-handlers` from relays, by `fleet/heartbeats` from answers to
+  // direct calls.
   /**
-   * When it was last known to be in contact with another controller: told of by a follower that answers workers for
-   * an unreachable leader, or answering a direct call with its lease not expired; null: never.
+   * When it was last known to be in contact with another controller: a follower that answers workers for an
+   * unreachable leader reported it, or it answered a direct call while its lease had not expired; null: never.
    */
   lastRelayedAt: number | null;
 
-  // Whether it receives its answers: `fleet/response-tracking` and `fleet/keepalives`.
-  /** When a heartbeat of it was last answered; null: never. */
+  // Whether it receives its answers: written by `fleet/response-tracking` and `fleet/keepalives`.
+  /** When a heartbeat of it was last answered; null: never, or the leader was overloaded at that time. */
   lastAnsweredAt: number | null;
-  /** Starts in that answer, as `job/task#attempt`; the next heartbeat shows them if it was received. */
+  /** Starts in that answer, as `job/task#attempt`; the next heartbeat lists them if the answer was received. */
   unacknowledgedStarts: readonly string[];
-  /** Since when there is reason to think that it does not receive its answers; null: none. */
+  /** Since when its heartbeats indicate that it does not receive its answers; null: they do not. */
   unresponsiveSince: number | null;
-  /** Answers in a row that it seems not to have received. */
+  /** Number of consecutive answers that it apparently has not received. */
   missedResponses: number;
 
-  // Probes: `fleet/probes`; each heartbeat resets the failures.
+  // Probes: written by `fleet/probes`; heartbeats and keepalives reset the failures.
   /** A probe is under way. */
   isProbing: boolean;
-  /** Probes in a row that have failed. */
+  /** Number of consecutive probes that have failed. */
   failedProbes: number;
   /** When a probe last succeeded; null: never. */
   lastReachableAt: number | null;
 
-  // Claims: `jobs/jobs`.
-  /** By task key. */
+  // Claims: written by `jobs/jobs`.
+  /** By task key, see `taskKey`. */
   readonly claims: Map<string, LiveClaim>;
   /** Resources that its claims take. */
   readonly allocated: Resources;
 
-  // Use: `fleet/machines`.
-  /** Gigabytes of the images that it is believed to hold, by image, most recently used last. */
+  // Use: written by `fleet/image-cache` and `fleet/heartbeats`.
+  /** Gigabytes of the images that it is assumed to cache, by image, most recently used last. */
   readonly cachedImages: Map<string, number>;
-  /** Since when no task is on it. */
+  /** Since when no task has been on it. */
   idleSince: number;
 
-  // Faults: `fleet/fault-attribution`.
-  /** Jobs that have failed on it, and not elsewhere, since the last completion. */
+  // Faults: written by `fleet/fault-attribution`.
+  /**
+   * Ids of the jobs whose failures since the last completion on it count against it. A job that has completed no
+   * task and has failed on other machines, too, counts against none of them.
+   */
   readonly failedJobs: Set<string>;
 }
 
-/** A request for machines whose outcome is open. */
+/** A request for machines whose outcome is not known yet. */
 export interface ProvisioningRequest {
   /** Idempotency key of the request. */
   readonly requestId: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Machines asked for. */
+  /** Number of machines requested. */
   readonly count: number;
-  /** Steady milliseconds. */
+  /** Monotonic milliseconds. */
   readonly requestedAt: number;
 }
 
-/** How many machines a leader has contact with. */
+/** Counts of the machines that a leader has contact with. */
 export interface HealthCounts {
-  /** Machines of which a heartbeat came within the longest time between two. */
+  /** Machines whose latest heartbeat is no older than the longest heartbeat interval plus a tolerance. */
   readonly reporting: number;
-  /** Machines of which one should have come. */
+  /** Machines that should have sent such a heartbeat. */
   readonly expected: number;
   /** Machines that should be up. */
   readonly running: number;
--- a/src/core/model/scheduling.ts
+++ b/src/core/model/scheduling.ts
@@ -1,18 +1,18 @@
-/** What scheduling derives from jobs and machines: the order of the queue, usage, reservations and demand. */
+/** State that scheduling derives from jobs and machines: queue order, usage, reservations and demand. */
 import type { JobSpec, Priority } from '../types.js';
 import type { JobState } from './job.js';
 
-/** Where a job stands in the queue: by rank, then priority, then group, then `key`; the lowest first. */
+/** A job's position in the queue, which is sorted by rank, priority, group and `key`, the lowest first. */
 export interface QueuePosition {
   readonly job: JobState;
-  /** 0: within its team's guarantee. */
+  /** 0: the job is within its team's guarantee; 1: it is not. */
   readonly rank: number;
   readonly priority: Priority;
   readonly group: number;
   readonly key: number;
 }
 
-/** What a team's tasks use that are not proven gone. */
+/** Resources of a team's claimed tasks, which count until a task is proven to be gone from its machine. */
 export interface TeamUsage {
   cpus: number;
   gpus: number;
@@ -23,26 +23,26 @@
 export interface HeadReservation {
   /** Id of the job. */
   readonly job: string;
-  /** Machines that are reserved for it. */
+  /** Names of the machines that are reserved for it. */
   readonly machines: readonly string[];
-  /** Steady milliseconds at which it is expected to start; null: unknown. */
+  /** Monotonic milliseconds at which it is expected to start; null: unknown. */
   readonly shadowTime: number | null;
-  /** Why it waits. */
+  /** Why the job waits. */
   readonly reason: string;
 }
 
-/** What a class asks for. Times are in steady milliseconds. */
+/** Observed demand of a job class. Times are in monotonic milliseconds. */
 export interface Demand {
-  /** Its latest job, as a pattern for those to come. */
+  /** Latest job of the class, taken as typical of jobs to come. */
   readonly spec: JobSpec;
-  /** The most tasks of it at once of late; decays with time. */
+  /** Recent peak of the number of simultaneous tasks of the class; it decays over time. */
   peak: number;
-  /** Jobs that came of late, and when they would have ended had they started at once. */
+  /** Recently arrived jobs, and when each would end (`until`) if it had started as soon as it was ready. */
   arrivals: readonly { readonly until: number; readonly job: JobState }[];
-  /** When `peak` was last brought up to date. */
+  /** When `peak` was last updated. */
   updatedAt: number;
-  /** When a job of it last came. */
+  /** When a job of the class last arrived. */
   lastArrivalAt: number;
-  /** The usual time between two arrivals, in milliseconds. */
+  /** Moving average of the time between two arrivals, in milliseconds. */
   meanArrivalGap: number;
 }
