--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -87,7 +87,7 @@
   /** Reason for the job's next write; null: nothing has to be written. */
   writeReason: WriteReason | null;
   /** Monotonic milliseconds since which its write reason is `exit`, if it is. */
-  exitsSince: number;
+  exitsPendingSince: number;
   /** Monotonic milliseconds at which a task of the job was last placed; -Infinity: never. */
   lastPlacedAt: number;
   /** Monotonic milliseconds at which a task of the job was last preempted; -Infinity: never. */
--- a/src/core/persistence/chunks.ts
+++ b/src/core/persistence/chunks.ts
@@ -1,6 +1,6 @@
 /**
  * Chunks: runs of consecutive tasks of a job, each stored as one record of the key-value store.
- * Here is what a chunk covers, under which key it is stored and what its record holds.
+ * This module determines the tasks that a chunk covers, its key and the contents of its record.
  */
 import { isDone, type Chunk, type JobState } from '../model.js';
 import type { CoreState } from '../state.js';
@@ -11,7 +11,7 @@
 /** Tasks from `first` up to, but not including, `end`. */
 export type TaskRange = readonly [first: number, end: number];
 
-/** A chunk of which nothing is to be written. `modRevision`: that of its record, 0 when there is none. */
+/** Creates a chunk without unwritten changes. `modRevision`: revision of its record; 0: there is no record. */
 export function createChunk(index: number, modRevision: number): Chunk {
   return {
     index,
@@ -24,11 +24,11 @@
   };
 }
 
-/** The index of the chunk that holds a task in the layout now in use. */
+/** Index of the chunk that holds a task in the current layout. */
 export const chunkIndexOf = (state: CoreState, task: number): number =>
   Math.floor(task / state.layout.tasksPerChunk);
 
-/** The chunk that holds a task; it is created when there is none yet. */
+/** Returns the chunk that holds a task; it is created if there is none yet. */
 export function getOrCreateChunk(state: CoreState, job: JobState, task: number): Chunk {
   const index = chunkIndexOf(state, task);
   const known = job.chunks.get(index);
@@ -38,7 +38,7 @@
   return created;
 }
 
-/** Notes that the record of a task has changed and has to be written; returns the task's chunk. */
+/** Marks the stored state of a task as changed, so that it is written; returns the task's chunk. */
 export function markTaskDirty(state: CoreState, job: JobState, task: number): Chunk {
   const chunk = getOrCreateChunk(state, job, task);
   chunk.version += 1;
@@ -47,13 +47,13 @@
   return chunk;
 }
 
-/** The tasks that a chunk covers in the layout now in use. */
+/** The tasks that a chunk covers in the current layout. */
 export function chunkRange(state: CoreState, job: JobState, chunk: Chunk): [first: number, end: number] {
   const first = chunk.index * state.layout.tasksPerChunk;
   return [first, Math.min(first + state.layout.tasksPerChunk, job.spec.tasks)];
 }
 
-/** The key under which a chunk is stored in the layout now in use. */
+/** The key under which a chunk is stored in the current layout. */
 export const storedChunkKey = (state: CoreState, job: JobState, { index }: Chunk): string =>
   chunkKey(job.spec.id, { index, width: state.layout.keyWidth });
 
@@ -63,7 +63,7 @@
   return false;
 }
 
-/** What is to be stored of a chunk now. */
+/** Builds a chunk's record from the current state. */
 export function buildChunkRecord(state: CoreState, job: JobState, chunk: Chunk): ChunkRecord {
   const [first, end] = chunkRange(state, job, chunk);
   const claims: Record<string, Claim> = {};
--- a/src/core/persistence/claims.ts
+++ b/src/core/persistence/claims.ts
@@ -1,5 +1,5 @@
 /**
- * Claims: which task is placed on which machine, from the placement until the proof that it is gone from there.
+ * Claims: a claim records that a task is placed on a machine, until the task is proven to be gone from there.
  * A start is sent only after its claim is committed, so that no later leader can place the task a second time.
  */
 import { addClaim, markDone, removeClaim } from '../jobs/jobs.js';
@@ -14,7 +14,7 @@
 }
 
 /**
- * Puts a task on a machine. Nothing is sent before the claim is committed.
+ * Claims a machine for a task. The start is not sent before the claim is committed.
  * `expectedEnd`: steady milliseconds at which the task is expected to be done.
  */
 export function claimTask(
@@ -29,7 +29,7 @@
   job.attempts.set(task, attempt);
   const chunk = markTaskDirty(state, job, task);
   chunk.claimedVersion = chunk.version;
-  // Only now does the chunk hold an uncommitted start, which raises the job's write reason.
+  // `claimedVersion` is set only now, so the write reason has to be updated for the uncommitted start.
   markDirty(state, job);
   const claim: LiveClaim = {
     job,
@@ -50,15 +50,15 @@
   addClaim(state, claim, machine);
 }
 
-/** Adds a task to those to be placed again, lowest first. */
+/** Inserts a task into the tasks to be placed again, which are kept in ascending order. */
 function insertRetryTask(job: JobState, task: number): void {
   const following = job.retryTasks.findIndex((other) => other > task);
   job.retryTasks.splice(following < 0 ? job.retryTasks.length : following, 0, task);
 }
 
 /**
- * Takes a task off a machine. The caller holds the proof that it is gone from there.
- * `done`: it has completed; otherwise it waits to be placed again.
+ * Removes a task's claim. The caller holds the proof that the task is gone from the machine.
+ * `done`: the task has completed; otherwise it waits to be placed again.
  */
 export function releaseClaim(state: CoreState, claim: LiveClaim, done: boolean): Chunk {
   const { job, task } = claim;
@@ -69,7 +69,7 @@
   return markTaskDirty(state, job, task);
 }
 
-/** Records a completion reported for an attempt of which there is no claim. */
+/** Records a completion that was reported for an attempt without a claim. */
 export function recordUnclaimedCompletion(state: CoreState, job: JobState, task: number): Chunk {
   markDone(state, job, task);
   return markTaskDirty(state, job, task);
--- a/src/core/persistence/commit.ts
+++ b/src/core/persistence/commit.ts
@@ -1,6 +1,7 @@
 /**
- * Committing: the next transaction, and what follows from its outcome. Only one is ever under way, and each chunk
- * is written on condition of its own revision, so a transaction that is applied late can never undo a later one.
+ * Commits: drafts the next transaction and applies its outcome to the state. At most one transaction is in flight,
+ * and each chunk is written on condition of its own revision, so a transaction that is applied late can never undo
+ * a later one.
  */
 import type { CommitOutcome, Effect } from '../effects.js';
 import { finalOutcomeNow } from '../jobs/dependencies.js';
@@ -15,12 +16,12 @@
 import { createDraft, draftJob, isClean, isFull, type TransactionDraft } from './transaction-draft.js';
 
 /**
- * Mutations that a transaction has room for at least: an ending takes three. Fewer at a time would only cost
- * preconditions.
+ * Smallest number of mutations that transactions are limited to: the end of a job takes three. Smaller transactions
+ * would only add the cost of their preconditions.
  */
 const MIN_MUTATIONS = 3;
 
-/** How many mutations may be written now, by the layout's write rate; 0: it is better to wait. */
+/** Number of mutations that the layout's write rate allows now; 0: too few for a transaction, so it has to wait. */
 function availableMutations(state: CoreState, now: Now): number {
   const { writeBudget, layout } = state;
   const elapsedS = Math.max(0, now.monotonicMs - writeBudget.at) / 1000;
@@ -36,7 +37,7 @@
   );
 }
 
-/** Drafts the writes of the dirty jobs in their order; jobs of which nothing is left to be written become clean. */
+/** Drafts the writes of the dirty jobs in their order; jobs with nothing left to write become clean. */
 function draftTransaction(
   state: CoreState,
   leadership: Leadership,
@@ -53,7 +54,7 @@
   return draft;
 }
 
-/** The next transaction, or null if none is due. It is under way until `settleCommit` is called with its id. */
+/** Returns the next transaction, or null if none is due. It is in flight until `settleCommit` is called with its id. */
 export function nextCommit(state: CoreState, now: Now): Effect | null {
   const { leadership } = state;
   if (leadership === null || !canCommit(state, now)) return null;
@@ -78,8 +79,8 @@
   for (const { job, chunk, version, isRemoved } of commit.chunks) {
     chunk.committedVersion = version;
     chunk.dirtySince = null;
-    // By what was written, not by how the job stands now: it may have ended in the meantime, and a record
-    // taken for removed would never be.
+    // `isRemoved` says what the commit did. The job may have ended since: if a record that was written counted as
+    // removed because of that, it would stay in the store forever.
     if (isRemoved) job.chunks.delete(chunk.index);
     else chunk.modRevision = revision;
   }
@@ -91,16 +92,17 @@
 }
 
 /**
- * The key-value store will never take the transaction: its limits are smaller than is known here. Transactions are
- * made smaller until what does not fit stands alone; that is left for a while, so that it neither holds up
- * anything else nor is sent for ever.
+ * Handles a transaction that the key-value store would never accept: its limits are lower than configured. The
+ * maximum number of mutations is halved down to `MIN_MUTATIONS`, and then each job is written by itself. Chunks of a
+ * job that is rejected by itself are blocked for a worker lease, so that they neither delay other writes nor are sent
+ * over and over.
  */
 function shrinkTransactions(state: CoreState, commit: CommitInFlight, now: Now, effects: Effect[]): void {
   const { layout, writesJobsSingly } = state;
   const { tickMs, workerLeaseMs } = state.config.timing;
   log(effects, 'transaction rejected as too large', {
-    most: layout.maxMutations,
-    lone: writesJobsSingly,
+    maxMutations: layout.maxMutations,
+    singleJob: writesJobsSingly,
   });
   state.commitNotBefore = now.monotonicMs + tickMs;
   if (writesJobsSingly) {
@@ -114,8 +116,8 @@
 }
 
 /**
- * Takes in the outcome of the commit under way; of any other id it is ignored. `deposed`: another controller has
- * raised the term, and this one leads no more.
+ * Applies the outcome of the commit in flight; the outcome of any other id is ignored. Returns `deposed` if another
+ * controller has raised the term, so that this one is no longer the leader.
  */
 export function settleCommit(
   state: CoreState,
--- a/src/core/persistence/index.ts
+++ b/src/core/persistence/index.ts
@@ -1,6 +1,6 @@
 /**
- * What is written to the key-value store, and read back. The area's public face: code outside the core imports
- * from here alone.
+ * Writes the leader's state to the key-value store and loads it from there. Code outside the core imports only
+ * from this file.
  */
 export * from './claims.js';
 export * from './commit.js';
--- a/src/core/persistence/job-lifecycle.ts
+++ b/src/core/persistence/job-lifecycle.ts
@@ -1,4 +1,4 @@
-/** How a job becomes known to the leader and how it ends. */
+/** Adds jobs to the leader's state, and ends them. */
 import { needAttention } from '../attention.js';
 import { registerDependencies, unregisterDependencies } from '../jobs/dependencies.js';
 import { updateTaskCounts } from '../jobs/jobs.js';
@@ -7,7 +7,7 @@
 import type { FinalStage, JobSpec, Versioned } from '../types.js';
 import { markDirty } from './dirty-jobs.js';
 
-/** A job of which no task has been placed and nothing is to be written. */
+/** Creates the state of a job without placed tasks and without unwritten changes. */
 function createJobState(job: Versioned<JobSpec>, finalStage: FinalStage | null): JobState {
   return {
     spec: job.value,
@@ -21,7 +21,7 @@
     outstanding: 0,
     runningCount: 0,
     writeReason: null,
-    exitsSince: 0,
+    exitsPendingSince: 0,
     lastPlacedAt: -Infinity,
     lastPreemptedAt: -Infinity,
     isQueued: false,
@@ -41,8 +41,8 @@
 }
 
 /**
- * Makes a job known; one that is known already stays as it is. `finalStage` is given for a job that ended
- * before this leader came, of which records are still there.
+ * Adds a job to the state; a job that is already there is left unchanged. `finalStage` is given for a job that ended
+ * before this leader was elected and still has records.
  */
 export function addJob(
   state: CoreState,
@@ -61,8 +61,8 @@
 }
 
 /**
- * Ends a job: its tasks are stopped, and its records are removed once none can be on a machine.
- * `outcome` is its committed record, null where that has not been read.
+ * Ends a job: its tasks are stopped, and its records are removed once none of the tasks can be on a machine.
+ * `outcome` is the committed outcome; null: its record has not been read.
  */
 export function endJob(
   state: CoreState,
@@ -79,9 +79,9 @@
 }
 
 /**
- * Ends a job whose record is gone from the key-value store. One that this leader is ending itself is settled by
- * the answer to that commit. A reconciliation under way is not waited for: while it goes unanswered, the tasks of
- * a cancelled job would stay on their machines.
+ * Ends a job whose record is gone from the key-value store. A job that the commit in flight ends is left to the
+ * outcome of that commit. A pending reconciliation is not waited for: until it is answered, the tasks of a cancelled
+ * job would stay on their machines.
  */
 export function removeJob(state: CoreState, id: string): void {
   const job = state.jobs.get(id);
--- a/src/core/persistence/layout-migration.ts
+++ b/src/core/persistence/layout-migration.ts
@@ -1,7 +1,7 @@
 /**
- * Changes the record layout, that is the width of chunks and the form of their keys. Nothing has to be written
- * for the change itself: what is committed stands in the records of the layout before, and each of these is
- * superseded as its tasks change.
+ * Changes the record layout, that is the width of chunks and the format of their keys. The change itself needs no
+ * write: committed state stays in the records of the previous layout, and each of these is replaced as its tasks
+ * change.
  */
 import {
   DURABLE_EXIT,
@@ -15,17 +15,17 @@
 import { chunkIndexOf, chunkRange, markTaskDirty, storedChunkKey } from './chunks.js';
 import { markDirty } from './dirty-jobs.js';
 
-/** The task of an exit's key, `job/task#attempt`. */
+/** Index of the task in the key of an exit, `job/task#attempt`. */
 const taskOfExitKey = (key: string): number => Number(/\/(\d+)#\d+$/.exec(key)?.[1] ?? 0);
 
-/** A chunk of the layout before, and the tasks that it covered there. */
+/** A chunk of the previous layout, and the tasks that it covered there. */
 interface FormerChunk {
   readonly chunk: Chunk;
   readonly first: number;
   readonly end: number;
 }
 
-/** Takes the chunks of the layout before off a job; what is stored of them is superseded from now on. */
+/** Removes the chunks of the previous layout from a job; their stored records become superseded chunks. */
 function supersedeChunks(state: CoreState, job: JobState): FormerChunk[] {
   const former = [...job.chunks.values()].map((chunk) => {
     const [first, end] = chunkRange(state, job, chunk);
@@ -40,7 +40,7 @@
   return former;
 }
 
-/** Moves the claims of a job to its new chunks: those not committed yet have to be written there. */
+/** Moves a job's claims to its new chunks; claims that are not committed yet have to be written there. */
 function migrateClaims(
   state: CoreState,
   job: JobState,
@@ -49,7 +49,7 @@
 ): void {
   for (const claim of job.claims.values()) {
     const formerIndex = Math.floor(claim.task / formerTasksPerChunk);
-    const chunk = former.find((one) => one.chunk.index === formerIndex)?.chunk;
+    const chunk = former.find((candidate) => candidate.chunk.index === formerIndex)?.chunk;
     if (chunk === undefined || claim.version <= chunk.committedVersion) {
       claim.version = 0;
       continue;
@@ -73,7 +73,7 @@
   }
 }
 
-/** Changes to another layout. No write may be under way, since its chunks would be gone when it is settled. */
+/** Changes to another layout. No commit may be in flight: its chunks would be gone when its outcome arrives. */
 export function adoptLayout(state: CoreState, layout: RecordLayout): void {
   const before = state.layout;
   if (before.tasksPerChunk === layout.tasksPerChunk && before.keyWidth === layout.keyWidth) {
--- a/src/core/persistence/load-chunks.ts
+++ b/src/core/persistence/load-chunks.ts
@@ -1,6 +1,6 @@
 /**
  * Loads the chunk records that earlier leaders committed into a new leader's state. Records of different widths
- * may hold the same task: a narrower one was written later, so it alone counts for its tasks.
+ * may hold the same task: the narrowest one was written last, so it alone is valid for its tasks.
  */
 import { addClaim, markDone } from '../jobs/jobs.js';
 import type { LoadedChunk } from '../effects.js';
@@ -11,12 +11,12 @@
 import { addJob } from './job-lifecycle.js';
 import { chunkKey } from './records.js';
 
-/** Returns the machine of a name; one that is not known yet is created. */
+/** Returns the machine with a name; it is created if it is not known yet. */
 type MachineLookup = (name: string) => Machine;
 
 const widthOf = (state: CoreState, { name }: LoadedChunk): number => name.width ?? state.legacyChunkTasks;
 
-/** A substitute for the description of a job that has ended, from one of its chunks. */
+/** Builds a placeholder for the specification of an ended job from one of its chunk records. */
 function endedJobSpec(id: string, tasks: number, record: ChunkRecord): JobSpec {
   const { team, cpus, gpus, memoryGb } = record;
   return {
@@ -57,8 +57,8 @@
 }
 
 /**
- * Loads chunks of jobs that `state` knows, and those of jobs that have ended. `getMachine` gives the machine of
- * each claim, whether this leader has seen it or not.
+ * Loads the chunks of the jobs in `state`, and those of jobs that have ended. `getMachine` returns the machine of
+ * each claim, whether or not this leader has had contact with it.
  */
 export function loadChunks(
   state: CoreState,
@@ -76,39 +76,39 @@
     const first = chunk.name.index * width;
     const end = Math.min(first + width, job.spec.tasks);
     const covered = coveredRanges.get(job) ?? [];
-    const counts = (task: number): boolean =>
+    const isValidFor = (task: number): boolean =>
       task >= first && task < end && !covered.some(([from, to]) => task >= from && task < to);
     const { modRevision, value } = chunk.record;
     if (chunk.name.width === state.layout.keyWidth)
       job.chunks.set(chunk.name.index, createChunk(chunk.name.index, modRevision));
     else job.supersededChunks.set(chunkKey(chunk.job, chunk.name), { modRevision, first, end });
-    loadRecord(state, job, value, first, counts, now, getMachine);
+    loadRecord(state, job, value, first, isValidFor, now, getMachine);
     coveredRanges.set(job, [...covered, [first, end]]);
   }
 }
 
-/** Loads one record, whose first task is `first`, as far as it `counts` for a task. */
+/** Loads one record, whose first task is `first`, for the tasks for which `isValidFor` returns true. */
 function loadRecord(
   state: CoreState,
   job: JobState,
   record: ChunkRecord,
   first: number,
-  counts: (task: number) => boolean,
+  isValidFor: (task: number) => boolean,
   now: Now,
   getMachine: MachineLookup,
 ): void {
   const doneBits = Buffer.from(record.done, 'base64');
   for (let bit = 0; bit < 8 * doneBits.length; bit += 1) {
     const isSet = ((doneBits[bit >> 3] ?? 0) & (1 << (bit & 7))) !== 0;
-    if (isSet && counts(first + bit)) markDone(state, job, first + bit);
+    if (isSet && isValidFor(first + bit)) markDone(state, job, first + bit);
   }
   for (const [key, attempt] of Object.entries(record.attempts)) {
     const task = Number(key);
-    if (counts(task)) job.attempts.set(task, attempt);
+    if (isValidFor(task)) job.attempts.set(task, attempt);
   }
   for (const [key, claim] of Object.entries(record.claims)) {
     const task = Number(key);
-    if (counts(task)) loadClaim(state, job, task, claim, now, getMachine(claim.machine));
+    if (isValidFor(task)) loadClaim(state, job, task, claim, now, getMachine(claim.machine));
   }
 }
 
@@ -128,7 +128,7 @@
     task,
     ...claim,
     version: 0,
-    // The leader before may have sent it.
+    // An earlier leader may have sent the start.
     startSent: true,
     stage: null,
     runningSince: null,
--- a/src/core/persistence/reconciliation.ts
+++ b/src/core/persistence/reconciliation.ts
@@ -1,7 +1,7 @@
 /**
- * Reconciliation: after a commit of which the outcome is unknown, or a precondition failed, the leader reads again
- * what the commit touched before it goes on. A transaction that got no answer may still be applied; with the
- * revisions read anew, at most one of it and its successor is.
+ * Reconciliation: after a commit whose outcome is unknown or whose preconditions failed, the leader reads the records
+ * that the commit touched again before it commits anything else. A transaction without an answer may still be applied
+ * later. Its successor depends on the revisions that were read after it, so at most one of the two is applied.
  */
 import type { Effect, ReconciledRecords } from '../effects.js';
 import { finalOutcomeOf } from '../jobs/dependencies.js';
@@ -11,7 +11,7 @@
 import { markDirty } from './dirty-jobs.js';
 import { endJob } from './job-lifecycle.js';
 
-/** Marks what a commit touched as unknown, and asks for it to be read. Nothing is committed until it has been. */
+/** Marks the records that a commit touched as unknown and requests their read. No commit is made until then. */
 export function beginReconciliation(state: CoreState, commit: CommitInFlight, effects: Effect[]): void {
   const jobs = new Set<string>([...commit.completing, ...commit.cancelling].map((job) => job.spec.id));
   const keys: string[] = [];
@@ -39,7 +39,7 @@
   return keys;
 }
 
-/** Takes in how the records of a job were found. */
+/** Applies the records that were read of a job to its state. */
 function reconcileJob(state: CoreState, job: JobState, found: ReconciledRecords, now: Now): void {
   const stored = found.jobs.get(job.spec.id);
   if (job.finalStage === null && stored !== undefined && !stored.live) {
@@ -60,7 +60,7 @@
   markDirty(state, job);
 }
 
-/** Takes in the records read. Null: the key-value store did not answer; they are asked for again. */
+/** Applies the records that were read. Null: the key-value store did not answer, and the read is requested again. */
 export function settleReconciliation(
   state: CoreState,
   found: ReconciledRecords | null,
--- a/src/core/persistence/records.ts
+++ b/src/core/persistence/records.ts
@@ -1,6 +1,6 @@
 /**
- * What the service keeps in the key-value store: keys and values. Stored names and forms are mapped to the terms of
- * the core here and nowhere else; they stay as they are, since other versions read and write them, too.
+ * Keys and values of the service's records in the key-value store. Stored names and formats are mapped to the terms
+ * of the core only here. They must not change, because other versions read and write them, too.
  */
 export * from './records/chunks.js';
 export * from './records/controllers.js';
--- a/src/core/persistence/records/chunks.ts
+++ b/src/core/persistence/records/chunks.ts
@@ -1,14 +1,14 @@
-/** Chunk records, in the form of the first versions and in a compact one. Both are read. */
+/** Chunk records, in the format of the first versions and in a compact format. Both can be decoded. */
 import type { ChunkRecord, Claim } from '../../types.js';
 import { asObject, isAmount, isCount, type Json } from '../../values.js';
 
-/** A claim in the form of the first versions; `createdAt` in epoch milliseconds. */
+/** A claim in the format of the first versions; `createdAt` in epoch milliseconds. */
 type ClaimRow = readonly [attempt: number, machine: string, agentEpoch: number, createdAt: number];
 
-/** Unit in which the compact form tells ages. */
+/** Unit of the claims' ages in the compact format. */
 const AGE_UNIT_MS = 100;
 
-/** The form of the first versions. */
+/** Encodes a chunk record in the format of the first versions. */
 export function encodeChunk(record: ChunkRecord): unknown {
   const claims: Record<string, ClaimRow> = {};
   for (const [task, claim] of Object.entries(record.claims)) {
@@ -23,8 +23,8 @@
 }
 
 /**
- * The compact form: claims grouped by machine and agent epoch, each as `task.attempt.age`, the age in tenths of
- * seconds before `at`, when the latest was made.
+ * Encodes a chunk record in the compact format: claims grouped by machine and agent epoch, each as
+ * `task.attempt.age`. `at` is the time of the latest claim; the age is in tenths of a second before it.
  */
 export function encodeCompactChunk(record: ChunkRecord): unknown {
   let latest = 0;
@@ -33,8 +33,8 @@
   for (const [task, { attempt, machine, agentEpoch, createdAt }] of Object.entries(record.claims)) {
     const agent = `${machine}:${agentEpoch}`;
     const claim = `${task}.${attempt}.${Math.round((latest - createdAt) / AGE_UNIT_MS)}`;
-    const before = claimsByAgent[agent];
-    claimsByAgent[agent] = before === undefined ? claim : `${before} ${claim}`;
+    const previous = claimsByAgent[agent];
+    claimsByAgent[agent] = previous === undefined ? claim : `${previous} ${claim}`;
   }
   return {
     of: [record.team, record.cpus, record.gpus, record.memoryGb],
@@ -53,7 +53,7 @@
   return claims;
 }
 
-/** Null: some part is malformed. */
+/** Decodes claims of the compact format; null: some part is malformed. */
 function decodeCompactClaims(latest: unknown, claimsByAgent: Json): Record<string, Claim> | null {
   const claims: Record<string, Claim> = {};
   if (!isAmount(latest)) return null;
@@ -70,7 +70,7 @@
   return claims;
 }
 
-/** A chunk record in either form; null if it is not one. */
+/** Decodes a chunk record of either format; null if the value is not one. */
 export function decodeChunk(value: unknown): ChunkRecord | null {
   const raw = asObject(value);
   if (raw === null || !Array.isArray(raw['of'])) return null;
--- a/src/core/persistence/records/controllers.ts
+++ b/src/core/persistence/records/controllers.ts
@@ -1,20 +1,20 @@
-/** Records of the controllers: term, leadership, what each can read, and the workers that followers answer. */
+/** Records of the controllers: term, leader, formats that each can read, and machines that followers answer. */
 import { asObject, isAmount, isCount, isText } from '../../values.js';
 import { packByBytes } from './packing.js';
 
-/** The format that this program writes once all controllers can read it; 1 is that of the versions before. */
+/** The format that this program writes once all controllers can read it; earlier versions use 1. */
 export const FORMAT = 2;
 
-/** The format in force; the names are those stored. */
+/** The format in force; the field names are those stored. */
 export interface FormatRecord {
   readonly format: number;
-  /** Tasks of a chunk whose key tells no width; Infinity: not said. */
+  /** Tasks per chunk whose key does not state its width; Infinity: not recorded. */
   readonly wide: number;
-  /** Tasks of the narrowest chunks written so far; Infinity: not said. */
+  /** Tasks per chunk of the narrowest chunks written so far; Infinity: not recorded. */
   readonly tasks: number;
 }
 
-/** What the format key says, or a node of itself, which leaves the widths out; null if it is no such record. */
+/** Decodes the format record, or a node's declaration, which omits the widths; null if the value is neither. */
 export function decodeFormat(value: unknown): FormatRecord | null {
   const raw = asObject(value);
   if (raw === null || !isCount(raw['format'])) return null;
@@ -22,48 +22,48 @@
   return { format: raw['format'], wide: width('wide'), tasks: width('tasks') };
 }
 
-/** Machines whose workers a follower answers for a leader that they do not reach; the names are those stored. */
+/** Machines whose workers a follower answers for a leader that they cannot reach; field names as stored. */
 export interface RelayRecord {
-  /** Epoch milliseconds at which the follower said so. */
+  /** Epoch milliseconds at which the follower wrote the record. */
   readonly at: number;
   /** Names of the machines. */
   readonly machines: readonly string[];
 }
 
-/** A relay record; null if it is not one. Malformed names of machines are left out. */
+/** Decodes a relay record; null if the value is not one. Malformed names of machines are left out. */
 export function decodeRelay(value: unknown): RelayRecord | null {
   const raw = asObject(value);
   if (raw === null || !isAmount(raw['at']) || !Array.isArray(raw['machines'])) return null;
   return { at: raw['at'], machines: raw['machines'].filter(isText) };
 }
 
-/** Splits names of machines into parts of which each fits into a value of `maxValueBytes`. */
+/** Splits names of machines into parts that each fit into a value of `maxValueBytes`. */
 export const packMachines = (machines: readonly string[], maxValueBytes: number): string[][] =>
   packByBytes(machines, maxValueBytes);
 
-/** The latest term. */
+/** The record of the latest term. */
 export interface TermRecord {
   readonly term: number;
 }
 
-/** The term of a record; null if it is not one. */
+/** Decodes a term record; null if the value is not one. */
 export function decodeTerm(value: unknown): TermRecord | null {
   const term = asObject(value)?.['term'];
   return isCount(term) ? { term } : null;
 }
 
-/** Who leads. */
+/** The record of the leader. */
 export interface LeaderRecord {
   readonly term: number;
   /** Name of the controller's node. */
   readonly node: string;
-  /** Tells one run of its process from the next. */
+  /** Distinguishes one run of the controller's process from the next. */
   readonly incarnation: string;
-  /** The node that this leader transfers the leadership to; earlier versions do not know of it. */
+  /** The node to which this leader transfers the leadership; absent in records of earlier versions. */
   readonly successor?: string;
 }
 
-/** A record of the leader; null if it is not one. */
+/** Decodes a leader record; null if the value is not one. */
 export function decodeLeader(value: unknown): LeaderRecord | null {
   const raw = asObject(value);
   if (raw === null || !isCount(raw['term']) || !isText(raw['node']) || !isText(raw['incarnation'])) {
--- a/src/core/persistence/records/demand.ts
+++ b/src/core/persistence/records/demand.ts
@@ -1,22 +1,22 @@
-/** Records of the demand as a leader has observed it, for the next one. */
+/** Records of the demand that a leader has observed, stored for the next leader. */
 import type { JobSpec } from '../../types.js';
 import { asObject, isAmount } from '../../values.js';
 import { decodeJob } from './jobs.js';
 import { packByBytes } from './packing.js';
 
-/** What one job class has shown of itself; the names are those stored. */
+/** Observed demand of one job class; the field names are those stored. */
 export interface ClassDemandRecord {
-  /** Its latest job, as a pattern for those to come. */
+  /** Latest job of the class, taken as typical of jobs to come. */
   readonly spec: JobSpec;
-  /** The most tasks at once of late. */
+  /** Recent peak of the number of simultaneous tasks. */
   readonly peak: number;
-  /** The usual time between two arrivals, in milliseconds. */
+  /** Moving average of the time between two arrivals, in milliseconds. */
   readonly gap: number;
-  /** Run time over estimate. */
+  /** Moving average of the ratio of run time to estimate. */
   readonly ratio: number;
 }
 
-/** The classes of a record of the demand; malformed ones are left out. */
+/** Decodes the classes of a demand record; malformed ones are left out. */
 export function decodeDemand(value: unknown): ClassDemandRecord[] {
   const classes = asObject(value)?.['classes'];
   if (!Array.isArray(classes)) return [];
@@ -32,7 +32,7 @@
   });
 }
 
-/** Splits classes into parts of which each fits into a value of `maxValueBytes`. */
+/** Splits classes into parts that each fit into a value of `maxValueBytes`. */
 export const packDemand = (
   classes: readonly ClassDemandRecord[],
   maxValueBytes: number,
--- a/src/core/persistence/records/keys.ts
+++ b/src/core/persistence/records/keys.ts
@@ -6,34 +6,34 @@
 /** Prefix of the chunk records of jobs. */
 export const RUN_PREFIX = 'run/';
 
-/** The term of the latest leader; each transaction of a leader is conditional on its revision. */
+/** Key of the latest leader's term; each transaction of a leader is conditional on its revision. */
 export const TERM_KEY = 'term';
 
-/** The leader's lease. */
+/** Key of the leader record, which is bound to the leader's lease. */
 export const LEADER_KEY = 'leader';
 
-/** The demand as a leader has observed it, for the next one. */
+/** Key of the demand that a leader has observed, stored for the next leader. */
 export const DEMAND_KEY = 'memory';
 
-/** The same in parts, once values may have to be small. */
+/** Prefix of the parts of the observed demand, used instead of `DEMAND_KEY` once values may have to be small. */
 export const DEMAND_PREFIX = 'memory/';
 
-/** Key of a part of the demand; the first is 0. */
+/** Key of a part of the observed demand; the first part is 0. */
 export const demandKey = (part: number): string => DEMAND_PREFIX + part;
 
-/** Prefix of the records in which followers tell of the workers that they answer for an unreachable leader. */
+/** Prefix of the records in which followers list the machines that they answer for an unreachable leader. */
 export const RELAY_PREFIX = 'deputy/';
 
-/** Key of a part of a node's relay record; the first is 0. */
+/** Key of a part of a node's relay record; the first part is 0. */
 export const relayKey = (node: string, part: number): string => `${RELAY_PREFIX}${node}/${part}`;
 
-/** Prefix of what each node declares that its program can read. */
+/** Prefix of the records in which each node declares the format that its program can read. */
 export const VERSION_PREFIX = 'version/';
 
-/** Key of what a node declares that its program can read. */
+/** Key of the record in which a node declares the format that its program can read. */
 export const versionKey = (node: string): string => VERSION_PREFIX + node;
 
-/** Exists once every controller is known to read what this version writes; it is never removed. */
+/** Key of the format record; written once every controller can read this version's format, and never removed. */
 export const FORMAT_KEY = 'format';
 
 /** Key of a live job's record. */
@@ -45,14 +45,14 @@
 /** Key of the record of a job's end. */
 export const endedKey = (id: string): string => `ended/${id}`;
 
-/** Which tasks of a job a chunk holds: `width` of them, from `index` times `width` on. */
+/** Identifies a chunk within its job: it holds `width` tasks, the first of which is `index` times `width`. */
 export interface ChunkName {
   readonly index: number;
-  /** Null: the width that the first versions derive from the size of a value. */
+  /** Tasks per chunk; null: the width that the first versions derive from the size limit of a value. */
   readonly width: number | null;
 }
 
-/** Digits of a chunk's index in its key: a fixed number keeps the chunks of a job in order. */
+/** Digits of a chunk's index in its key: a fixed number keeps the chunks of a job sorted by index. */
 const INDEX_DIGITS = 5;
 
 /** Key of a chunk record. */
@@ -61,7 +61,7 @@
   return `${RUN_PREFIX}${id}/${widthPart}${String(index).padStart(INDEX_DIGITS, '0')}`;
 }
 
-/** The chunk of a key, and its job; null if it is not the key of a chunk. */
+/** Parses the key of a chunk into its job's id and its name; null if it is not the key of a chunk. */
 export function parseChunkKey(key: string): (ChunkName & { readonly job: string }) | null {
   const found = /^run\/(.+)\/(?:([1-9]\d{0,6})\.)?(\d{1,6})$/.exec(key);
   if (found?.[1] === undefined) return null;
--- a/src/core/persistence/records/packing.ts
+++ b/src/core/persistence/records/packing.ts
@@ -1,6 +1,6 @@
 /** Splits lists that do not fit into one value of the key-value store. */
 
-/** Bytes of a record around the list that fills it. */
+/** Upper estimate of the bytes of a record besides the list that it holds. */
 const ENVELOPE_BYTES = 64;
 
 /**
--- a/src/core/persistence/transaction-draft.ts
+++ b/src/core/persistence/transaction-draft.ts
@@ -1,8 +1,8 @@
 /**
  * Drafts a transaction: which records of a job are written and removed, and on which preconditions.
  *
- * Every record is written on condition of its own revision, and the whole on condition of the leader's term, so
- * that nothing of a leader that has been superseded is applied, nor anything in a wrong order.
+ * Every record is written on condition of its own revision, and the whole transaction on condition of the leader's
+ * term. So no write of a superseded leader is applied, and no write is applied out of order.
  */
 import { isComplete } from '../jobs/jobs.js';
 import { isDone } from '../model.js';
@@ -14,16 +14,16 @@
 import { hasUncommittedStart } from './dirty-jobs.js';
 import { encodeChunk, encodeCompactChunk, endedKey, jobKey, TERM_KEY } from './records.js';
 
-/** Bytes of records in a transaction: 64 KiB may be sent, preconditions and envelope included. */
+/** Largest size of the records in a transaction: a request may have 64 KiB with preconditions and envelope. */
 const MAX_RECORD_BYTES = 48 * 1024;
 
 /** Bytes that a record takes in a transaction besides its value: its key, twice, and its precondition. */
 const RECORD_OVERHEAD_BYTES = 200;
 
-/** Removing a job's record, and writing that of its end. */
+/** Mutations that end a job: removing its record and writing the record of its end. */
 const MUTATIONS_OF_ENDING = 2;
 
-/** A transaction that is being put together. */
+/** A transaction that is being drafted. */
 export interface TransactionDraft {
   readonly maxMutations: number;
   readonly preconditions: Precondition[];
@@ -40,7 +40,7 @@
   remainingBytes: number;
 }
 
-/** An empty draft on condition that the leader's term, of this revision, still stands. */
+/** Creates an empty draft, conditional on the record of the leader's term still having this revision. */
 export function createDraft(maxMutations: number, termRevision: number): TransactionDraft {
   return {
     maxMutations,
@@ -54,15 +54,15 @@
   };
 }
 
-/** Whether as many mutations are in a draft as may be. */
+/** Whether a draft contains the largest allowed number of mutations. */
 const hasMaxMutations = ({ mutations, maxMutations }: TransactionDraft): boolean =>
   mutations.length >= maxMutations;
 
-/** Whether nothing more can be written with a draft. */
+/** Whether no further record can be added to a draft. */
 export const isFull = (draft: TransactionDraft): boolean =>
   hasMaxMutations(draft) || draft.remainingBytes <= 0;
 
-/** Adds what of a job is to be written now, as far as the draft takes it. */
+/** Adds the due writes of a job to a draft, as far as they fit into it. */
 export function draftJob(state: CoreState, draft: TransactionDraft, job: JobState, now: Now): void {
   if (job.finalStage !== null) draftCleanup(state, draft, job);
   else if (isComplete(job) || state.cancelPending.has(job)) draftEnding(state, draft, job, now);
@@ -104,18 +104,19 @@
   draft.superseded.push({ job, key });
 }
 
-/** Removes the records of a job that ended, those of which no task can be on a machine. */
+/** Removes those records of an ended job of which no task can be on a machine. */
 function draftCleanup(state: CoreState, draft: TransactionDraft, job: JobState): void {
   for (const [key, { modRevision, first, end }] of job.supersededChunks) {
     if (hasMaxMutations(draft)) return;
     if (modRevision !== null && !hasClaimIn(job, [first, end]))
       removeSuperseded(draft, job, key, modRevision);
   }
-  // A chunk stays as long as a superseded record of its tasks, which would count again without it.
+  // Chunks are kept until no superseded record of the job is left: without the chunk, a superseded record of the
+  // same tasks would become valid again.
   const removed = draft.superseded.filter((superseded) => superseded.job === job).length;
-  const supersedes = job.supersededChunks.size > removed;
+  const hasSuperseded = job.supersededChunks.size > removed;
   for (const chunk of job.chunks.values()) {
-    if (hasMaxMutations(draft) || supersedes) return;
+    if (hasMaxMutations(draft) || hasSuperseded) return;
     if (chunk.modRevision === null || hasClaimIn(job, chunkRange(state, job, chunk))) continue;
     if (chunk.modRevision === 0) job.chunks.delete(chunk.index);
     else removeChunk(state, draft, job, chunk, chunk.modRevision);
@@ -124,7 +125,7 @@
     state.jobs.delete(job.spec.id);
 }
 
-/** Moves a job from the live to the ended; with its chunk record if there is just one and no task is out. */
+/** Replaces a live job's record by that of its end, and removes its only chunk record if no task is on a machine. */
 function draftEnding(state: CoreState, draft: TransactionDraft, job: JobState, now: Now): void {
   if (draft.mutations.length + MUTATIONS_OF_ENDING > draft.maxMutations) return;
   const { id, tasks } = job.spec;
@@ -136,7 +137,7 @@
   if (job.claims.size === 0 && !hasMaxMutations(draft)) removeSoleRecord(state, draft, job);
 }
 
-/** Removes the chunk record of a job that has a single one, whichever layout it is of. */
+/** Removes the chunk record of a job that has exactly one, of whichever layout. */
 function removeSoleRecord(state: CoreState, draft: TransactionDraft, job: JobState): void {
   const stored = [...job.chunks.values()].filter(({ modRevision }) => modRevision !== 0);
   if (stored.length + job.supersededChunks.size !== 1) return;
@@ -148,9 +149,9 @@
 }
 
 /**
- * Whether a chunk is to be written now. Exits can wait a little, for others of the job to
- * share their write: until then the worker keeps them in its heartbeats, and the end of the
- * job itself does not wait for them.
+ * Whether a chunk must be written now. Exits may wait for `exitBatchDelayMs` so that others of the
+ * job can share their write: until then the worker repeats them in its heartbeats, and the end of
+ * the job itself does not wait for them.
  */
 function isDue(state: CoreState, chunk: Chunk, now: Now): boolean {
   if (chunk.modRevision === null || chunk.version === chunk.committedVersion) return false;
@@ -175,8 +176,8 @@
       continue;
     }
     draft.remainingBytes -= bytes + RECORD_OVERHEAD_BYTES;
-    // The job's own revision: once its user has been told that it is cancelled,
-    // no start of it can be committed any more.
+    // The precondition on the job's own revision: once a cancellation has been confirmed to the user,
+    // no start of the job can be committed any more.
     if (!hasJobPrecondition)
       draft.preconditions.push({ key: jobKey(job.spec.id), modRevision: job.modRevision });
     hasJobPrecondition = true;
@@ -186,8 +187,9 @@
 }
 
 /**
- * For a chunk too large to be written, as only names of unusual length make it: what of its
- * claims was not committed was not sent either, and waits for others of the job to end.
+ * Handles a chunk that is too large to be written, which only unusually long names can cause. Claims
+ * in it that are not committed have not been sent either, so they are released. The job's tasks are not
+ * placed again for a worker lease, in which others of the job may end.
  */
 function withdrawUncommittedStarts(state: CoreState, job: JobState, chunk: Chunk, now: Now): void {
   const [first, end] = chunkRange(state, job, chunk);
@@ -201,7 +203,7 @@
   chunk.blockedUntil = now.monotonicMs + state.config.timing.tickMs;
 }
 
-/** Whether the chunks of the layout now in use, as committed, hold all that is known of a superseded one's tasks. */
+/** Whether the committed chunks of the current layout hold all that is known of a superseded chunk's tasks. */
 function isReplaced(state: CoreState, job: JobState, { first, end }: SupersededChunk): boolean {
   for (let task = first; task < end; task += 1) {
     const modRevision = job.chunks.get(chunkIndexOf(state, task))?.modRevision;
@@ -211,7 +213,7 @@
   return true;
 }
 
-/** Removes superseded records once nothing is lost with them. */
+/** Removes the superseded records that current chunk records have replaced. */
 function draftSupersededRemovals(state: CoreState, draft: TransactionDraft, job: JobState): void {
   for (const [key, superseded] of job.supersededChunks) {
     if (hasMaxMutations(draft)) return;
@@ -220,7 +222,7 @@
   }
 }
 
-/** Whether a superseded record has nothing to be done about it until something of its job changes. */
+/** Whether a superseded record needs no write until its job changes. */
 function isSupersededSettled(state: CoreState, job: JobState, superseded: SupersededChunk): boolean {
   if (superseded.modRevision === null) return false;
   return job.finalStage === null
@@ -228,7 +230,7 @@
     : hasClaimIn(job, [superseded.first, superseded.end]);
 }
 
-/** Whether a chunk has nothing to be done about it until something of its job changes. */
+/** Whether a chunk needs no write until its job changes. */
 function isChunkSettled(state: CoreState, job: JobState, chunk: Chunk): boolean {
   if (chunk.modRevision === null) return false;
   if (job.finalStage === null) return chunk.version === chunk.committedVersion;
@@ -236,7 +238,7 @@
   return job.supersededChunks.size > 0 || hasClaimIn(job, chunkRange(state, job, chunk));
 }
 
-/** Whether nothing of a job is left to be written until something of it changes. */
+/** Whether a job needs no write until it changes. */
 export function isClean(state: CoreState, job: JobState): boolean {
   if (isComplete(job) || state.cancelPending.has(job)) return false;
   for (const superseded of job.supersededChunks.values())
