--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -143,7 +143,7 @@
   readonly requestedAt: number;
 }
 
-/** Counts of the machines that a leader has contact with. */
+/** Counts of machines by their contact with a leader. */
 export interface HealthCounts {
   /** Machines whose latest heartbeat is no older than the longest heartbeat interval plus a tolerance. */
   readonly reporting: number;
--- a/src/core/persistence/index.ts
+++ b/src/core/persistence/index.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the leader's state to the key-value store and loads it from there. Code outside the core imports only
- * from this file.
+ * Drafts the transactions that store the leader's state in the key-value store, and restores the state from the
+ * stored records. Code outside the core imports only from this file.
  */
 export * from './claims.js';
 export * from './commit.js';
--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -183,7 +183,7 @@
 });
 
 test('a zone whose machines all fall silent at the same time is treated as partitioned, not terminated', () => {
-  // During a partition between two zones, half of the fleet was terminated and provisioned again.
+  // Without this rule, half of the fleet was terminated and provisioned again during a partition between two zones.
   const bench = new CoreHarness();
   const remote = ['p', 'q', 'r', 's'];
   for (const name of remote) bench.hear(report(name, 1, [], { zone: 'b' }));
@@ -198,7 +198,7 @@
 });
 
 test('a new leader also treats a zone without any heartbeat as partitioned', () => {
-  // After a crash of the leader during a partition between zones, ten machines were terminated with their tasks.
+  // Without this rule, a leader crash during a partition between zones had ten machines terminated with their tasks.
   const bench = new CoreHarness();
   const listed = ['p', 'q', 'r', 's'].map((name) => ({
     name,
@@ -354,7 +354,7 @@
 });
 
 test('a new machine is provisioned for a job that failed on the only machine', () => {
-  // Placement avoided the machine while the capacity plan counted on it, so the job waited forever.
+  // The job waited forever when placement avoided the machine while the capacity plan still counted on it.
   const bench = leaderWithRunningTask();
   bench.do({ kind: 'terminated', machines: ['n'], ok: true });
   bench.hear(report('m', 4, [task('req-1/0', 1, 'exited', 'error')]));
