--- a/src/core/persistence/index.ts
+++ b/src/core/persistence/index.ts
@@ -1,6 +1,6 @@
 /**
- * What is written to the key-value store, and read back. The area's public face: code outside the core imports
- * from here alone.
+ * Drafts the transactions that store the leader's state in the key-value store, and restores the state from the
+ * stored records. Code outside the core imports only from this file.
  */
 export * from './claims.js';
 export * from './commit.js';
