--- a/src/controller/heartbeat-intake.ts
+++ b/src/controller/heartbeat-intake.ts
@@ -1,8 +1,9 @@
 /**
  * A follower's intake of workers' heartbeats for the leader. A heartbeat with news is forwarded, and the leader's
- * answer handed back; one that repeats what was answered is answered here with the leader's fencing token, and
- * passed on as a keepalive. A local answer never carries a command, and is given only within the authority window of the
- * leader's own confirmed view, and only for machines for which the leader has no command.
+ * answer is passed back to the worker. A heartbeat that repeats one that the leader has answered is answered here with
+ * the leader's fencing token, and sent to the leader as a keepalive. A local answer never carries a command. It is
+ * given only within the authority window of the leader's confirmed view, and only for machines for which the leader
+ * has no command.
  */
 import type { Clock } from '../adapters/clock.js';
 import type { Keepalive } from '../core/fleet/index.js';
@@ -15,7 +16,7 @@
 /** Answers a worker: an HTTP status and a body of the workers' interface. */
 export type RespondToWorker = (status: number, body: string) => void;
 
-/** What the intake needs of the node around it. */
+/** What the intake needs from its controller. */
 export interface HeartbeatIntakeContext {
   readonly clock: Clock;
   readonly timing: Timing;
@@ -25,14 +26,14 @@
   readonly maxClockSkewMs: number;
   /** The leader and term that this node follows; null: none, or this node leads. */
   followedLeader(): { readonly leader: string; readonly term: number } | null;
-  /** False: there is no link to that node. */
+  /** Sends a message; false: it cannot be sent. */
   send(to: string, message: IntakeMessage): boolean;
-  /** The bodies of the workers' interface. */
+  /** Encode bodies of responses to workers: commands, and a redirect to another controller. */
   encodeAnswer(term: number, commands: AnswersMessage['answers'][number]['commands']): string;
   encodeRedirect(to: string): string;
-  /** Answers in the leader's place, without it: what a forwarded report falls back to. */
+  /** Answers in the leader's place: the fallback if the leader does not answer or accept a forwarded heartbeat. */
   answerWithoutLeader(report: Heartbeat, done: RespondToWorker): void;
-  /** Sends a worker on, or answers it, as without shared reports. */
+  /** Redirects or answers a worker as if heartbeats were not shared. */
   route(report: Heartbeat, done: RespondToWorker): void;
 }
 
@@ -53,9 +54,9 @@
   readonly agentEpoch: number;
   readonly sequence: number;
   readonly tasks: readonly ReportedTask[];
-  /** The leader has answered this content without a command, and has nothing more to tell. */
+  /** The leader has accepted a heartbeat with this content and its fencing token, and answered it without a command. */
   isAnswered: boolean;
-  /** When its report last reached the leader, and when it last came here; steady times. */
+  /** When a heartbeat was last forwarded to the leader, and when one last arrived here; monotonic times in ms. */
   readonly forwardedAt: number;
   readonly receivedAt: number;
 }
@@ -65,11 +66,11 @@
   readonly respond: RespondToWorker;
 }
 
-/** A worker waits 4 s for an answer; before that it is answered without the leader. */
+/** How long the leader's answer is awaited. A worker waits 4 s, so it is answered without the leader before that. */
 const FORWARD_TIMEOUT_MS = 3000;
-/** Snapshots come at every `toldEvery`; without one for so many of them the leader's view is not known. */
+/** After this many intervals of `snapshotIntervalMs` without a snapshot, the leader's view counts as unknown. */
 const MAX_MISSED_SNAPSHOTS = 2.5;
-/** So many tasks go in one message, for its size is bounded. */
+/** Tasks in the heartbeats of one message, at most: the size of a message is bounded. */
 const MAX_TASKS_IN_MESSAGE = 600;
 const MAX_FORWARDED_IN_MESSAGE = 100;
 const MAX_KEEPALIVES_IN_MESSAGE = 1000;
@@ -86,7 +87,7 @@
 
 const hasExit = (report: Heartbeat): boolean => report.tasks.some(({ stage }) => stage === 'exited');
 
-/** Takes, forwards and answers heartbeats on a follower. */
+/** Accepts, forwards and answers heartbeats on a follower. */
 export class HeartbeatIntake {
   #view: LeaderView | null = null;
   readonly #known = new Map<string, KnownWorker>();
@@ -95,7 +96,7 @@
   #heartbeats: ForwardedHeartbeat[] = [];
   #keepalives: { readonly keepalive: Omit<Keepalive, 'ageMs'>; readonly at: number }[] = [];
   #isFlushScheduled = false;
-  /** Reports forwarded and answered here, for the status page. */
+  /** Numbers of heartbeats forwarded to the leader and answered here, for the status page. */
   forwarded = 0;
   answered = 0;
 
@@ -108,16 +109,16 @@
 
   #activeView(): LeaderView | null {
     const view = this.#view;
-    const following = this.context.followedLeader();
-    if (view === null || following === null || !view.isSharing) return null;
-    if (view.leader !== following.leader || view.term !== following.term) return null;
+    const followed = this.context.followedLeader();
+    if (view === null || followed === null || !view.isSharing) return null;
+    if (view.leader !== followed.leader || view.term !== followed.term) return null;
     const { clock, timing } = this.context;
     return clock.monotonicMs() - view.receivedAt < MAX_MISSED_SNAPSHOTS * snapshotIntervalMs(timing)
       ? view
       : null;
   }
 
-  /** Whether a worker has reported here of late; from now on it is sent elsewhere. */
+  /** Forgets a worker that is no longer answered for the leader; returns whether it reported here within its lease. */
   forgetWorker(machine: string): boolean {
     const known = this.#known.get(machine);
     this.#known.delete(machine);
@@ -127,7 +128,10 @@
     );
   }
 
-  /** The link to a controller is lost: if that is the leader, what waits for its answer is routed as without it. */
+  /**
+   * Handles the loss of the link to a controller. If it is the leader, heartbeats that wait for its answer are routed
+   * as if heartbeats were not shared.
+   */
   onLinkLost(node: string): void {
     if (this.#view?.leader !== node) return;
     this.#view.isSharing = false;
@@ -136,12 +140,12 @@
   }
 
   #drainPending(): PendingHeartbeat[] {
-    const waiting = [...this.#pending.values()];
+    const pending = [...this.#pending.values()];
     this.#pending.clear();
-    return waiting;
+    return pending;
   }
 
-  /** Takes a report in; false: it is not for this node to answer now. */
+  /** Accepts a heartbeat for the leader; false: this node does not accept it now, and the caller has to route it. */
   take(report: Heartbeat, done: RespondToWorker): boolean {
     const view = this.#activeView();
     if (view === null || this.#pending.size >= MAX_TRACKED_MACHINES) return false;
@@ -151,9 +155,9 @@
       done(503, '{}');
       return true;
     }
-    const isNews = this.#isNews(report, known, view);
-    if (!isNews && this.#redirects(view, report, done)) return true;
-    if (!isNews && this.#mayAnswerLocally(view)) this.#answerLocally(report, view, known, done);
+    const hasNews = this.#hasNews(report, known, view);
+    if (!hasNews && this.#tryRedirect(view, report, done)) return true;
+    if (!hasNews && this.#mayAnswerLocally(view)) this.#answerLocally(report, view, known, done);
     else this.#forward(report, done);
     return true;
   }
@@ -162,17 +166,17 @@
     return agentEpoch > known.agentEpoch || (agentEpoch === known.agentEpoch && sequence > known.sequence);
   }
 
-  #isNews(report: Heartbeat, known: KnownWorker | undefined, view: LeaderView): boolean {
+  #hasNews(report: Heartbeat, known: KnownWorker | undefined, view: LeaderView): boolean {
     if (known === undefined || !known.isAnswered || view.attention.has(report.machine)) return true;
-    // After a report that went elsewhere, what was answered there is not known here.
+    // If a heartbeat in between went to another controller, its answer is not known here.
     if (report.agentEpoch !== known.agentEpoch || report.sequence !== known.sequence + 1) return true;
     if (report.token !== view.term || report.terminationNoticeS !== null || hasExit(report)) return true;
     const age = this.context.clock.monotonicMs() - known.forwardedAt;
-    // Whatever is known of it, within the time that a cancellation has the leader hears each machine in full.
+    // The leader gets a full heartbeat of each machine within the time limit of a cancellation, even without news.
     return age > this.context.timing.authorityWindowMs || !isSameContent(report.tasks, known.tasks);
   }
 
-  /** Whether the leader's view was confirmed recently enough to answer by. */
+  /** Whether the leader's view was confirmed recently enough for an answer based on it. */
   #mayAnswerLocally({ confirmedAt }: LeaderView): boolean {
     const { clock, timing, maxClockSkewMs } = this.context;
     return clock.epochMs() < confirmedAt + timing.authorityWindowMs - maxClockSkewMs;
@@ -187,8 +191,8 @@
     }
   }
 
-  /** Sends a worker to the controller that the leader has named, so that loads even out. */
-  #redirects(view: LeaderView, { machine }: Heartbeat, done: RespondToWorker): boolean {
+  /** Redirects a worker to the controller that the leader has chosen to balance the loads; false: no redirect is due. */
+  #tryRedirect(view: LeaderView, { machine }: Heartbeat, done: RespondToWorker): boolean {
     if (view.redirect === null || view.redirectsLeft <= 0) return false;
     view.redirectsLeft -= 1;
     this.#known.delete(machine);
@@ -247,14 +251,14 @@
   #flushSoon(): void {
     if (this.#isFlushScheduled) return;
     this.#isFlushScheduled = true;
-    // Heartbeats of one moment go together: each message costs the leader a pass over its queue.
+    // Heartbeats that arrive together share a message, since each message costs the leader a pass over its queue.
     void this.context.clock.sleep(this.context.timing.forwardBatchDelayMs).then(() => {
       this.#isFlushScheduled = false;
       this.flush();
     });
   }
 
-  /** Tells the leader what has come in; called at every tick, and once reports with news have come. */
+  /** Sends the leader the collected heartbeats and keepalives; called at every tick and after heartbeats with news. */
   flush(): void {
     const view = this.#activeView();
     if (view === null) {
@@ -282,7 +286,7 @@
       keepalives,
     } as const;
     if (this.context.send(leader, message)) return;
-    // Its workers may well reach a leader to which this node has no link.
+    // The workers may reach the leader even though this node has no link to it.
     for (const { reference } of heartbeats) {
       this.#pending.get(reference)?.respond(421, this.context.encodeRedirect(leader));
       this.#pending.delete(reference);
@@ -300,30 +304,30 @@
     return this.#heartbeats.splice(0, count);
   }
 
-  /** Takes in what the leader says. Its sender and term are checked by the caller. */
+  /** Processes a message from the leader, whose sender and term the caller has checked. */
   receive(message: AnswersMessage): void {
     if (!this.#updateView(message)) return;
     for (const { reference, isAccepted, needsAttention, commands } of message.answers) {
-      const waiting = this.#pending.get(reference);
+      const pending = this.#pending.get(reference);
       this.#pending.delete(reference);
-      if (waiting === undefined) continue;
-      const { machine, agentEpoch, sequence, token } = waiting.heartbeat;
+      if (pending === undefined) continue;
+      const { machine, agentEpoch, sequence, token } = pending.heartbeat;
       const known = this.#known.get(machine);
       // A heartbeat sent before its worker had seen the token does not reconcile the machine.
       if (known?.agentEpoch === agentEpoch && known.sequence === sequence)
         known.isAnswered = isAccepted && commands.length === 0 && token === message.term;
       if (needsAttention) this.#view?.attention.add(machine);
-      if (isAccepted) waiting.respond(200, this.context.encodeAnswer(message.term, commands));
-      else this.context.answerWithoutLeader(waiting.heartbeat, waiting.respond);
+      if (isAccepted) pending.respond(200, this.context.encodeAnswer(message.term, commands));
+      else this.context.answerWithoutLeader(pending.heartbeat, pending.respond);
     }
   }
 
-  /** Brings the leader's view up to date; false: the message is not of use. */
+  /** Updates the leader's view; false: the message is outdated, or no snapshot of its sender has arrived before it. */
   #updateView(message: AnswersMessage): boolean {
     const { node, term, incarnation, number } = message;
     const view = this.#view;
-    const isSame = view?.leader === node && view.term === term && view.incarnation === incarnation;
-    if (isSame && number <= view.number) return false;
+    const isSameLeader = view?.leader === node && view.term === term && view.incarnation === incarnation;
+    if (isSameLeader && number <= view.number) return false;
     if (message.isSnapshot) {
       this.#view = {
         leader: node,
@@ -337,10 +341,10 @@
         redirect: message.redirect,
         redirectsLeft: message.redirect?.count ?? 0,
       };
-      if (!isSame) this.#forwardPendingAgain();
+      if (!isSameLeader) this.#forwardPendingAgain();
       return true;
     }
-    if (!isSame) return false;
+    if (!isSameLeader) return false;
     if (number !== view.number + 1) {
       // The missed message may have announced a start or a stop: nothing is answered here until the next snapshot.
       view.isSharing = false;
@@ -350,12 +354,12 @@
     return true;
   }
 
-  /** A new leader is told of what waits for an answer of the one before. */
+  /** Forwards to a new leader the heartbeats that wait for an answer of the previous one. */
   #forwardPendingAgain(): void {
     for (const pending of this.#drainPending()) this.#enqueue(pending);
   }
 
-  /** This node leads now: what waits for an answer is its own to answer. */
+  /** Returns the heartbeats that wait for an answer once this node leads: it has to answer them itself. */
   takePending(): PendingHeartbeat[] {
     this.#view = null;
     return this.#drainPending();
--- a/src/controller/shared-heartbeats.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -15,20 +15,20 @@
 import { nameBytes, portionLength } from '../wire/portions.js';
 import type { ControllerContext } from './context.js';
 
-/** A controller that may take reports, as this one knows it. */
+/** A controller that may accept heartbeats for the leader. */
 interface FollowerCandidate {
   readonly node: string;
   readonly zone: string;
 }
 
-/** What the leader's side needs of the node around it. */
+/** What the leader's side needs from its controller. */
 export interface SharedHeartbeatsContext {
-  /** Controllers that are heard and keep up. */
+  /** Controllers that are in contact and keep up with their timers. */
   candidates(): readonly FollowerCandidate[];
-  /** Whether a follower has said that it takes reports for this leader now. */
+  /** Whether a follower has reported that it accepts heartbeats for this leader. */
   isAccepting(node: string): boolean;
   send(to: string, message: IntakeMessage): boolean;
-  /** Hands a report to the core; the answer comes back once. */
+  /** Submits a heartbeat to the core; `answer` is called once. `ageMs`: how long its forwarding took (ms). */
   push(report: Heartbeat, ageMs: number, answer: (answer: Omit<ForwardedAnswer, 'reference'>) => void): void;
 }
 
@@ -38,9 +38,9 @@
   attention: string[];
 }
 
-/** A message that was on its way for a larger share of a worker's lease does not renew it, and is ignored. */
+/** Messages that were under way for more than this share of a worker's lease are ignored and do not renew it. */
 const MAX_AGE_SHARE = 0.5;
-/** Commands in one message, for its size is bounded. */
+/** Commands in one message, at most, with each answer counted as one more: the size of a message is bounded. */
 const MAX_COMMANDS_IN_MESSAGE = 500;
 
 /** Shares the intake of heartbeats with followers, and balances their loads. */
@@ -51,14 +51,14 @@
   /** Which follower a machine last reported to, and how many machines each follower has. */
   readonly #followerByMachine = new Map<string, string>();
   readonly #counts = new Map<string, number>();
-  /** Steady time at which a machine was last sent to a follower. */
+  /** Monotonic time (ms) at which a machine was last redirected to a follower. */
   readonly #redirectedAt = new Map<string, number>();
   #loads: FollowerLoad[] = [];
   readonly #outboxes = new Map<string, Outbox>();
   #isFlushScheduled = false;
 
   constructor(
-    private readonly common: ControllerContext,
+    private readonly controller: ControllerContext,
     private readonly context: SharedHeartbeatsContext,
   ) {}
 
@@ -70,7 +70,7 @@
     };
   }
 
-  /** Forgets everything: this node leads no more. */
+  /** Drops all state when this node no longer leads. */
   clear(): void {
     this.#isSharing = false;
     this.#followerByMachine.clear();
@@ -81,16 +81,16 @@
     this.#rebalancing = null;
   }
 
-  /** Takes in what a follower forwards. */
+  /** Processes the heartbeats and keepalives that a follower forwards. */
   receive(message: HeartbeatsMessage): void {
-    const { leadership } = this.common.commands.state;
-    const ageMs = Math.max(0, this.common.ports.clock.epochMs() - message.sentAt);
+    const { leadership } = this.controller.commands.state;
+    const ageMs = Math.max(0, this.controller.ports.clock.epochMs() - message.sentAt);
     if (leadership === null || message.term !== leadership.term) return;
-    if (ageMs > MAX_AGE_SHARE * this.common.timing.workerLeaseMs) return;
+    if (ageMs > MAX_AGE_SHARE * this.controller.timing.workerLeaseMs) return;
     if (message.keepalives.length > 0) {
       for (const { machine } of message.keepalives) this.#assignFollower(machine, message.node);
       const heartbeats = message.keepalives.map((one) => ({ ...one, ageMs: one.ageMs + ageMs }));
-      this.common.commands.push({ kind: 'keepalives', keepalives: heartbeats });
+      this.controller.commands.push({ kind: 'keepalives', keepalives: heartbeats });
     }
     for (const { reference, heartbeat } of message.heartbeats) {
       this.#assignFollower(heartbeat.machine, message.node);
@@ -98,16 +98,16 @@
     }
   }
 
-  /** A worker has reported to this node itself. */
+  /** Records that a worker has reported to this node directly. */
   recordDirect(machine: string): void {
     this.#assignFollower(machine, null);
   }
 
-  /** Keeps the counts with each change, so that a look at the loads costs nothing by the machine. */
+  /** Keeps the counts up to date at each change, so that reading the loads requires no pass over the machines. */
   #assignFollower(machine: string, node: string | null): void {
-    const before = this.#followerByMachine.get(machine) ?? null;
-    if (before === node) return;
-    if (before !== null) this.#counts.set(before, (this.#counts.get(before) ?? 1) - 1);
+    const previous = this.#followerByMachine.get(machine) ?? null;
+    if (previous === node) return;
+    if (previous !== null) this.#counts.set(previous, (this.#counts.get(previous) ?? 1) - 1);
     if (node === null) this.#followerByMachine.delete(machine);
     else {
       this.#followerByMachine.set(machine, node);
@@ -115,9 +115,9 @@
     }
   }
 
-  /** Forgets machines that are gone: only once more are remembered than there are. */
+  /** Forgets machines that no longer exist, by a pass that is made only once more are remembered than exist. */
   #forgetTerminated(): void {
-    const { machines } = this.common.commands.state;
+    const { machines } = this.controller.commands.state;
     if (this.#followerByMachine.size > machines.size)
       for (const machine of this.#followerByMachine.keys())
         if (!machines.has(machine)) this.#assignFollower(machine, null);
@@ -126,17 +126,17 @@
         if (!machines.has(machine)) this.#redirectedAt.delete(machine);
   }
 
-  /** The follower that a worker is to report to from now on; null: this node answers it. */
+  /** The follower to which a worker is redirected; null: this node answers it. */
   redirect(report: Heartbeat): string | null {
     if (!this.#isSharing || this.#movesLeft <= 0 || this.#loads.length === 0) return null;
-    const { state } = this.common.commands;
+    const { state } = this.controller.commands;
     const machine = state.machines.get(report.machine);
-    // What is on its way to or from the machine is settled here first.
+    // The leader first settles the commands and exits of the machine that are under way.
     if (machine?.isReconciled !== true || report.token !== state.leadership?.term) return null;
     if (state.attention.has(machine) || report.tasks.some(({ stage }) => stage === 'exited')) return null;
-    // One that has come back is kept: where it was sent it was not taken.
-    const now = this.common.ports.clock.monotonicMs();
-    if (now - (this.#redirectedAt.get(report.machine) ?? -Infinity) < this.common.timing.workerLeaseMs)
+    // A worker that comes back within a lease is kept: the follower did not accept it.
+    const now = this.controller.ports.clock.monotonicMs();
+    if (now - (this.#redirectedAt.get(report.machine) ?? -Infinity) < this.controller.timing.workerLeaseMs)
       return null;
     const node = chooseFollower(this.#loads, report.zone);
     if (node === null) return null;
@@ -147,21 +147,22 @@
   }
 
   /**
-   * Machines to which there has come to be something to say: told at once to the follower that each reports to.
-   * What a follower may answer by itself rests on the snapshots, which name them all.
+   * Notifies the followers to which these machines report, without waiting for the next snapshot, that the machines
+   * now need the leader's attention. What a follower may answer by itself is determined by the snapshots, which list
+   * all such machines.
    */
   announceAttention(machines: readonly string[]): void {
     if (!this.#isSharing) return;
     for (const machine of machines) {
-      const home = this.#followerByMachine.get(machine);
-      if (home !== undefined) this.#outboxOf(home).attention.push(machine);
+      const follower = this.#followerByMachine.get(machine);
+      if (follower !== undefined) this.#outboxOf(follower).attention.push(machine);
     }
     this.#flushSoon();
   }
 
   #outboxOf(node: string): Outbox {
-    const known = this.#outboxes.get(node);
-    if (known !== undefined) return known;
+    const existing = this.#outboxes.get(node);
+    if (existing !== undefined) return existing;
     const outbox: Outbox = { number: 0, answers: [], attention: [] };
     this.#outboxes.set(node, outbox);
     return outbox;
@@ -175,7 +176,7 @@
   #flushSoon(): void {
     if (this.#isFlushScheduled) return;
     this.#isFlushScheduled = true;
-    this.common.ports.clock.defer(() => {
+    this.controller.ports.clock.defer(() => {
       this.#isFlushScheduled = false;
       for (const [node, outbox] of this.#outboxes) this.#flush(node, outbox);
     });
@@ -209,9 +210,9 @@
       redirect?: Rebalancing;
     },
   ): void {
-    const { leadership } = this.common.commands.state;
+    const { leadership } = this.controller.commands.state;
     if (leadership === null) return;
-    const { settings, ports } = this.common;
+    const { settings, ports } = this.controller;
     outbox.number += 1;
     const { snapshot, redirect } = content;
     this.context.send(node, {
@@ -230,53 +231,53 @@
     });
   }
 
-  /** Looks at the loads, and tells each follower the whole of what it may answer by. */
+  /** Updates the loads, and sends each follower a full snapshot of what it needs to answer heartbeats by itself. */
   sendSnapshots(): void {
-    const { state } = this.common.commands;
+    const { state } = this.controller.commands;
     const { leadership } = state;
     if (leadership === null) return;
     const nodes = this.#updateLoads();
-    const { clock } = this.common.ports;
+    const { clock } = this.controller.ports;
     const confirmedAt = clock.epochMs() - (clock.monotonicMs() - leadership.viewConfirmedAt);
     const attention = [...state.attention].map(({ name }) => name);
-    const isTold = this.#isSharing && leadership.isTransferring !== true;
+    const mayFollowersAnswer = this.#isSharing && leadership.isTransferring !== true;
     for (const node of nodes) {
       const outbox = this.#outboxOf(node);
-      // What is sent as a whole need not be sent in part as well.
+      // The snapshot lists all machines that need attention, so pending additions are dropped.
       outbox.attention = [];
       const redirect = this.#rebalancing?.from === node ? this.#rebalancing : undefined;
-      const content = { answers: this.#takeAnswers(outbox), attention: isTold ? attention : [] };
+      const content = { answers: this.#takeAnswers(outbox), attention: mayFollowersAnswer ? attention : [] };
       this.#send(node, outbox, {
         ...content,
-        // Without a proof nothing may be answered: the lead is handed over.
-        snapshot: isTold ? confirmedAt : 0,
+        // Without a confirmed view followers answer nothing, as required while the leadership is transferred.
+        snapshot: mayFollowersAnswer ? confirmedAt : 0,
         ...(redirect === undefined ? {} : { redirect }),
       });
     }
   }
 
   /**
-   * Whether reports are shared, among whom, and how many workers may be moved until the next look. The result:
-   * whom to tell.
+   * Decides whether heartbeats are shared, with which followers, and how many workers may be moved until the next
+   * update. Returns the followers that get a snapshot.
    */
   #updateLoads(): ReadonlySet<string> {
-    const { machines, config } = this.common.commands.state;
+    const { machines, config } = this.controller.commands.state;
     const candidates = this.context.candidates();
-    const from = config.policy.sharedHeartbeatsMinMachines;
-    const before = this.#isSharing;
-    this.#isSharing = candidates.length > 0 && shouldShare(machines.size, from, before);
-    if (this.#isSharing !== before)
-      this.common.ports.log.info(
-        { machines: machines.size, from, with: candidates.length },
+    const minMachines = config.policy.sharedHeartbeatsMinMachines;
+    const wasSharing = this.#isSharing;
+    this.#isSharing = candidates.length > 0 && shouldShare(machines.size, minMachines, wasSharing);
+    if (this.#isSharing !== wasSharing)
+      this.controller.ports.log.info(
+        { machines: machines.size, minMachines, followers: candidates.length },
         'heartbeat sharing changed',
       );
     this.#forgetTerminated();
-    // A follower that has not taken this leader's word would send every worker back.
-    const taking = this.#isSharing ? candidates.filter(({ node }) => this.context.isAccepting(node)) : [];
-    this.#loads = taking.map(({ node, zone }) => ({ node, zone, workers: this.#counts.get(node) ?? 0 }));
+    // A follower that does not accept heartbeats for this leader yet would send every worker back.
+    const accepting = this.#isSharing ? candidates.filter(({ node }) => this.context.isAccepting(node)) : [];
+    this.#loads = accepting.map(({ node, zone }) => ({ node, zone, workers: this.#counts.get(node) ?? 0 }));
     this.#movesLeft = maxMoves(machines.size);
     this.#rebalancing = this.#isSharing ? chooseRebalancing(this.#loads, this.#movesLeft) : null;
-    // When it ends, those that were told of it are told so once.
-    return new Set(this.#isSharing || before ? candidates.map(({ node }) => node) : []);
+    // When sharing ends, followers get one last snapshot that says so.
+    return new Set(this.#isSharing || wasSharing ? candidates.map(({ node }) => node) : []);
   }
 }
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -21,12 +21,12 @@
 const TIMES = timing(testSettings(0));
 const RUNNING = [task('req-1/0', 1, 'running')];
 
-/** A follower's intake between a leader and workers that are driven by hand. */
+/** A follower's intake; the test plays the leader and the workers. */
 class IntakeBench {
-  readonly world = new VirtualClock();
-  readonly clock = new ProcessClock(this.world, 1, 0);
+  readonly virtualClock = new VirtualClock();
+  readonly clock = new ProcessClock(this.virtualClock, 1, 0);
   readonly sent: HeartbeatsMessage[] = [];
-  readonly alone: string[] = [];
+  readonly answeredAlone: string[] = [];
   readonly routed: string[] = [];
   leader: string | null = 'n-0';
   linked = true;
@@ -38,7 +38,7 @@
       clock: this.clock,
       timing: TIMES,
       node: 'n-1',
-      incarnation: 'life',
+      incarnation: 'follower-incarnation',
       maxClockSkewMs: 200,
       followedLeader: () => (this.leader === null ? null : { leader: this.leader, term: TERM }),
       send: (_to, message) => {
@@ -48,7 +48,7 @@
       encodeAnswer: (term, commands) => JSON.stringify({ term, commands }),
       encodeRedirect: (to) => to,
       answerWithoutLeader: ({ machine }, done) => {
-        this.alone.push(machine);
+        this.answeredAlone.push(machine);
         done(200, 'alone');
       },
       route: ({ machine }, done) => {
@@ -64,7 +64,7 @@
     return {
       kind: 'answers',
       node: 'n-0',
-      incarnation: 'leader-life',
+      incarnation: 'leader-incarnation',
       term: TERM,
       sentAt: this.clock.epochMs(),
       number: this.number,
@@ -82,17 +82,17 @@
     this.intake.receive(this.message({ isSnapshot: true, viewConfirmedAt: this.clock.epochMs(), ...more }));
   }
 
-  /** Takes a report; the result: how it was answered at once, or that it was forwarded. */
+  /** Delivers a heartbeat; returns its immediate answer, or that it was forwarded. */
   async take(seq: number, tasks = RUNNING, more: Parameters<typeof report>[3] = {}): Promise<string> {
-    let told = 'waits';
+    let outcome = 'waits';
     const before = this.intake.forwarded;
-    if (!this.intake.take(report('m', seq, tasks, more), (status, body) => (told = `${status} ${body}`)))
+    if (!this.intake.take(report('m', seq, tasks, more), (status, body) => (outcome = `${status} ${body}`)))
       return 'not taken';
-    await this.world.runUntil(this.world.now + 2 * TIMES.forwardBatchDelayMs);
-    return this.intake.forwarded > before ? `forwarded, ${told}` : told;
+    await this.virtualClock.runUntil(this.virtualClock.now + 2 * TIMES.forwardBatchDelayMs);
+    return this.intake.forwarded > before ? `forwarded, ${outcome}` : outcome;
   }
 
-  /** The leader's answer to what was forwarded last. */
+  /** Delivers the leader's answer to the heartbeat that was forwarded last. */
   answer(commands: AnswersMessage['answers'][number]['commands'] = [], pending = false): void {
     const reference = this.sent.at(-1)?.heartbeats.at(-1)?.reference ?? 0;
     this.intake.receive(
@@ -100,7 +100,7 @@
     );
   }
 
-  /** A worker that the leader has answered, with nothing more to tell it. */
+  /** An intake whose worker the leader has answered without a command. */
   static async settled(): Promise<IntakeBench> {
     const bench = new IntakeBench();
     bench.snapshot();
@@ -120,9 +120,9 @@
     expect(bench.sent.at(-1)?.keepalives).toMatchObject([{ machine: 'm', agentEpoch: 1, sequence: 2 }]);
   });
 
-  const news: readonly [string, (bench: IntakeBench) => Promise<string>][] = [
+  const reasonsToForward: readonly [string, (bench: IntakeBench) => Promise<string>][] = [
     [
-      'the leader has something to say',
+      'its machine needs the leader’s attention',
       (bench) => (bench.intake.receive(bench.message({ attention: ['m'] })), bench.take(2)),
     ],
     ['its tasks changed', (bench) => bench.take(2, [task('req-1/0', 1, 'saving')])],
@@ -132,7 +132,7 @@
     ['a heartbeat in between went elsewhere', (bench) => bench.take(3)],
     ['its agent epoch changed', (bench) => bench.take(2, RUNNING, { agentEpoch: 2 })],
   ];
-  test.each(news)('not when %s', async (_what, take) => {
+  test.each(reasonsToForward)('not when %s', async (_what, take) => {
     expect(await take(await IntakeBench.settled())).toMatch(/^forwarded/);
   });
 
@@ -146,7 +146,7 @@
     }
   });
 
-  // Idle machines that had just come up were taken for silent, and given back one after the other.
+  // Otherwise idle machines that have just started count as silent, and are terminated one after the other.
   test('not before the leader has received a heartbeat with its fencing token', async () => {
     const bench = new IntakeBench();
     bench.snapshot();
@@ -168,10 +168,10 @@
   test('not beyond the authority window of the read that confirmed the leader’s view', async () => {
     const bench = await IntakeBench.settled();
     const provenAt = bench.clock.epochMs();
-    await bench.world.runUntil(TIMES.authorityWindowMs - 200 - 100);
+    await bench.virtualClock.runUntil(TIMES.authorityWindowMs - 200 - 100);
     bench.snapshot({ viewConfirmedAt: provenAt });
     expect(await bench.take(2)).toBe(LOCAL);
-    await bench.world.runUntil(bench.world.now + 200);
+    await bench.virtualClock.runUntil(bench.virtualClock.now + 200);
     expect(await bench.take(3)).toMatch(/^forwarded/);
   });
 
@@ -194,14 +194,14 @@
 
   test('not once snapshots have stopped, nor for another leader', async () => {
     const bench = await IntakeBench.settled();
-    await bench.world.runUntil(3 * snapshotIntervalMs(TIMES));
+    await bench.virtualClock.runUntil(3 * snapshotIntervalMs(TIMES));
     expect(await bench.take(2)).toBe('not taken');
     bench.snapshot();
     bench.leader = 'n-2';
     expect(await bench.take(2)).toBe('not taken');
   });
 
-  test('not a duplicate of an earlier heartbeat: it is no sign of life', async () => {
+  test('not a duplicate of an earlier heartbeat: it does not show that the worker is alive', async () => {
     const bench = await IntakeBench.settled();
     await bench.take(2);
     expect(await bench.take(1)).toBe('503 {}');
@@ -211,13 +211,13 @@
 
   test('and forwards a full heartbeat of each machine periodically', async () => {
     const bench = await IntakeBench.settled();
-    const from = bench.world.now;
+    const from = bench.virtualClock.now;
     let seq = 1;
     while (!(await bench.take(++seq)).startsWith('forwarded')) {
-      await bench.world.runUntil(bench.world.now + 500);
+      await bench.virtualClock.runUntil(bench.virtualClock.now + 500);
       bench.snapshot();
     }
-    expect(bench.world.now - from).toBeLessThan(TIMES.authorityWindowMs + 1000);
+    expect(bench.virtualClock.now - from).toBeLessThan(TIMES.authorityWindowMs + 1000);
   });
 });
 
@@ -225,11 +225,11 @@
   const bench = new IntakeBench();
   bench.snapshot();
   await bench.take(1);
-  await bench.world.runUntil(3500);
-  expect(bench.alone).toEqual(['m']);
-  // The answer that comes after all reaches nobody.
+  await bench.virtualClock.runUntil(3500);
+  expect(bench.answeredAlone).toEqual(['m']);
+  // The leader's answer arrives too late, and is dropped.
   bench.answer([{ op: 'start', job: 'req-1', task: 1, attempt: 1 }]);
-  expect(bench.alone).toEqual(['m']);
+  expect(bench.answeredAlone).toEqual(['m']);
 });
 
 test('when the link to the leader is lost, pending heartbeats are routed as without sharing', async () => {
@@ -248,7 +248,7 @@
   bench.leader = 'n-2';
   bench.number = 0;
   bench.intake.receive({ ...bench.message({ isSnapshot: true }), node: 'n-2', incarnation: 'other' });
-  await bench.world.runUntil(bench.world.now + 2 * TIMES.forwardBatchDelayMs);
+  await bench.virtualClock.runUntil(bench.virtualClock.now + 2 * TIMES.forwardBatchDelayMs);
   expect(bench.sent.flatMap(({ heartbeats }) => heartbeats.map((one) => one.heartbeat.machine))).toEqual([
     'm',
     'm',
@@ -299,7 +299,7 @@
 });
 
 describe('followers are notified of a machine that needs attention', () => {
-  const told = (effects: readonly Effect[]): string[] =>
+  const attentionOf = (effects: readonly Effect[]): string[] =>
     effects.flatMap((effect) => (effect.kind === 'attention' ? effect.machines : []));
   const idle = (): CoreHarness => {
     const bench = new CoreHarness();
@@ -310,8 +310,8 @@
 
   test('for a start', () => {
     const bench = idle();
-    expect(told(bench.add(job('req-1', 1, 4, 50)))).toEqual(['m']);
-    // Told with the answer, it is no longer due.
+    expect(attentionOf(bench.add(job('req-1', 1, 4, 50)))).toEqual(['m']);
+    // The answer carries the command, so no attention is needed any more.
     bench.hear(report('m', 3));
     expect(bench.state.attention.size).toBe(0);
   });
@@ -321,9 +321,9 @@
     bench.add(job('req-1', 1, 4, 50));
     bench.hear(report('m', 3));
     bench.hear(report('m', 4, RUNNING));
-    expect(told(bench.do({ kind: 'jobRemoved', id: 'req-1' }))).toEqual(['m']);
+    expect(attentionOf(bench.do({ kind: 'jobRemoved', id: 'req-1' }))).toEqual(['m']);
     bench.hear(report('m', 5, RUNNING));
-    // It goes on until the task is proven gone.
+    // The machine needs attention until the task is proven gone.
     expect(bench.state.attention.size).toBe(1);
     bench.hear(report('m', 6));
     expect(bench.state.attention.size).toBe(0);
@@ -339,32 +339,32 @@
   });
 });
 
-/** A leader's side of shared reports over a core with machines, and followers that are driven by hand. */
+/** The leader's side of shared heartbeats with a core that knows one machine; the test plays the follower. */
 class LeaderBench {
   readonly core = new CoreHarness();
-  readonly world = new VirtualClock();
-  readonly clock = new ProcessClock(this.world, 1, 0);
+  readonly virtualClock = new VirtualClock();
+  readonly clock = new ProcessClock(this.virtualClock, 1, 0);
   readonly pushed: string[] = [];
   readonly sent: IntakeMessage[] = [];
-  taking = true;
+  followerAccepts = true;
   readonly shared: SharedHeartbeats;
 
   constructor() {
     const settings = testSettings(0);
-    const rules = createCoreConfig(settings, createPolicy(settings, 'shared_reports_from = 1.0'));
-    Object.assign(this.core.state, { config: rules } satisfies Partial<CoreState>);
+    const coreConfig = createCoreConfig(settings, createPolicy(settings, 'shared_reports_from = 1.0'));
+    Object.assign(this.core.state, { config: coreConfig } satisfies Partial<CoreState>);
     const ports = { clock: this.clock, log: { info: () => undefined }, incarnation: 'x' };
     const commands = { state: this.core.state, push: () => undefined };
-    const common = {
+    const context = {
       settings,
       timing: TIMES,
       ports,
       commands,
       leadershipView: {},
     } as unknown as ControllerContext;
-    this.shared = new SharedHeartbeats(common, {
+    this.shared = new SharedHeartbeats(context, {
       candidates: () => [{ node: 'n-1', zone: 'a' }],
-      isAccepting: () => this.taking,
+      isAccepting: () => this.followerAccepts,
       send: (_to, message) => this.sent.push(message) > 0,
       push: ({ machine }) => void this.pushed.push(machine),
     });
@@ -386,7 +386,7 @@
   }
 }
 
-describe('a leader that shares its reports', () => {
+describe('a leader that shares heartbeats', () => {
   test('accepts forwarded heartbeats of its own term that are recent enough', () => {
     const bench = new LeaderBench();
     bench.receive({});
@@ -395,7 +395,7 @@
     expect(bench.pushed).toEqual(['m']);
   });
 
-  test('redirects a worker to a follower that accepts heartbeats, and not again at once', () => {
+  test('redirects a worker to a follower that accepts heartbeats, and not again immediately', () => {
     const bench = new LeaderBench();
     bench.shared.sendSnapshots();
     expect(bench.shared.redirect(report('m', 3))).toBe('n-1');
@@ -405,7 +405,7 @@
 
   test('keeps a worker if no follower accepts heartbeats for the leader', () => {
     const bench = new LeaderBench();
-    bench.taking = false;
+    bench.followerAccepts = false;
     bench.shared.sendSnapshots();
     expect(bench.shared.redirect(report('m', 3))).toBeNull();
   });
@@ -418,15 +418,15 @@
     expect(bench.shared.redirect(report('m', 3))).toBeNull();
   });
 
-  test('notifies a follower at once of its workers that need attention', async () => {
+  test('notifies a follower of its workers that need attention, before the next snapshot', async () => {
     const bench = new LeaderBench();
     bench.shared.sendSnapshots();
     bench.shared.announceAttention(['m']);
-    await bench.world.runUntil(10);
+    await bench.virtualClock.runUntil(10);
     expect(bench.sent).toHaveLength(1);
     bench.receive({});
     bench.shared.announceAttention(['m']);
-    await bench.world.runUntil(20);
+    await bench.virtualClock.runUntil(20);
     expect(bench.sent.at(-1)).toMatchObject({ attention: ['m'], isSnapshot: false });
   });
 
@@ -435,7 +435,7 @@
     bench.core.add(job('req-1', 1, 4, 50));
     bench.shared.sendSnapshots();
     expect(bench.sent).toMatchObject([{ isSnapshot: true, isSharing: true, attention: ['m'] }]);
-    // One that hands over gives nobody a proof to answer by.
+    // While the leadership is transferred, snapshots confirm no view, so that followers answer nothing.
     bench.core.do({ kind: 'transferLeadership' });
     bench.shared.sendSnapshots();
     expect(bench.sent.at(-1)).toMatchObject({ isSnapshot: true, viewConfirmedAt: 0 });
@@ -547,7 +547,7 @@
 
 test('followers with workers that cannot reach the leader let cancelled tasks stop in time', async () => {
   const { world, leader, others, ids } = await startBusyCluster(DEPUTY_SEED, { sharing: true });
-  // Words between controllers are held back; the leader and its machines are cut apart as well.
+  // Messages between the controllers are held back by a partition, which separates the leader and its machines too.
   for (const other of others) world.network.partition(NODES[leader] ?? '', NODES[other] ?? '', 2 * CANCEL);
   for (const name of world.cloud.workers.keys())
     world.network.partition(name, NODES[leader] ?? '', 2 * CANCEL);
