--- a/src/controller/election-driver.ts
+++ b/src/controller/election-driver.ts
@@ -22,13 +22,13 @@
 
 /** Receives the results of elections. */
 export interface ElectionListener {
-  onElected(won: ElectionResult): void;
+  onElected(result: ElectionResult): void;
   /** Another node may lead. */
   onLost(): void;
   onLeaderObserved(leader: LeaderRecord | null, modRevision: number): void;
 }
 
-/** The leader record and the term are still as they were read. */
+/** Preconditions that the leader record and the term are unchanged since they were read. */
 const leadershipPreconditions = ({
   leaderRevision,
   termRevision,
@@ -43,18 +43,18 @@
 /** Connects the election's state machine with the store and the clock. */
 export class ElectionDriver {
   constructor(
-    private readonly machine: ElectionState,
+    private readonly election: ElectionState,
     private readonly state: KeyValueStore,
     private readonly clock: Clock,
     private readonly listener: ElectionListener,
-    /** How long to wait before a campaign, in milliseconds, as of now. */
+    /** The current delay before a campaign, in milliseconds. */
     private readonly campaignDelayMs: () => number,
   ) {}
 
-  /** One event into the state machine; its effects are begun at once. */
+  /** Passes an event to the state machine, and starts the resulting effects without waiting for their outcomes. */
   dispatch(event: ElectionEvent): void {
-    this.machine.campaignDelayMs = this.campaignDelayMs();
-    for (const effect of electionStep(this.machine, event)) void this.#execute(effect);
+    this.election.campaignDelayMs = this.campaignDelayMs();
+    for (const effect of electionStep(this.election, event)) void this.#execute(effect);
   }
 
   async #execute(effect: ElectionEffect): Promise<void> {
@@ -73,7 +73,7 @@
       }
       case 'grantLease': {
         const [lease, term] = await Promise.all([
-          this.state.grant(this.machine.timing.leaderLeaseMs),
+          this.state.grant(this.election.timing.leaderLeaseMs),
           this.#readTerm(),
         ]);
         this.dispatch({
@@ -118,7 +118,7 @@
     }
   }
 
-  /** Creates or replaces the leader record and raises the term, if nobody else has done so. */
+  /** Creates or replaces the leader record and raises the term, unless either has changed since it was read. */
   async #campaign(effect: Extract<ElectionEffect, { kind: 'campaign' }>): Promise<void> {
     const { record, lease, round } = effect;
     const [outcome, revision] = await this.#commit({
@@ -131,7 +131,7 @@
     this.dispatch({ kind: 'campaigned', round, outcome, revision });
   }
 
-  /** Names the successor in this leader's record, if the record is still this leader's. */
+  /** Names the successor in this leader's record, unless the record or the term has changed. */
   async #nameSuccessor(effect: Extract<ElectionEffect, { kind: 'nameSuccessor' }>): Promise<void> {
     const { record, lease, round } = effect;
     const [outcome, revision] = await this.#commit({
@@ -141,7 +141,7 @@
     this.dispatch({ kind: 'successorNamed', round, outcome, revision });
   }
 
-  /** Lists the key: only a list tells the revision as of which it holds, where a watch may begin. */
+  /** Reads the leader record by a list request: only that returns the store's revision, from which a watch can start. */
   async #readLeaderListed(): Promise<LeaderKeyState | 'unknown'> {
     const found = await this.state.list(LEADER_KEY);
     if (found === 'unknown') return 'unknown';
@@ -165,8 +165,8 @@
     return { value: decodeTerm(read.entry?.value)?.term ?? null, modRevision: read.entry?.modRevision ?? 0 };
   }
 
-  async #commit(txn: Transaction): Promise<[TransactionOutcome, number]> {
-    const outcome = await this.state.commit(txn);
+  async #commit(transaction: Transaction): Promise<[TransactionOutcome, number]> {
+    const outcome = await this.state.commit(transaction);
     if (outcome.kind === 'applied') return ['applied', outcome.revision];
     return [outcome.kind === 'unknown' ? 'unknown' : 'failed', 0];
   }
--- a/src/controller/fallback-responder.ts
+++ b/src/controller/fallback-responder.ts
@@ -1,15 +1,14 @@
 /**
  * A follower that answers workers for a leader they cannot reach.
  *
- * While two zones cannot reach each other, workers of the zone without the leader would
- * lose their leases and all their work. A follower beside them may keep them alive: an
- * answer with the leader's token renews the lease, whoever sends it. It never
- * starts anything; it stops what has been cancelled, and answers only while its
- * view of the cancellations is fresh, under the same bound as a leader.
+ * During a partition between two zones, workers of the zone without the leader would lose their leases and all their
+ * work. A follower in their zone can keep them alive: an answer with the leader's fencing token renews the lease,
+ * whichever controller sends it. The follower never starts a task. It stops tasks of jobs that are no longer live, and
+ * answers only while its view of the cancellations is fresh, within the same bound as a leader.
  *
- * That view is its own, or else the last that a leader has told of: a leader that dies
- * while nobody is served by the state service has no successor until that is over, and
- * every worker would lose its lease and its work meanwhile.
+ * That view is the follower's own or else the last one that a leader has sent. The latter is needed if the leader
+ * crashes during an outage of the key-value store: no successor is elected before the outage ends, and every worker
+ * would lose its lease and its work until then.
  */
 import type { KeyValueStore } from '../adapters/key-value-store.js';
 import type { Clock } from '../adapters/clock.js';
@@ -18,7 +17,7 @@
 import type { Timing } from '../config/settings.js';
 import { relayKey, JOB_PREFIX, jobOfKey, packMachines, type RelayRecord } from '../core/persistence/index.js';
 
-/** The live jobs as a leader knew them, and the time of day of the read that proved it. */
+/** The live jobs in a leader's view, and the epoch milliseconds of the read that confirmed the view. */
 export interface LiveJobsSnapshot {
   readonly viewConfirmedAt: number;
   readonly liveJobs: ReadonlySet<string>;
@@ -29,7 +28,7 @@
   #snapshot: LiveJobsSnapshot | null = null;
 
   readonly #liveJobs = new Set<string>();
-  /** The newest report of each machine. */
+  /** The newest heartbeat of each machine. */
   readonly #latestHeartbeats = new Map<
     string,
     { readonly agentEpoch: number; readonly sequence: number; readonly receivedAt: number }
@@ -50,12 +49,12 @@
     private readonly maxClockSkewMs: number,
   ) {}
 
-  /** Takes in what the leader knows; a word that was held back is older than it is new here. */
+  /** Stores a leader's snapshot, unless one with a later confirmed view is known: messages may be delayed. */
   receiveSnapshot(snapshot: LiveJobsSnapshot): void {
     if (snapshot.viewConfirmedAt > (this.#snapshot?.viewConfirmedAt ?? -Infinity)) this.#snapshot = snapshot;
   }
 
-  /** The jobs that are known to be live, freshly enough to answer by; null: they are not known. */
+  /** The live jobs in a view that is fresh enough for an answer based on it; null: there is no such view. */
   #freshLiveJobs(): ReadonlySet<string> | null {
     const { authorityWindowMs } = this.timing;
     if (this.clock.monotonicMs() < this.#viewConfirmedAt + authorityWindowMs) return this.#liveJobs;
@@ -67,7 +66,7 @@
     return this.#snapshot.liveJobs;
   }
 
-  /** What to tell a worker, or null when this node may not answer it. */
+  /** The commands for a worker; null: this node may not answer it. */
   async answer(report: Heartbeat): Promise<WorkerCommand[] | null> {
     this.#lastUsedAt = this.clock.monotonicMs();
     if (!this.#isWatching) {
@@ -89,7 +88,7 @@
     return commands;
   }
 
-  /** Machines that this node has answered lately, in the leader's place. */
+  /** Machines that this node has answered in the leader's place within the last two longest heartbeat intervals. */
   answeredMachines(): string[] {
     const from = this.clock.monotonicMs() - 2 * this.timing.maxHeartbeatIntervalMs;
     return [...this.#latestHeartbeats].flatMap(([machine, { receivedAt }]) =>
@@ -97,7 +96,7 @@
     );
   }
 
-  /** Remembers the newest report of a machine; false: this one is not newer than it. */
+  /** Remembers the newest heartbeat of a machine; false: this one is not newer than that. */
   #isNewer({ machine, agentEpoch, sequence }: Heartbeat): boolean {
     const known = this.#latestHeartbeats.get(machine);
     if (
@@ -105,7 +104,7 @@
       (agentEpoch < known.agentEpoch || (agentEpoch === known.agentEpoch && sequence <= known.sequence))
     )
       return false;
-    // Latest last, so that what has long been silent is forgotten first.
+    // The machine becomes the last entry, so that those silent for longest are forgotten first.
     this.#latestHeartbeats.delete(machine);
     this.#latestHeartbeats.set(machine, { agentEpoch, sequence, receivedAt: this.clock.monotonicMs() });
     for (const oldest of this.#latestHeartbeats.keys()) {
@@ -153,25 +152,26 @@
   }
 
   /**
-   * Tells the leader, by way of the state service, whose workers are alive here: at once when
-   * there are new ones, for until it knows they are silent to it, and else now and then.
+   * Tells the leader, through the key-value store, which machines this node answers. It writes them without delay when
+   * they become more, since the leader takes them for silent until then, and else every two longest heartbeat
+   * intervals.
    */
   async #announceMachines(): Promise<void> {
     let publishedMachines = 0;
-    let toldAt = -Infinity;
+    let publishedAt = -Infinity;
     while (this.#isWatching) {
       const machines = this.answeredMachines();
-      const due = this.clock.monotonicMs() - toldAt > 2 * this.timing.maxHeartbeatIntervalMs;
-      if (machines.length > 0 && (due || machines.length > publishedMachines)) {
+      const isDue = this.clock.monotonicMs() - publishedAt > 2 * this.timing.maxHeartbeatIntervalMs;
+      if (machines.length > 0 && (isDue || machines.length > publishedMachines)) {
         const at = this.clock.epochMs();
-        for (const [part, some] of packMachines(machines, this.valueBytes).entries()) {
-          const value: RelayRecord = { at, machines: some };
+        for (const [part, names] of packMachines(machines, this.valueBytes).entries()) {
+          const value: RelayRecord = { at, machines: names };
           await this.state.commit({
             preconditions: [],
             mutations: [{ put: relayKey(this.node, part), value }],
           });
         }
-        toldAt = this.clock.monotonicMs();
+        publishedAt = this.clock.monotonicMs();
         publishedMachines = machines.length;
       }
       await this.clock.sleep(2 * this.timing.tickMs);
--- a/src/controller/follower-role.ts
+++ b/src/controller/follower-role.ts
@@ -1,4 +1,4 @@
-/** The follower's role: workers are redirected to the leader, or answered for one that they cannot reach. */
+/** The follower's role: redirects workers to the leader, or answers them in place of a leader that they cannot reach. */
 import type { Heartbeat } from '../core/types.js';
 import { WorkerRouter, type LeaderReachability } from '../membership/worker-router.js';
 import { encodeRedirect, encodeReply } from '../wire/workers.js';
@@ -12,25 +12,25 @@
   readonly #router: WorkerRouter;
 
   constructor(
-    private readonly common: ControllerContext,
+    private readonly context: ControllerContext,
     private readonly peers: PeerExchange,
     private readonly failureDetector: FailureDetector,
     private readonly responder: FallbackResponder,
-    /** Whether a worker has reported here for a leader that shares its reports; it does so no more. */
+    /** Forgets a worker whose heartbeats were accepted for the leader; returns whether it reported within its lease. */
     private readonly forgetWorker: (machine: string) => boolean,
   ) {
-    this.#router = new WorkerRouter(common.timing);
+    this.#router = new WorkerRouter(context.timing);
   }
 
   #leaderReachability(zone: string): LeaderReachability {
-    const { leadershipView, settings, timing, ports } = this.common;
+    const { leadershipView, settings, timing, ports } = this.context;
     const { membership } = this.failureDetector;
     const leader = leadershipView.leader === settings.host_name ? null : leadershipView.leader;
     return {
       leader,
       hasContact: leader !== null && membership.hasContact(leader, ports.clock.monotonicMs()),
       linkLostAt: leader === null ? null : membership.linkLostAt(leader),
-      isRecordConfirmed: storeContactAgeMs(this.common) < timing.leaderLeaseMs,
+      isRecordConfirmed: storeContactAgeMs(this.context) < timing.leaderLeaseMs,
       isZoneSilent: this.peers.isZoneSilent(zone),
       hasOtherContact: membership.hasOtherContact(leader, ports.clock.monotonicMs()),
       token: leadershipView.highestTerm,
@@ -39,30 +39,31 @@
 
   /** Redirects a worker to the leader, or answers it for a leader that it cannot reach. */
   answer(report: Heartbeat, done: (status: number, body: string) => void): void {
-    const now = this.common.ports.clock.monotonicMs();
-    const reach = this.#leaderReachability(report.zone);
-    // One that reported here has left no leader by coming here again; it has if it comes back from there.
+    const now = this.context.ports.clock.monotonicMs();
+    const reachability = this.#leaderReachability(report.zone);
+    // A worker that was accepted here for the leader has not left it by reporting here again. It has left it if it is
+    // redirected to the leader and comes back.
     if (
       !this.forgetWorker(report.machine) &&
-      this.#router.isUnexpected(report.machine, report.token, reach, now)
+      this.#router.isUnexpected(report.machine, report.token, reachability, now)
     )
       this.failureDetector.recordUnexpectedReport(report.machine);
-    const route = this.#router.route(report.machine, report.token, reach, now);
+    const route = this.#router.route(report.machine, report.token, reachability, now);
     if (route !== 'here') {
-      done(421, encodeRedirect(route === 'on' ? reach.leader : null));
+      done(421, encodeRedirect(route === 'on' ? reachability.leader : null));
       return;
     }
     this.answerWithoutLeader(report, done);
   }
 
-  /** Answers a worker in the leader's place, by what is known here of the live jobs. */
+  /** Answers a worker in the leader's place, based on the live jobs that this node knows. */
   answerWithoutLeader(report: Heartbeat, done: (status: number, body: string) => void): void {
-    const token = this.common.leadershipView.highestTerm;
+    const token = this.context.leadershipView.highestTerm;
     void this.responder.answer(report).then((commands) => {
       if (
         commands === null ||
-        this.common.commands.state.leadership !== null ||
-        token !== this.common.leadershipView.highestTerm
+        this.context.commands.state.leadership !== null ||
+        token !== this.context.leadershipView.highestTerm
       )
         done(503, '{}');
       else done(200, encodeReply(token, commands));
--- a/src/controller/leader-role.ts
+++ b/src/controller/leader-role.ts
@@ -38,73 +38,82 @@
 }
 
 /**
- * Workers that lose their node try the next one, and give each some seconds. When zones
- * part, those of the far zone find a fallback responder within their lease only if the node after
- * the leader is in another zone than the leader. Nodes of which this is so are to lead.
+ * Chooses the nodes that are preferred as leaders: those whose next node, by name, is in another zone. A worker that
+ * loses contact with its node tries the next one, which takes some seconds for each node. In a partition between
+ * zones, workers outside the leader's zone reach a fallback responder within their lease only if the node after the
+ * leader is in another zone than the leader. If all nodes are in one zone, all are preferred.
  */
 function choosePreferredLeaders(settings: PlatformSettings): Set<string> {
   const { host_name, zone, others } = settings;
   const nodes = [{ host_name, zone }, ...others].sort((a, b) => (a.host_name < b.host_name ? -1 : 1));
-  const several = nodes.some((node) => node.zone !== zone);
-  const found = nodes.filter((node, i) => !several || nodes[(i + 1) % nodes.length]?.zone !== node.zone);
-  return new Set(found.map((node) => node.host_name));
+  const hasSeveralZones = nodes.some((node) => node.zone !== zone);
+  const preferred = nodes.filter(
+    (node, i) => !hasSeveralZones || nodes[(i + 1) % nodes.length]?.zone !== node.zone,
+  );
+  return new Set(preferred.map((node) => node.host_name));
 }
 
-/** What a controller does as the leader, and whether it is a preferred one. */
+/** Does a controller's work as the leader, and knows which nodes are preferred as leaders. */
 export class LeaderRole {
   readonly #preferredLeaders: ReadonlySet<string>;
   readonly #startedAt: number;
-  /** Steady time at which some zone was last silent, in milliseconds. */
+  /** Monotonic time at which some zone was last silent, in milliseconds. */
   #silentZoneSeenAt = -Infinity;
 
   constructor(
-    private readonly common: ControllerContext,
+    private readonly context: ControllerContext,
     private readonly peers: PeerExchange,
     private readonly failureDetector: FailureDetector,
   ) {
-    this.#preferredLeaders = choosePreferredLeaders(common.settings);
-    this.#startedAt = common.ports.clock.monotonicMs();
+    this.#preferredLeaders = choosePreferredLeaders(context.settings);
+    this.#startedAt = context.ports.clock.monotonicMs();
   }
 
-  /** The nodes that are to lead rather than others. */
+  /** The nodes that are preferred as leaders. */
   get preferredLeaders(): ReadonlySet<string> {
     return this.#preferredLeaders;
   }
 
-  /** Whether this node is one of those that are to lead. */
+  /** Whether this node is preferred as the leader. */
   get isPreferredLeader(): boolean {
-    return this.#preferredLeaders.has(this.common.settings.host_name);
+    return this.#preferredLeaders.has(this.context.settings.host_name);
   }
 
-  /** Starts the loops that refresh what the leader needs to know; they run as long as the process. */
+  /** Starts the loops that refresh the machine types, the cloud's machines and the relayed machines; they never end. */
   start(): void {
     void this.#refreshCatalog();
     void this.#refreshMachines();
     void this.#refreshRelays();
   }
 
-  /** Whether a node that is to lead rather than this one is heard, or may still be after this one's start. */
+  /**
+   * Whether a peer is available that is preferred as the leader while this node is not. Within the longest heartbeat
+   * interval after this node's start a peer counts without a status too, unless its link is lost: it may be up.
+   */
   hasPreferredPeer(): boolean {
     if (this.isPreferredLeader) return false;
-    const now = this.common.ports.clock.monotonicMs();
+    const now = this.context.ports.clock.monotonicMs();
     const { membership } = this.failureDetector;
-    const young = now - this.#startedAt < this.common.timing.maxHeartbeatIntervalMs;
-    const heard = (node: string): boolean =>
-      membership.linkLostAt(node) === null && (young || membership.hasContact(node, now));
-    return [...this.#preferredLeaders].some(heard);
+    const isStarting = now - this.#startedAt < this.context.timing.maxHeartbeatIntervalMs;
+    const isAvailable = (node: string): boolean =>
+      membership.linkLostAt(node) === null && (isStarting || membership.hasContact(node, now));
+    return [...this.#preferredLeaders].some(isAvailable);
   }
 
-  /** The node that is to lead rather than this one, if it has been back, and served, for a while. */
+  /**
+   * The preferred node to which this leader, if not preferred itself, should transfer the leadership: a peer that has
+   * been trusted without a gap for a while; null: there is none, or this is not the time for a transfer.
+   */
   preferredSuccessor(): string | null {
-    const { leadership, machines } = this.common.commands.state;
-    const now = this.common.ports.clock.monotonicMs();
-    const settled = 0.4 * this.common.timing.workerLeaseMs;
+    const { leadership, machines } = this.context.commands.state;
+    const now = this.context.ports.clock.monotonicMs();
+    const settlingMs = 0.4 * this.context.timing.workerLeaseMs;
     if (leadership === null || this.isPreferredLeader) return null;
-    if (now - leadership.since < settled) return null;
-    // The next leader would wait anew for machines that are silent, and their tasks with them; and what
-    // a zone brings back with it is best taken in by whoever knows what was given up meanwhile.
-    if (this.common.commands.state.silentZones.size > 0) this.#silentZoneSeenAt = now;
-    if (now - this.#silentZoneSeenAt < this.common.timing.workerLeaseMs) return null;
+    if (now - leadership.since < settlingMs) return null;
+    // A new leader restarts the wait for silent machines, which delays their tasks. And when a silent zone returns,
+    // its heartbeats are best handled by the leader that knows which of its tasks were given up.
+    if (this.context.commands.state.silentZones.size > 0) this.#silentZoneSeenAt = now;
+    if (now - this.#silentZoneSeenAt < this.context.timing.workerLeaseMs) return null;
     if (
       [...machines.values()].some(
         ({ lastHeartbeatAt, claims }) => lastHeartbeatAt === null && claims.size > 0,
@@ -112,45 +121,48 @@
     )
       return null;
     const { membership } = this.failureDetector;
-    return [...this.#preferredLeaders].find((node) => membership.isStable(node, settled, now)) ?? null;
+    return [...this.#preferredLeaders].find((node) => membership.isStable(node, settlingMs, now)) ?? null;
   }
 
   /**
-   * Begins nothing new, and waits until what was begun is written, so that the next leader finds all
-   * of it: a moment, and no longer than it takes workers to notice.
+   * Starts no new work and waits until pending writes are committed, so that the next leader loads all of them. The
+   * wait is limited to two ticks: workers would notice a longer one.
    */
   async drainForTransfer(): Promise<void> {
-    const { commands, ports, timing } = this.common;
+    const { commands, ports, timing } = this.context;
     commands.push({ kind: 'transferLeadership' });
-    const until = ports.clock.monotonicMs() + 2 * timing.tickMs;
-    while (ports.clock.monotonicMs() < until) {
+    const deadline = ports.clock.monotonicMs() + 2 * timing.tickMs;
+    while (ports.clock.monotonicMs() < deadline) {
       await ports.clock.sleep(timing.tickMs / 8);
       const { commit, pendingReconciliation, dirtyJobs } = commands.state;
       if (commit === null && pendingReconciliation === null && dirtyJobs.start.size === 0) return;
     }
   }
 
-  /** Loads what the leaders before have committed, then follows the jobs. */
-  async takeLeadership(won: ElectionResult): Promise<void> {
-    this.common.leadershipView.highestTerm = Math.max(this.common.leadershipView.highestTerm, won.term);
-    this.common.leadershipView.leader = this.common.settings.host_name;
-    this.common.leadershipView.leadingTerm = won.term;
-    this.common.ports.log.info({ term: won.term }, 'leader elected');
+  /** Loads the records that earlier leaders have committed, then watches the jobs. */
+  async takeLeadership(election: ElectionResult): Promise<void> {
+    this.context.leadershipView.highestTerm = Math.max(
+      this.context.leadershipView.highestTerm,
+      election.term,
+    );
+    this.context.leadershipView.leader = this.context.settings.host_name;
+    this.context.leadershipView.leadingTerm = election.term;
+    this.context.ports.log.info({ term: election.term }, 'leader elected');
     for (;;) {
-      const sentAt = this.common.ports.clock.monotonicMs();
+      const sentAt = this.context.ports.clock.monotonicMs();
       const [jobs, runs, demandHistory, format] = await Promise.all([
-        this.common.ports.state.list(JOB_PREFIX),
-        this.common.ports.state.list(RUN_PREFIX),
+        this.context.ports.state.list(JOB_PREFIX),
+        this.context.ports.state.list(RUN_PREFIX),
         this.#readDemandHistory(),
-        this.#readFormat(won.modRevision),
+        this.#readFormat(election.modRevision),
       ]);
       if (
-        this.common.leadershipView.leadingTerm !== won.term ||
-        this.common.leadershipView.highestTerm > won.term
+        this.context.leadershipView.leadingTerm !== election.term ||
+        this.context.leadershipView.highestTerm > election.term
       )
         return;
       if (jobs === 'unknown' || runs === 'unknown' || demandHistory === 'unknown' || format === 'unknown') {
-        await this.common.ports.clock.sleep(this.common.timing.tickMs);
+        await this.context.ports.clock.sleep(this.context.timing.tickMs);
         continue;
       }
       const chunks: LoadedChunk[] = [];
@@ -160,48 +172,51 @@
         if (name !== null && record !== null)
           chunks.push({ job: name.job, name, record: { value: record, modRevision } });
       }
-      const { term, modRevision } = won;
-      this.common.commands.push({
+      const { term, modRevision } = election;
+      this.context.commands.push({
         kind: 'becomeLeader',
         term,
         modRevision,
         viewConfirmedAt: sentAt,
         layout:
           format === null
-            ? initialLayout(this.common.settings)
-            : upgradedLayout(this.common.settings, format),
-        legacyChunkTasks: format?.wide ?? initialLayout(this.common.settings).tasksPerChunk,
+            ? initialLayout(this.context.settings)
+            : upgradedLayout(this.context.settings, format),
+        legacyChunkTasks: format?.wide ?? initialLayout(this.context.settings).tasksPerChunk,
         jobs: decodeJobs(jobs.entries),
         chunks,
         demandHistory,
         silentZones: this.peers.recentlySilentZones(),
-        previousLeaderMayBeAlive: won.previousLeader === 'unknown' && term > 1,
+        previousLeaderMayBeAlive: election.previousLeader === 'unknown' && term > 1,
       });
       await this.#watchJobs(term, jobs.revision);
       return;
     }
   }
 
-  /** What classes have shown, as either version keeps it. */
+  /** Reads the job classes' demand history: the record of earlier versions, and the parts that this version writes. */
   async #readDemandHistory(): Promise<ClassDemandRecord[] | 'unknown'> {
     const [legacyRecord, parts] = await Promise.all([
-      this.common.ports.state.read(DEMAND_KEY),
-      this.common.ports.state.list(DEMAND_PREFIX),
+      this.context.ports.state.read(DEMAND_KEY),
+      this.context.ports.state.list(DEMAND_PREFIX),
     ]);
     if (legacyRecord === 'unknown' || parts === 'unknown') return 'unknown';
-    // The later ones count where a class stands in several.
+    // If several records contain a class, the last of them takes precedence.
     return [legacyRecord.entry?.value, ...parts.entries.map(({ value }) => value)].flatMap(decodeDemand);
   }
 
-  /** The format in force, null if it is not; one whose width has become too large is written anew. */
+  /**
+   * Reads the format record; null: there is none. If its chunk width exceeds what the limits of the key-value store
+   * now allow, the record is replaced by one with a smaller width.
+   */
   async #readFormat(termRevision: number): Promise<FormatRecord | null | 'unknown'> {
-    const read = await this.common.ports.state.read(FORMAT_KEY);
+    const read = await this.context.ports.state.read(FORMAT_KEY);
     if (read === 'unknown') return 'unknown';
     const known = decodeFormat(read.entry?.value);
     if (known === null || read.entry === null) return null;
-    const record = formatRecord(this.common.settings, known);
+    const record = formatRecord(this.context.settings, known);
     if (record.tasks === known.tasks) return known;
-    const outcome = await this.common.ports.state.commit({
+    const outcome = await this.context.ports.state.commit({
       preconditions: [
         { key: TERM_KEY, modRevision: termRevision },
         { key: FORMAT_KEY, modRevision: read.entry.modRevision },
@@ -211,33 +226,37 @@
     return outcome.kind === 'applied' ? record : 'unknown';
   }
 
-  /** Watches the jobs while this node leads; each answer proves how fresh its view is. */
+  /** Watches the jobs while this node leads; each answer confirms the leader's view as of its request. */
   async #watchJobs(term: number, revision: number): Promise<void> {
     let after = revision;
-    while (this.common.leadershipView.leadingTerm === term) {
-      const sentAt = this.common.ports.clock.monotonicMs();
-      const found = await this.common.ports.state.watch(JOB_PREFIX, after, this.common.timing.watchTimeoutMs);
+    while (this.context.leadershipView.leadingTerm === term) {
+      const sentAt = this.context.ports.clock.monotonicMs();
+      const found = await this.context.ports.state.watch(
+        JOB_PREFIX,
+        after,
+        this.context.timing.watchTimeoutMs,
+      );
       if (found.kind === 'unknown') {
-        await this.common.ports.clock.sleep(this.common.timing.tickMs);
+        await this.context.ports.clock.sleep(this.context.timing.tickMs);
       } else if (found.kind === 'tooOld') {
-        const jobs = await this.common.ports.state.list(JOB_PREFIX);
+        const jobs = await this.context.ports.state.list(JOB_PREFIX);
         if (jobs === 'unknown') continue;
         after = jobs.revision;
-        this.common.commands.push({
+        this.context.commands.push({
           kind: 'jobsReplaced',
           jobs: decodeJobs(jobs.entries),
           revision: jobs.revision,
         });
-        this.common.commands.push({ kind: 'viewConfirmed', sentAt });
+        this.context.commands.push({ kind: 'viewConfirmed', sentAt });
       } else {
         after = found.revision;
         for (const { key, value, modRevision } of found.changes) {
           const spec = decodeJob(value);
-          if (value === undefined) this.common.commands.push({ kind: 'jobRemoved', id: jobOfKey(key) });
+          if (value === undefined) this.context.commands.push({ kind: 'jobRemoved', id: jobOfKey(key) });
           else if (spec !== null)
-            this.common.commands.push({ kind: 'jobAdded', job: { value: spec, modRevision } });
+            this.context.commands.push({ kind: 'jobAdded', job: { value: spec, modRevision } });
         }
-        this.common.commands.push({ kind: 'viewConfirmed', sentAt });
+        this.context.commands.push({ kind: 'viewConfirmed', sentAt });
       }
     }
   }
@@ -246,14 +265,14 @@
   async resolveDependencies(ids: readonly string[]): Promise<void> {
     const found = await Promise.all(
       ids.map(async (id) => {
-        const job = await readJob(this.common.ports.state, id);
+        const job = await readJob(this.context.ports.state, id);
         return [
           id,
           job.kind === 'ended' ? job.record : job.kind === 'damaged' ? 'unknown' : job.kind,
         ] as const;
       }),
     );
-    this.common.commands.push({ kind: 'dependenciesResolved', found: new Map(found) });
+    this.context.commands.push({ kind: 'dependenciesResolved', found: new Map(found) });
   }
 
   /** Reads the committed records after a write with an unknown outcome; null is reported if a read fails. */
@@ -262,7 +281,7 @@
     const chunks = new Map<string, number>();
     let isComplete = true;
     for (const id of ids) {
-      const job = await readJob(this.common.ports.state, id);
+      const job = await readJob(this.context.ports.state, id);
       if (job.kind === 'unknown') isComplete = false;
       else
         jobs.set(id, {
@@ -272,69 +291,71 @@
       if (!isComplete) break;
     }
     for (const key of isComplete ? keys : []) {
-      const read = await this.common.ports.state.read(key);
+      const read = await this.context.ports.state.read(key);
       if (read === 'unknown') isComplete = false;
       else if (read.entry !== null) chunks.set(key, read.entry.modRevision);
       if (!isComplete) break;
     }
-    if (!isComplete) await this.common.ports.clock.sleep(this.common.timing.tickMs);
-    this.common.commands.push({
+    if (!isComplete) await this.context.ports.clock.sleep(this.context.timing.tickMs);
+    this.context.commands.push({
       kind: 'reconciled',
       found: isComplete ? ({ jobs, chunks } satisfies ReconciledRecords) : null,
     });
   }
 
-  /** Reads, while some machine is silent, which of them fallback responders answer. */
+  /** While some machine is silent, reads from the key-value store which machines fallback responders answer. */
   async #refreshRelays(): Promise<void> {
-    // Clocks agree within a bound, and a responder writes at every other longest heartbeat interval.
-    const young = 0.5 * this.common.timing.workerLeaseMs + 2 * this.common.settings.cluster.clock_error_ms;
+    // Older records are ignored. A responder writes its record every two longest heartbeat intervals, and the clocks
+    // of two nodes differ by at most twice the clock error.
+    const maxAgeMs =
+      0.5 * this.context.timing.workerLeaseMs + 2 * this.context.settings.cluster.clock_error_ms;
     for (;;) {
-      await this.common.ports.clock.sleep(4 * this.common.timing.tickMs);
-      const { leadership, machines } = this.common.commands.state;
+      await this.context.ports.clock.sleep(4 * this.context.timing.tickMs);
+      const { leadership, machines } = this.context.commands.state;
       if (leadership === null) continue;
-      const now = this.common.ports.clock.monotonicMs();
-      let silent = 0;
+      const now = this.context.ports.clock.monotonicMs();
+      let silentMachines = 0;
       for (const { lastHeartbeatAt, discoveredAt, cloudStage } of machines.values())
         if (
           cloudStage !== 'booting' &&
-          now - (lastHeartbeatAt ?? discoveredAt) > 1.5 * this.common.timing.maxHeartbeatIntervalMs
+          now - (lastHeartbeatAt ?? discoveredAt) > 1.5 * this.context.timing.maxHeartbeatIntervalMs
         )
-          silent += 1;
-      if (silent === 0) continue;
-      const found = await this.common.ports.state.list(RELAY_PREFIX);
+          silentMachines += 1;
+      if (silentMachines === 0) continue;
+      const found = await this.context.ports.state.list(RELAY_PREFIX);
       if (found === 'unknown') continue;
       for (const { value } of found.entries) {
         const record = decodeRelay(value);
         if (record === null) continue;
-        const ageMs = Math.max(0, this.common.ports.clock.epochMs() - record.at);
-        if (ageMs < young)
-          this.common.commands.push({ kind: 'machinesRelayed', machines: record.machines, ageMs });
+        const ageMs = Math.max(0, this.context.ports.clock.epochMs() - record.at);
+        if (ageMs < maxAgeMs)
+          this.context.commands.push({ kind: 'machinesRelayed', machines: record.machines, ageMs });
       }
     }
   }
 
   async #refreshCatalog(): Promise<void> {
     for (;;) {
-      const types = await this.common.ports.cloud.catalog();
-      if (types !== null) this.common.commands.push({ kind: 'catalog', types });
-      await this.common.ports.clock.sleep(
-        types === null ? this.common.timing.tickMs : 6 * this.common.timing.workerLeaseMs,
+      const types = await this.context.ports.cloud.catalog();
+      if (types !== null) this.context.commands.push({ kind: 'catalog', types });
+      await this.context.ports.clock.sleep(
+        types === null ? this.context.timing.tickMs : 6 * this.context.timing.workerLeaseMs,
       );
     }
   }
 
   async #refreshMachines(): Promise<void> {
-    const pause = Math.max(
-      this.common.timing.maxHeartbeatIntervalMs,
-      (this.common.settings.cluster.cloud.list_lag_s * 1000) / 4,
+    const intervalMs = Math.max(
+      this.context.timing.maxHeartbeatIntervalMs,
+      (this.context.settings.cluster.cloud.list_lag_s * 1000) / 4,
     );
     for (;;) {
-      if (this.common.commands.state.leadership !== null) {
-        const askedAt = this.common.ports.clock.monotonicMs();
-        const machines = await this.common.ports.cloud.listMachines();
-        if (machines !== null) this.common.commands.push({ kind: 'machinesListed', askedAt, machines });
+      if (this.context.commands.state.leadership !== null) {
+        const askedAt = this.context.ports.clock.monotonicMs();
+        const machines = await this.context.ports.cloud.listMachines();
+        if (machines !== null) this.context.commands.push({ kind: 'machinesListed', askedAt, machines });
       }
-      await this.common.ports.clock.sleep(pause);
+      await this.context.ports.clock.sleep(intervalMs);
     }
   }
 }
--- a/test/leader-role.test.ts
+++ b/test/leader-role.test.ts
@@ -1,4 +1,4 @@
-/** Who leads, and for how long. */
+/** Election and transfer of the leadership, and answers to workers while there is no leader. */
 import { expect, test } from 'vitest';
 import type { KeyValueStore } from '../src/adapters/key-value-store.js';
 import { FallbackResponder } from '../src/controller/fallback-responder.js';
@@ -18,9 +18,9 @@
   expect(second).toBeDefined();
 });
 
-test('a less suitable node leads only until a more suitable one is back', async () => {
-  // With the node after the leader in the leader's own zone, workers of a zone that was cut
-  // off tried two nodes in vain and lost their leases before they found the deputy.
+test('a node that is not preferred leads only until a preferred one is back', async () => {
+  // If the node after the leader is in the leader's own zone, workers of a partitioned zone try two nodes in vain and
+  // lose their leases before they reach a fallback responder.
   const world = new Simulation(seeded(5));
   await world.clock.runUntil(10_000);
   world.crash(0, 5000);
@@ -49,7 +49,7 @@
   expect(world.leaders()).not.toEqual(['n-2']);
 });
 
-// Heartbeats of unknown machines must cost the leader neither connections nor a change of plan.
+// Heartbeats of unknown machines must neither use up the leader's connections nor change its plans.
 test('a flood of malformed requests and unknown machines costs neither leadership nor a lease', async () => {
   const world = new Simulation(seeded(5), { keepLog: true });
   await world.clock.runUntil(3000);
@@ -60,7 +60,7 @@
   world.flood(32_000);
   await world.clock.runUntil(55_000);
   expect(world.leaders()).toEqual(leaders);
-  // Some 2,000 at each node; a line a lease tells of them.
+  // About 2,000 malformed heartbeats at each node; a node logs one line per worker lease with their number.
   const lines = world.logged.filter(({ msg }) => msg === 'malformed input received');
   expect(lines.length).toBeLessThanOrEqual(3 * 4);
   expect(lines.reduce((sum, { reports }) => sum + Number(reports), 0)).toBeGreaterThan(3000);
@@ -71,8 +71,8 @@
   expect(world.checker.unfinishedJobs()).toEqual([]);
 });
 
-/** Workers of one zone, all at work for one job. */
-async function atWork(): Promise<{ world: Simulation; workers: Worker[] }> {
+/** Starts a simulation in which workers of one zone run the tasks of one job. */
+async function startBusyWorkers(): Promise<{ world: Simulation; workers: Worker[] }> {
   const world = new Simulation(seeded(8));
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 60, cpus: 8, memoryGb: 2, spot: true };
@@ -83,39 +83,39 @@
   return { world, workers };
 }
 
-async function endsWell(world: Simulation): Promise<void> {
+async function expectCleanEnd(world: Simulation): Promise<void> {
   await world.clock.runUntil(120_000);
   expect(world.checker.violations).toEqual([]);
   expect(world.checker.unfinishedJobs()).toEqual([]);
 }
 
 // A leader without heartbeats can neither start tasks nor tell dead machines from unreachable ones.
-test('a leader that loses all workers transfers leadership; none is terminated and hardly any lease expires', async () => {
-  const { world, workers } = await atWork();
+test('a leader that loses contact with all workers transfers leadership; no worker is terminated and at most one lease expires', async () => {
+  const { world, workers } = await startBusyWorkers();
   const [leader] = world.leaders();
   for (const { listed } of workers) world.network.partition(leader ?? '', listed.name, 25_000);
   await world.clock.runUntil(39_000);
   expect(world.leaders()).toHaveLength(1);
   expect(world.leaders()).not.toEqual([leader]);
   expect(workers.filter(({ isTerminated }) => isTerminated)).toEqual([]);
-  // One whose turn at a deputy came before the leader knew that it hears nobody may be too late.
+  // A worker that reaches a fallback responder before the leader has detected the loss of contact may be too late.
   expect(workers.filter(({ session }) => session > 1).length).toBeLessThanOrEqual(1);
-  await endsWell(world);
+  await expectCleanEnd(world);
 });
 
 // No leader can be elected in a store outage; without responses every worker lease would expire.
 test('when the leader crashes in a store outage, followers answer workers from its snapshots and no lease expires', async () => {
-  const { world, workers } = await atWork();
+  const { world, workers } = await startBusyWorkers();
   world.state.outage(17_000);
   await world.clock.runUntil(15_500);
   world.crash(Number(world.leaders()[0]?.slice(2)), 60_000);
   await world.clock.runUntil(40_000);
   expect(workers.filter(({ session, isTerminated }) => session > 1 || isTerminated)).toEqual([]);
-  await endsWell(world);
+  await expectCleanEnd(world);
 });
 
-// Counted from its arrival, a snapshot delayed by a partition would keep cancelled tasks alive.
-test('a follower answers workers from a snapshot for the authority window since the snapshot was proven', async () => {
+// If the window began at a snapshot's arrival, one delayed by a partition would keep cancelled tasks alive.
+test('a follower answers workers from a snapshot for the authority window since the view was confirmed', async () => {
   const timing = timingOf(testSettings(1));
   let now = 0;
   const clock = {
@@ -126,19 +126,19 @@
     startMeasuring: () => () => ({ elapsedMs: 1, cpuMs: 1 }),
   };
   const state = { list: () => Promise.resolve('unknown') } as unknown as KeyValueStore;
-  const deputy = new FallbackResponder('n-1', state, clock, timing, 2048, 100);
+  const responder = new FallbackResponder('n-1', state, clock, timing, 2048, 100);
   let seq = 0;
-  const asks = () => report('m', ++seq, [task('req-1/0', 1, 'running'), task('req-2/0', 1, 'running')]);
-  expect(await deputy.answer(asks())).toBeNull();
-  deputy.receiveSnapshot({ viewConfirmedAt: 1000, liveJobs: new Set(['req-1']) });
-  deputy.receiveSnapshot({ viewConfirmedAt: 900, liveJobs: new Set(['req-2']) });
+  const nextReport = () => report('m', ++seq, [task('req-1/0', 1, 'running'), task('req-2/0', 1, 'running')]);
+  expect(await responder.answer(nextReport())).toBeNull();
+  responder.receiveSnapshot({ viewConfirmedAt: 1000, liveJobs: new Set(['req-1']) });
+  responder.receiveSnapshot({ viewConfirmedAt: 900, liveJobs: new Set(['req-2']) });
   now = 1000 + timing.authorityWindowMs - 101;
-  expect(await deputy.answer(asks())).toMatchObject([{ op: 'stop', job: 'req-2' }]);
-  // A late copy is no sign of life, and gets no answer.
+  expect(await responder.answer(nextReport())).toMatchObject([{ op: 'stop', job: 'req-2' }]);
+  // A delayed duplicate does not show that the worker is alive, and gets no answer.
   now -= 4000;
-  expect(await deputy.answer(report('m', seq - 1))).toBeNull();
-  expect(await deputy.answer(report('m', seq))).toBeNull();
-  expect(deputy.answeredMachines()).toEqual(['m']);
+  expect(await responder.answer(report('m', seq - 1))).toBeNull();
+  expect(await responder.answer(report('m', seq))).toBeNull();
+  expect(responder.answeredMachines()).toEqual(['m']);
   now += 4001;
-  expect(await deputy.answer(asks())).toBeNull();
+  expect(await responder.answer(nextReport())).toBeNull();
 });
