--- a/src/controller/command-loop.ts
+++ b/src/controller/command-loop.ts
@@ -1,4 +1,4 @@
-/** The command loop: it alone changes the scheduling state, by commands that it takes in batches. */
+/** The command loop: the only code that changes the scheduling state. It applies commands in batches. */
 import { buffer, exhaustMap, Observable, Subject, type Subscription } from 'rxjs';
 import type { Clock, WorkDuration } from '../adapters/clock.js';
 import type { Command, Effect } from '../core/effects.js';
@@ -16,10 +16,10 @@
     private readonly clock: Clock,
     private readonly log: Log,
     private readonly executeEffect: (effect: Effect) => void,
-    /** Receives the time that batches with a tick took; the others are not measured, since reading clocks costs. */
+    /** Receives the time that batches with a tick took; others are not measured, since reading the clocks takes time. */
     private readonly recordWork: (work: WorkDuration) => void = () => undefined,
   ) {
-    // A batch is all that has come in by the time the input that is ready now is read.
+    // A batch holds all commands that arrive until the input that is ready now has been handled.
     const nextTurn = new Observable<void>((subscriber) => {
       clock.defer(() => {
         subscriber.next();
@@ -36,14 +36,14 @@
     this.#commands.next(command);
   }
 
-  /** Takes no more commands. */
+  /** Stops accepting commands. */
   close(): void {
     this.#subscription.unsubscribe();
   }
 
   #applyBatch(batch: readonly Command[]): void {
     const now = { monotonicMs: this.clock.monotonicMs(), epochMs: this.clock.epochMs() };
-    const end = batch.some(({ kind }) => kind === 'tick') ? this.clock.startMeasuring() : null;
+    const finishMeasuring = batch.some(({ kind }) => kind === 'tick') ? this.clock.startMeasuring() : null;
     let effects: Effect[];
     try {
       effects = step(this.state, batch, now);
@@ -57,6 +57,6 @@
       effects = step(this.state, [{ kind: 'resign', reason: 'internal fault' }], now);
     }
     for (const effect of effects) this.executeEffect(effect);
-    if (end !== null) this.recordWork(end());
+    if (finishMeasuring !== null) this.recordWork(finishMeasuring());
   }
 }
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -8,7 +8,7 @@
 import type { PlatformSettings, Timing } from '../config/settings.js';
 import type { CommandLoop } from './command-loop.js';
 
-/** What a controller needs of the world around it. */
+/** Dependencies of a controller: adapters to the outside, the scheduling policy and the identity of its process. */
 export interface Ports {
   readonly state: KeyValueStore;
   readonly cloud: Cloud;
@@ -20,13 +20,13 @@
   readonly incarnation: string;
 }
 
-/** Who leads, as far as this node knows; the election and peers' statuses change it in place. */
+/** This node's view of the leadership; updated in place by the election, by peers' messages and on stepping down. */
 export interface LeadershipView {
-  /** The node that leads, as far as this one knows, and the revision of the record that says so. */
+  /** The last known leader (null: none), and the revision of the leader record that was last read. */
   leader: string | null;
   leaderRevision: number;
   highestTerm: number;
-  /** The term this node was elected for and still means to lead; 0: none. */
+  /** The term that this node was elected for and has not given up; 0: none. */
   leadingTerm: number;
 }
 
--- a/src/controller/effect-executor.ts
+++ b/src/controller/effect-executor.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out the effects of the core's steps. Each effect with an outcome comes back to the command loop as a
- * command of its own; the ports report failures as values, so that no promise here is rejected.
+ * Carries out the effects of the core's steps. The outcome of an effect, if it has one, is pushed to the command loop
+ * as a command. The ports report failures as values, so no promise here is rejected.
  */
 import type { Effect, Reply } from '../core/effects.js';
 import type { Heartbeat } from '../core/types.js';
@@ -12,15 +12,15 @@
   resolveDependencies(ids: readonly string[]): void;
   /** Reads the committed records of jobs and chunks after a write with an unknown outcome. */
   reconcile(jobs: readonly string[], chunks: readonly string[]): void;
-  /** Tells followers for which machines the leader has something to say. */
+  /** Notifies followers of machines that need the leader's attention, since the next answer may carry a command. */
   announceAttention(machines: readonly string[]): void;
-  /** This node leads no more. */
+  /** This node has ended its leadership, for this reason. */
   steppedDown(reason: string): void;
 }
 
 type EffectOf<Kind extends Effect['kind']> = Extract<Effect, { kind: Kind }>;
 
-/** Executes effects, and hands each reply of the core to whoever waits for it. */
+/** Executes effects, and passes each reply of the core to the caller that waits for it. */
 export class EffectExecutor {
   readonly #replyHandlers = new Map<number, (reply: Reply) => void>();
   #nextReply = 1;
@@ -30,14 +30,14 @@
     private readonly handlers: EffectHandlers,
   ) {}
 
-  /** Hands a heartbeat to the core, whose reply comes back once. `ageMs`: how long it was on its way. */
+  /** Submits a heartbeat to the core; `onReply` is called once. `ageMs`: how long its forwarding took (ms). */
   submitHeartbeat(heartbeat: Heartbeat, ageMs: number, onReply: (reply: Reply) => void): void {
     const reply = this.#nextReply++;
     this.#replyHandlers.set(reply, onReply);
     this.context.commands.push({ kind: 'heartbeat', reply, heartbeat, ageMs });
   }
 
-  /** Begins to carry out an effect; it doesn't wait for the outcome. */
+  /** Starts an effect without waiting for its outcome. */
   execute(effect: Effect): void {
     switch (effect.kind) {
       case 'reply': {
--- a/src/controller/failure-detector.ts
+++ b/src/controller/failure-detector.ts
@@ -1,7 +1,7 @@
 /**
- * Failure detection between controllers and towards the machines. What this node sees of its peers goes into the
- * membership; what follows from that is carried out: machines are probed for a leader that misses heartbeats, a
- * leader transfers its leadership, a crashed leader is replaced. The status that peers receive is put together here.
+ * Failure detection between controllers and towards the machines. Observations of peers are passed to the membership,
+ * and its verdicts are acted on here: machines are probed for a leader that misses heartbeats, a leader transfers its
+ * leadership, a crashed leader is replaced. The part of the status that reports this to peers is built here.
  */
 import {
   Membership,
@@ -14,25 +14,25 @@
 import { storeContactAgeMs, type ControllerContext } from './context.js';
 import type { FailureDetectorStatus } from './peer-exchange.js';
 
-/** Machines that are probed in one round, at most. */
+/** Machines that one controller probes in one round, at most. */
 const MAX_PROBED_MACHINES = 8;
 
-/** The log event that tells of a peer's new level. */
+/** The log event for each new suspicion level of a peer. */
 const SUSPICION_EVENTS: Readonly<Record<SuspicionLevel, string>> = {
   trusted: 'peer trusted',
   suspected: 'peer suspected',
   'given up': 'peer failed',
 };
 
-/** What the detector has its controller do. */
+/** Actions that the failure detector triggers in its controller. */
 export interface FailureDetectorActions {
   /** The leader that this node follows has crashed: its record may be replaced before its lease expires. */
   replaceCrashedLeader(): void;
-  /** This node leads and another is to lead in its place. */
-  transferLeadership(to: Resignation): void;
+  /** This node leads, and has to transfer the leadership to another node. */
+  transferLeadership(resignation: Resignation): void;
   /** The nodes that are preferred as leaders. */
   preferredLeaders(): ReadonlySet<string>;
-  /** The status has changed in a way that peers need at once. */
+  /** The status has changed, and peers need it before the next regular exchange. */
   broadcastStatus(): void;
 }
 
@@ -44,47 +44,48 @@
   /** Latest round in which this node probed machines for the leader. */
   #answeredRound = 0;
   #announcedReports = 0;
-  /** It transferred the leadership since it reached no machine, and no worker has reported to it since. */
+  /** This node gave up the leadership because it could not reach its machines, and no worker has reported to it since. */
   #isIsolated = false;
 
   constructor(
-    private readonly common: ControllerContext,
+    private readonly context: ControllerContext,
     private readonly actions: FailureDetectorActions,
   ) {
-    const names = common.settings.others.map(({ host_name }) => host_name);
-    this.membership = new Membership(names, common.timing, undefined, common.settings.cluster.quota.cpu);
+    const names = context.settings.others.map(({ host_name }) => host_name);
+    this.membership = new Membership(names, context.timing, undefined, context.settings.cluster.quota.cpu);
   }
 
   get #now(): number {
-    return this.common.ports.clock.monotonicMs();
+    return this.context.ports.clock.monotonicMs();
   }
 
-  onPeer(view: MemberStatus): void {
-    this.membership.receiveStatus(view, this.#now);
-    const { leadershipView } = this.common;
-    const asked = view.isLeader && view.term >= leadershipView.highestTerm && view.probeRequests.length > 0;
-    if (asked && view.probeRound !== this.#answeredRound) void this.#probeForLeader(view);
+  onPeer(status: MemberStatus): void {
+    this.membership.receiveStatus(status, this.#now);
+    const { leadershipView } = this.context;
+    const isProbeRequested =
+      status.isLeader && status.term >= leadershipView.highestTerm && status.probeRequests.length > 0;
+    if (isProbeRequested && status.probeRound !== this.#answeredRound) void this.#probeForLeader(status);
     this.#assess();
   }
 
   onLink(node: string, link: LinkState): void {
     this.membership.setLinkState(node, link, this.#now);
     this.#assess();
-    // Whoever waits for a second witness should not wait for the next word.
+    // A peer that needs a second witness of the refusals should not have to wait for the next regular status.
     if (link === 'refused' && this.membership.consecutiveRefusals(node) === 2) this.actions.broadcastStatus();
   }
 
-  /** Whether this node, as the leader, would be one that no worker reaches. */
+  /** Whether it has to be assumed that no worker would reach this node if it led. */
   get isIsolated(): boolean {
     return this.#isIsolated;
   }
 
-  /** A worker has reported to this node. */
-  workerReached(): void {
+  /** Records that a worker has reported to this node. */
+  recordWorkerContact(): void {
     this.#isIsolated = false;
   }
 
-  /** A worker of the present leader has reported here without having been redirected. */
+  /** Records that a worker of the current leader has reported here without having been redirected. */
   recordUnexpectedReport(machine: string): void {
     this.membership.recordUnexpectedReport(machine, this.#now);
     const reports = this.membership.unexpectedReports(this.#now);
@@ -95,74 +96,80 @@
     this.#assess();
   }
 
-  /** At every tick. `lateMs`: by how much its timer was late, in milliseconds. */
+  /** Updates the membership at every tick. `lateMs`: how late the tick's timer fired, in milliseconds. */
   tick(lateMs: number): void {
     const now = this.#now;
     this.membership.recordTimerLag(lateMs, now);
-    const { leadership, health, machines } = this.common.commands.state;
+    const { leadership, health, machines } = this.context.commands.state;
     this.membership.setWorkerHealth(leadership === null ? null : health, machines.size, leadership?.since);
-    if (leadership !== null && this.membership.isMissingHeartbeats(now, storeContactAgeMs(this.common)))
+    if (leadership !== null && this.membership.isMissingHeartbeats(now, storeContactAgeMs(this.context)))
       this.#requestProbes(now, true);
     else if (leadership !== null && this.membership.isLagging(now)) this.#requestProbes(now, false);
     else if (
       this.#probeRequests.length > 0 &&
-      now - this.#probesRequestedAt > this.common.timing.maxHeartbeatIntervalMs
+      now - this.#probesRequestedAt > this.context.timing.maxHeartbeatIntervalMs
     )
       this.#probeRequests = [];
     this.#assess();
   }
 
-  /** Whether this node's timers lag: it has more to do than it can. */
+  /** Whether this node's timers lag by more than a quarter of a tick: it has more work than it can do in time. */
   get isOverloaded(): boolean {
-    return this.membership.timerLagMs(this.#now) > this.common.timing.tickMs / 4;
+    return this.membership.timerLagMs(this.#now) > this.context.timing.tickMs / 4;
   }
 
-  /** Whether this node stood still and has not worked off its queues: it judges nobody meanwhile. */
+  /** Whether this node has stalled and not processed its queued input yet; until then it infers no failures. */
   get isStalled(): boolean {
     return this.membership.isStalled(this.#now);
   }
 
   #assess(): void {
     const now = this.#now;
-    const age = storeContactAgeMs(this.common);
-    const changed = this.membership.assess(now, age);
+    const contactAgeMs = storeContactAgeMs(this.context);
+    const changed = this.membership.assess(now, contactAgeMs);
     for (const suspicion of changed) this.#logSuspicion(suspicion, now);
-    // What one concludes by itself the others may need as a second witness.
+    // Peers may need a suspicion of this node as the evidence of a second witness.
     if (changed.some(({ level }) => level !== 'trusted')) this.actions.broadcastStatus();
-    const { leadershipView, commands } = this.common;
+    const { leadershipView, commands } = this.context;
     const { leadership } = commands.state;
     if (leadership !== null) {
       if (leadership.isTransferring === true) return;
-      const to = this.membership.chooseSuccessor(now, age, this.actions.preferredLeaders());
-      if (to === null) return;
-      this.#isIsolated ||= to.reason === MACHINES_UNREACHABLE;
-      this.actions.transferLeadership(to);
+      const resignation = this.membership.chooseSuccessor(now, contactAgeMs, this.actions.preferredLeaders());
+      if (resignation === null) return;
+      this.#isIsolated ||= resignation.reason === MACHINES_UNREACHABLE;
+      this.actions.transferLeadership(resignation);
     } else if (
       leadershipView.leader !== null &&
       !this.#isIsolated &&
-      this.membership.mayReplaceEarly(leadershipView.leader, now, age)
+      this.membership.mayReplaceEarly(leadershipView.leader, now, contactAgeMs)
     )
       this.actions.replaceCrashedLeader();
   }
 
   #logSuspicion({ node, level, evidence, since }: SuspicionState, now: number): void {
-    const view = this.membership.statusOf(node);
-    const detail = { peer: node, evidence, forMs: Math.round(now - since), lateMs: view?.timerLagMs ?? 0 };
-    this.common.ports.log.info(detail, SUSPICION_EVENTS[level]);
+    const status = this.membership.statusOf(node);
+    const detail = { peer: node, evidence, forMs: Math.round(now - since), lateMs: status?.timerLagMs ?? 0 };
+    this.context.ports.log.info(detail, SUSPICION_EVENTS[level]);
   }
 
-  /** Whether this node, as a leader, may hand over to a peer; what that needs to be known is asked for. */
+  /**
+   * Whether this leader may transfer the leadership to a peer. If not, it requests probes, since it may not be known
+   * yet whether the peer reaches the machines.
+   */
   isEligibleSuccessor(node: string): boolean {
     const now = this.#now;
-    if (this.membership.isEligibleSuccessor(node, now, storeContactAgeMs(this.common))) return true;
+    if (this.membership.isEligibleSuccessor(node, now, storeContactAgeMs(this.context))) return true;
     this.#requestProbes(now, false);
     return false;
   }
 
-  /** A few machines evenly from all of them, or from those that should speak and are not heard. */
+  /**
+   * Picks a few machines at even distances: from those that have reported, or if `unheard` from those that should have
+   * reported but have not.
+   */
   #sampleMachines(now: number, unheard: boolean): string[] {
-    const { state } = this.common.commands;
-    const from = now - 2 * this.common.timing.tickMs;
+    const { state } = this.context.commands;
+    const from = now - 2 * this.context.timing.tickMs;
     const all = [...state.machines.values()].filter(
       ({ lastHeartbeatAt, address, terminationReason, claims }) =>
         address !== '' &&
@@ -177,9 +184,12 @@
     return picked.flatMap((machine) => (machine === undefined ? [] : [machine.address]));
   }
 
-  /** Has the followers probe a few machines, and probes them itself. */
+  /**
+   * Requests from the followers that they probe a few machines, and probes them from this node too; at most once per
+   * longest heartbeat interval.
+   */
   #requestProbes(now: number, unheard: boolean): void {
-    if (now - this.#probesRequestedAt < this.common.timing.maxHeartbeatIntervalMs) return;
+    if (now - this.#probesRequestedAt < this.context.timing.maxHeartbeatIntervalMs) return;
     this.#probesRequestedAt = now;
     this.#probeRequests = this.#sampleMachines(now, unheard);
     if (this.#probeRequests.length === 0) return;
@@ -191,9 +201,12 @@
       requested: this.#probeRequests.length,
       startedAt: now,
     });
-    const { health } = this.common.commands.state;
+    const { health } = this.context.commands.state;
     if (unheard)
-      this.common.ports.log.info({ asks: this.#probeRequests.length, ...health }, 'worker contact degraded');
+      this.context.ports.log.info(
+        { probes: this.#probeRequests.length, ...health },
+        'worker contact degraded',
+      );
     this.actions.broadcastStatus();
     void this.#probe(this.#probeRequests, round);
   }
@@ -213,20 +226,20 @@
   }
 
   async #probe(addresses: readonly string[], round: number): Promise<void> {
-    const found = await Promise.all(
-      addresses.slice(0, MAX_PROBED_MACHINES).map((address) => this.common.ports.workers.probe(address)),
+    const results = await Promise.all(
+      addresses.slice(0, MAX_PROBED_MACHINES).map((address) => this.context.ports.workers.probe(address)),
     );
     if (this.membership.probeRound.round !== round) return;
-    const reachable = found.filter((one) => one === true).length;
-    const unreachable = found.filter((one) => one === false).length;
+    const reachable = results.filter((isReachable) => isReachable === true).length;
+    const unreachable = results.filter((isReachable) => isReachable === false).length;
     this.membership.setProbeRound({ ...this.membership.probeRound, reachable, unreachable });
     this.#assess();
   }
 
-  /** The part of this node's status that tells of failures. */
+  /** The part of this node's status that concerns failure detection. */
   localStatus(): FailureDetectorStatus {
     const now = this.#now;
-    const { health, leadership } = this.common.commands.state;
+    const { health, leadership } = this.context.commands.state;
     const { round, reachable, unreachable } = this.membership.probeRound;
     return {
       timerLagMs: this.membership.timerLagMs(now),
@@ -241,7 +254,7 @@
     };
   }
 
-  /** For the status page: who is suspected, since when, on what evidence. */
+  /** For the status page: the suspicion level of each peer, for how long and on what evidence. */
   describe(): object[] {
     const now = this.#now;
     return this.membership.suspicionStates().map(({ node, level, since, evidence }) => ({
--- a/src/controller/format-upgrade.ts
+++ b/src/controller/format-upgrade.ts
@@ -18,7 +18,7 @@
   versionKey,
 } from '../core/persistence/index.js';
 
-/** What the upgrade needs of the node that it runs on. */
+/** What the upgrade needs from its controller. */
 export interface FormatUpgradeContext {
   readonly settings: PlatformSettings;
   readonly store: KeyValueStore;
@@ -28,7 +28,7 @@
   /** Revision of the term record while this node leads, else `null`. */
   readonly termRevision: () => number | null;
   /** Whether a controller that cannot read the format sends status messages now. */
-  readonly hearsEarlierVersion: () => boolean;
+  readonly hasEarlierVersionPeer: () => boolean;
   /** Called once, when the format is known to be in force. */
   onAdopted(record: FormatRecord): void;
 }
@@ -79,9 +79,9 @@
 
   /** As the leader, writes the format record once every controller has declared that it reads it. */
   async #activate(): Promise<void> {
-    const { store, settings, termRevision, hearsEarlierVersion } = this.context;
+    const { store, settings, termRevision, hasEarlierVersionPeer } = this.context;
     const modRevision = termRevision();
-    if (modRevision === null || hearsEarlierVersion()) return;
+    if (modRevision === null || hasEarlierVersionPeer()) return;
     if (!(await this.#everyControllerReadsFormat())) return;
     const record = formatRecord(settings, null);
     const outcome = await store.commit({
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -36,16 +36,19 @@
 const TICKS_PER_SNAPSHOT = 2;
 
 const BYTES_PER_KB = 1024;
-/** Ticks that a node which is not preferred as the leader, or is isolated, lets others campaign first. */
+/** Delay, in ticks, before a node that is not preferred as the leader, or is isolated, campaigns: others go first. */
 const CAMPAIGN_DELAY_TICKS = 4;
 const ISOLATED_CAMPAIGN_DELAY_TICKS = 8;
 
-/** Owns every part of a controller, and connects them; whoever has the links sets the three senders. */
+/**
+ * Owns the parts of a controller and connects them. The owner of the links to other controllers sets
+ * `broadcastStatus`, `sendIntake` and `peerTraffic`.
+ */
 export class ControllerNode {
   readonly users: UserRequests;
   readonly latencies = new LatencyHistograms();
   readonly admission: Admission;
-  /** What came in that could not be read, by what it should have been. */
+  /** Counts malformed input by kind: worker reports, peer messages and requests. */
   readonly malformed = new EventCounter();
   readonly #context: ControllerContext;
   readonly #peers: PeerExchange;
@@ -56,15 +59,15 @@
   readonly #intake: HeartbeatIntake;
   readonly #sharedHeartbeats: SharedHeartbeats;
   readonly #executor: EffectExecutor;
-  /** Tells the other controllers what has changed; set by whoever has the links. */
+  /** Sends the changed status to the other controllers; set by the owner of the links. */
   broadcastStatus: () => void = () => undefined;
-  /** Sends a message about shared reports, false if it cannot be sent; set by whoever has the links. */
+  /** Sends a message about shared heartbeats; false: it cannot be sent. Set by the owner of the links. */
   sendIntake: (to: string, message: IntakeMessage) => boolean = () => false;
-  /** What was written to the other controllers; set by whoever has the links. */
+  /** The traffic sent to the other controllers; set by the owner of the links. */
   peerTraffic: () => PeerTraffic = () => ({ sentMessages: 0, sentBytes: 0 });
   readonly #failureDetector: FailureDetector;
   #ticks = 0;
-  /** Revision of the leader record that this node has campaigned against, and the term it last transferred. */
+  /** Revision of the crashed leader's record that this node last sought to replace, and the term it last transferred. */
   #replacedRevision = 0;
   #transferredTerm = 0;
 
@@ -245,7 +248,7 @@
       clock: ports.clock,
       pollIntervalMs: 2 * times.maxHeartbeatIntervalMs,
       termRevision: () => commands.state.leadership?.modRevision ?? null,
-      hearsEarlierVersion: () => this.#peers.hasPeerOfEarlierFormat(),
+      hasEarlierVersionPeer: () => this.#peers.hasPeerOfEarlierFormat(),
       onAdopted: (record) => {
         ports.log.info(record, 'storage format upgraded');
         ports.state.applyLimits(strictestLimits(settings));
@@ -283,13 +286,13 @@
     const { settings, ports } = this.#context;
     this.#election.dispatch({ kind: 'start' });
     this.#leaderRole.start();
-    void this.#keepTicking();
-    void this.#keepContact();
+    void this.#runTickLoop();
+    void this.#runContactLoop();
     void this.#upgrade.run();
     ports.log.info({ node: settings.host_name, incarnation: ports.incarnation }, 'controller started');
   }
 
-  /** What the other controllers are told. */
+  /** The status message for the other controllers. */
   status(): PeerStatus {
     return this.#peers.status();
   }
@@ -300,7 +303,7 @@
     if (link !== 'up') this.#intake.onLinkLost(node);
   }
 
-  /** Another controller's status. */
+  /** Processes another controller's status. */
   onPeer(status: PeerStatus): void {
     // A delayed message of an earlier incarnation says nothing of the present one.
     if (!this.#failureDetector.membership.isCurrentIncarnation(status)) return;
@@ -308,7 +311,7 @@
     this.#failureDetector.onPeer(status);
   }
 
-  /** A message about shared reports from another controller. */
+  /** Processes a message about shared heartbeats from another controller. */
   onIntake(message: IntakeMessage): void {
     if (!this.#failureDetector.membership.isCurrentIncarnation(message)) return;
     const { leadershipView, commands } = this.#context;
@@ -320,7 +323,7 @@
     }
   }
 
-  /** Followers that may take reports: heard, linked, keeping up. */
+  /** Followers that may accept heartbeats: in contact, with the link up, and keeping up with their timers. */
   #followers(): { node: string; zone: string }[] {
     const { clock } = this.#context.ports;
     const { membership } = this.#failureDetector;
@@ -335,7 +338,7 @@
     return machine !== undefined && attention.has(machine);
   }
 
-  /** Machines that this node knows of as the leader; 0: it does not lead. */
+  /** Number of machines that this node knows as the leader; 0: it does not lead. */
   get machineCount(): number {
     const { leadership, machines } = this.#context.commands.state;
     return leadership === null ? 0 : machines.size;
@@ -345,36 +348,36 @@
   core(): unknown {
     return this.#context.commands.state;
   }
-  /** Whether the load balancer is to send users here. */
+  /** Whether the load balancer should send users to this node. */
   ready(): boolean {
     return this.#peers.isReady();
   }
 
   /**
-   * Keeps the knowledge fresh whether the state service answers this node. A follower
-   * without users would otherwise hear of it only as often as its long watch ends, and
-   * take itself for refused while the leader is served.
+   * Reads from the key-value store often enough to know whether it answers this node. A follower without user requests
+   * would otherwise get an answer only when its long watch ends, and would conclude that the store refuses it while it
+   * answers the leader. Also starts the transfer of the leadership to a preferred node that is available again.
    */
-  async #keepContact(): Promise<void> {
-    const often = this.#context.timing.storeTimeoutMs / 2;
+  async #runContactLoop(): Promise<void> {
+    const intervalMs = this.#context.timing.storeTimeoutMs / 2;
     for (;;) {
-      await this.#context.ports.clock.sleep(often);
-      if (storeContactAgeMs(this.#context) >= often) await this.#context.ports.state.read(LEADER_KEY);
+      await this.#context.ports.clock.sleep(intervalMs);
+      if (storeContactAgeMs(this.#context) >= intervalMs) await this.#context.ports.state.read(LEADER_KEY);
       const to = this.#leaderRole.preferredSuccessor();
       if (to !== null && this.#failureDetector.isEligibleSuccessor(to))
-        void this.#transferLeadership({ to, reason: 'a better placed node is back' });
+        void this.#transferLeadership({ to, reason: 'a preferred leader is available again' });
     }
   }
 
-  async #keepTicking(): Promise<void> {
+  async #runTickLoop(): Promise<void> {
     const { clock } = this.#context.ports;
     const { tickMs, workerLeaseMs } = this.#context.timing;
-    let toldAt = clock.monotonicMs();
+    let flushedAt = clock.monotonicMs();
     for (;;) {
       const from = clock.monotonicMs();
-      if (from - toldAt > workerLeaseMs) {
+      if (from - flushedAt > workerLeaseMs) {
         this.malformed.flush(this.#context.ports.log, 'malformed input received');
-        toldAt = from;
+        flushedAt = from;
       }
       await clock.sleep(tickMs);
       this.#failureDetector.tick(Math.max(0, clock.monotonicMs() - from - tickMs));
@@ -384,7 +387,10 @@
     }
   }
 
-  /** A leader tells its followers what they may answer by; a follower tells its leader what it has answered. */
+  /**
+   * As the leader, answers the heartbeats still pending from its time as a follower, and sends followers the snapshots
+   * that they answer by. As a follower, sends the leader the heartbeats and keepalives it has collected.
+   */
   #exchangeHeartbeats(): void {
     if (this.#context.commands.state.leadership === null) {
       this.#intake.flush();
@@ -404,7 +410,10 @@
     void this.#campaignEarly(leaderRevision);
   }
 
-  /** A node that is not preferred lets a preferred peer come first: else it would transfer the leadership soon. */
+  /**
+   * Campaigns against a crashed leader's record. A node that is not preferred waits half a tick if a preferred peer is
+   * available: if elected first, it would soon transfer the leadership.
+   */
   async #campaignEarly(modRevision: number): Promise<void> {
     const { clock } = this.#context.ports;
     if (this.#leaderRole.hasPreferredPeer()) await clock.sleep(this.#context.timing.tickMs / 2);
@@ -423,7 +432,7 @@
       this.#election.dispatch({ kind: 'transferLeadership', to });
   }
 
-  /** The status page; a brief one leaves out what takes a walk over jobs and machines. */
+  /** The status page; the brief one leaves out what requires a pass over jobs and machines. */
   describe(brief = false): object {
     const { state } = this.#context.commands;
     const now = {
@@ -450,7 +459,7 @@
     };
   }
 
-  /** A heartbeat as it came in; a malformed one is answered with status 400. */
+  /** Handles a heartbeat as received; a malformed one is answered with status 400. */
   report(body: unknown, done: (status: number, body: string) => void): void {
     const report = parseHeartbeat(body);
     if (report === null) {
@@ -461,7 +470,7 @@
 
   #takeReport(report: Heartbeat, done: (status: number, body: string) => void): void {
     if (this.#context.commands.state.leadership === null) {
-      this.#failureDetector.workerReached();
+      this.#failureDetector.recordWorkerContact();
       if (!this.#intake.take(report, done)) this.#followerRole.answer(report, done);
       return;
     }
@@ -475,17 +484,18 @@
   }
 
   #answerAsLeader(report: Heartbeat, done: (status: number, body: string) => void): void {
-    const from = this.#context.ports.clock.monotonicMs();
+    const receivedAt = this.#context.ports.clock.monotonicMs();
     this.#executor.submitHeartbeat(report, 0, (reply) => {
-      this.latencies.record('report', this.#context.ports.clock.monotonicMs() - from);
+      this.latencies.record('report', this.#context.ports.clock.monotonicMs() - receivedAt);
       if (reply.kind === 'commands') {
         done(200, encodeReply(reply.token, reply.commands));
         return;
       }
-      // Handed over: whoever leads now is told, and found without trying the others in turn.
+      // This node may not answer as the leader. If it knows another leader, it redirects the worker there, so that
+      // the worker need not try all controllers in turn.
       const { leader } = this.#context.leadershipView;
-      const elsewhere = leader !== null && leader !== this.#context.settings.host_name;
-      done(elsewhere ? 421 : 503, elsewhere ? encodeRedirect(leader) : '{}');
+      const hasOtherLeader = leader !== null && leader !== this.#context.settings.host_name;
+      done(hasOtherLeader ? 421 : 503, hasOtherLeader ? encodeRedirect(leader) : '{}');
     });
   }
 
--- a/src/controller/peer-exchange.ts
+++ b/src/controller/peer-exchange.ts
@@ -1,4 +1,4 @@
-/** The exchange of status with the other controllers: what they are told, and what of theirs is believed. */
+/** The exchange of status messages with the other controllers: builds this node's status and stores its peers'. */
 import { FORMAT } from '../core/persistence/index.js';
 import { resolvedUntil } from '../core/jobs/index.js';
 import { WAIT_REASONS, waitReason } from '../core/placement/index.js';
@@ -26,37 +26,37 @@
   readonly receivedAt: number;
 }
 
-/** Puts this node's status together, and keeps what the others have said. */
+/** Builds this node's status, and stores the latest status of each peer. */
 export class PeerExchange {
   readonly #jobCounts = new Map<string, JobCount>();
   readonly #receivedStatuses = new Map<string, ReceivedStatus>();
-  /** Zones of which the leader heard nobody, and the steady time since. */
+  /** Zones from which the leader gets no heartbeat, and the monotonic time (ms) since when. */
   readonly #silentZones = new Map<string, number>();
 
   constructor(
     private readonly common: ControllerContext,
     /** Machines that this node answers in the leader's place. */
     private readonly relayedMachines: () => string[],
-    /** Whether this node takes reports for the leader that it follows. */
+    /** Whether this node accepts heartbeats for the leader that it follows. */
     private readonly acceptsHeartbeats: () => boolean,
-    /** Takes the live jobs of which a leader has told. */
+    /** Receives the live jobs that a leader's status lists. */
     private readonly receiveSnapshot: (view: LiveJobsSnapshot) => void,
-    /** What this node sees of the others, and is asked or answers of machines. */
+    /** The failure detector's part of the status: observations of peers, probe requests and probe results. */
     private readonly failureDetectorStatus: () => FailureDetectorStatus,
   ) {}
 
-  /** Whether a node has said of late that it takes reports for the leader of this term. */
+  /** Whether a node's latest status is recent and says that it accepts heartbeats for the leader of this term. */
   isAcceptingHeartbeats(node: string): boolean {
-    const heard = this.#receivedStatuses.get(node);
-    if (heard === undefined || heard.status.term !== this.term()) return false;
+    const received = this.#receivedStatuses.get(node);
+    if (received === undefined || received.status.term !== this.term()) return false;
     const { clock } = this.common.ports;
     return (
-      heard.status.acceptsHeartbeats &&
-      clock.monotonicMs() - heard.receivedAt < this.common.timing.maxHeartbeatIntervalMs
+      received.status.acceptsHeartbeats &&
+      clock.monotonicMs() - received.receivedAt < this.common.timing.maxHeartbeatIntervalMs
     );
   }
 
-  /** Whether a peer of an earlier format has been heard of late. */
+  /** Whether a peer that reads only an earlier format has sent a status within the last worker lease. */
   hasPeerOfEarlierFormat(): boolean {
     const now = this.common.ports.clock.monotonicMs();
     return [...this.#receivedStatuses.values()].some(
@@ -70,7 +70,7 @@
     return this.#silentZones.has(zone);
   }
 
-  /** Zones of which leaders of late heard nobody, and the steady time since. */
+  /** Zones silent to a leader for less than three worker leases, and the monotonic time (ms) since when. */
   recentlySilentZones(): Map<string, number> {
     const from = this.common.ports.clock.monotonicMs() - 3 * this.common.timing.workerLeaseMs;
     return new Map([...this.#silentZones].filter(([, since]) => since > from));
@@ -94,7 +94,7 @@
     return this.common.commands.state.leadership?.term ?? this.common.leadershipView.highestTerm;
   }
 
-  /** What the other nodes are told; it counts the tasks of all jobs, so nothing else asks for it. */
+  /** Builds the status message to the other nodes. It visits every live job, so it is called for nothing else. */
   status(): PeerStatus {
     const { state } = this.common.commands;
     const counts: JobCount[] = [];
@@ -121,15 +121,18 @@
     };
   }
 
-  /** What is known of zones that nobody is heard of: by this node as the leader, or from one. */
+  /** Zones without heartbeats: as this node knows them as the leader, else as peers have reported them. */
   #silentZoneList(): SilentZone[] {
     const { state } = this.common.commands;
     const now = this.common.ports.clock.monotonicMs();
-    const known = state.leadership === null ? this.#silentZones : state.silentZones;
-    return [...known].map(([zone, since]) => ({ zone, silentMs: Math.max(0, Math.round(now - since)) }));
+    const zones = state.leadership === null ? this.#silentZones : state.silentZones;
+    return [...zones].map(([zone, since]) => ({ zone, silentMs: Math.max(0, Math.round(now - since)) }));
   }
 
-  /** Takes over what a peer knows of silent zones; it grows old by itself once nobody tells of it. */
+  /**
+   * Merges the silent zones of a peer: a leader's replace the stored ones, of others the later time is kept. Zones that
+   * peers no longer report need not be removed: `recentlySilentZones` leaves out old entries.
+   */
   #mergeSilentZones(status: PeerStatus, now: number): void {
     if (status.isLeader) this.#silentZones.clear();
     for (const { zone, silentMs } of status.silentZones) {
@@ -154,19 +157,19 @@
   }
 
   /**
-   * Whether a leader vouches, freshly enough for the bound on cancellations, that no waiting
-   * job needs one that was cancelled. Its word may have been held back: the time of day tells.
+   * Whether a leader has confirmed, recently enough for the bound on cancellations, that no waiting job depends on a
+   * cancelled one. Its status message may have been delayed, so its age is taken from the epoch time that it states.
    */
   areDependenciesResolved(): boolean {
-    const fresh = this.common.timing.cancelTimeoutMs / 2 - 2 * this.common.settings.cluster.clock_error_ms;
+    const maxAgeMs = this.common.timing.cancelTimeoutMs / 2 - 2 * this.common.settings.cluster.clock_error_ms;
     const now = this.common.ports.clock.epochMs();
-    if (now - this.#dependenciesResolvedUntil() < fresh) return true;
+    if (now - this.#dependenciesResolvedUntil() < maxAgeMs) return true;
     return [...this.#receivedStatuses.values()].some(
-      ({ status }) => status.isLeader && now - status.dependenciesResolvedUntil < fresh,
+      ({ status }) => status.isLeader && now - status.dependenciesResolvedUntil < maxAgeMs,
     );
   }
 
-  /** Takes in a peer's status. */
+  /** Processes a peer's status. */
   onPeer(status: PeerStatus): void {
     const now = this.common.ports.clock.monotonicMs();
     this.#receivedStatuses.set(status.node, { status, receivedAt: now });
@@ -189,21 +192,22 @@
   }
 
   /**
-   * A node that the state service alone refuses sends users elsewhere. When nobody is
-   * served, staying is better: each removal by the load balancer costs a growing pause.
+   * Whether users should be sent to this node. If the key-value store answers some peer but not this node, the peer
+   * serves users better. If the store answers no node, it is better to stay ready: each removal by the load balancer
+   * costs a pause, longer every time.
    */
   isReady(): boolean {
     const { state } = this.common.commands;
     if (state.machineTypes.size === 0) return false;
-    const stale = 2 * this.common.timing.storeTimeoutMs;
-    if (storeContactAgeMs(this.common) < stale) return true;
+    const maxAgeMs = 2 * this.common.timing.storeTimeoutMs;
+    if (storeContactAgeMs(this.common) < maxAgeMs) return true;
     const now = this.common.ports.clock.monotonicMs();
-    let heard = this.#receivedStatuses.size === 0;
+    let hasPeerContact = this.#receivedStatuses.size === 0;
     for (const { status, receivedAt } of this.#receivedStatuses.values()) {
-      if (now - receivedAt < stale / 2 && status.storeContactAgeMs < stale / 2) return false;
-      heard ||= now - receivedAt < stale;
+      if (now - receivedAt < maxAgeMs / 2 && status.storeContactAgeMs < maxAgeMs / 2) return false;
+      hasPeerContact ||= now - receivedAt < maxAgeMs;
     }
-    // Alone without the state service and all peers, it is this node that is cut off.
-    return heard;
+    // Without contact to the key-value store and to all peers, this node itself is partitioned.
+    return hasPeerContact;
   }
 }
--- a/test/readiness.test.ts
+++ b/test/readiness.test.ts
@@ -3,7 +3,7 @@
 import { seeded, Simulation } from './emulators/simulation.js';
 
 test('followers without traffic stay ready while the store answers them', async () => {
-  // They heard of it only when their long watch ended, and called themselves refused.
+  // Without regular reads the store answers them only when a long watch ends, and they conclude that it refuses them.
   const world = new Simulation(seeded(3));
   for (let at = 2000; at <= 40_000; at += 500) {
     await world.clock.runUntil(at);
