--- a/src/core/fleet/cloud-listing.ts
+++ b/src/core/fleet/cloud-listing.ts
@@ -1,4 +1,4 @@
-/** What the cloud says of machines: its list of instances, and its confirmations of their termination. */
+/** Updates the machine registry from the cloud's list of instances and its confirmations of terminations. */
 import type { Effect } from '../effects.js';
 import { MAX_TRACKED_MACHINES } from '../limits.js';
 import { log } from '../log.js';
@@ -11,10 +11,10 @@
 import { takePendingHeartbeat } from './pending-heartbeats.js';
 import { TerminationReason } from './termination-reasons.js';
 
-/** New machines named in the log line about a listing. */
+/** Maximum number of new machines named in the log line about a listing. */
 const MAX_LOGGED_NAMES = 5;
 
-/** Removes machines that the cloud has confirmed to be gone, with all that was on them. */
+/** Removes machines whose termination the cloud has confirmed, and releases all claims on them. */
 export function removeTerminated(state: CoreState, names: readonly string[], effects: Effect[]): void {
   for (const name of names) {
     state.terminatedMachines.add(name);
@@ -37,7 +37,7 @@
 
 function applyListedMachine(state: CoreState, entry: ListedMachine, now: Now): void {
   const machine = getOrCreateMachine(state, entry.name, now);
-  // A new leader may have heartbeats of a machine before its listing, which alone tells its age.
+  // A new leader may receive heartbeats of a machine before the cloud's list, and only the list states its age.
   machine.provisionedAt = Math.min(machine.provisionedAt, now.monotonicMs - entry.ageS * 1000);
   if (machine.type === '') {
     machine.type = entry.type;
@@ -50,7 +50,7 @@
   if (entry.stage === 'failed') markForTermination(machine, TerminationReason.instanceFailed);
 }
 
-/** Takes in the cloud's list of instances; those that are not known yet are registered. */
+/** Applies the cloud's list of instances: registers new ones, and ignores those whose termination is confirmed. */
 export function applyListing(
   state: CoreState,
   listed: readonly ListedMachine[],
@@ -63,7 +63,7 @@
     if (!state.machines.has(entry.name)) added.push(entry.name);
     applyListedMachine(state, entry, now);
   }
-  // One line for all: a failover registers a whole fleet at once.
+  // One log line names all new machines, because a new leader registers the whole fleet from one list.
   if (added.length > 0)
     log(effects, 'machines adopted', {
       machines: added.length,
--- a/src/core/fleet/failure-detection.ts
+++ b/src/core/fleet/failure-detection.ts
@@ -1,7 +1,7 @@
 /**
- * Failure detection: which machines are given up, and after how long a silence. A machine whose silence has a
- * common cause with that of others (a network partition, a fault of this node) is given more time, for all of
- * them would have to boot anew.
+ * Failure detection: which machines are terminated, and after how long without a heartbeat. Machines whose
+ * silence has a common cause (a network partition, a fault of this node) get a longer timeout, because
+ * terminating them would cost a boot for each.
  */
 import type { Effect } from '../effects.js';
 import { losesObjectiveWithin } from '../jobs/objectives.js';
@@ -14,18 +14,18 @@
 import { isMassUnresponsive, isUnresponsive } from './response-tracking.js';
 import { TerminationReason } from './termination-reasons.js';
 
-/** Worker leases that a machine of a partitioned zone may be silent for, at most. */
+/** Longest silence of a machine in a partitioned zone, in worker leases. */
 const MAX_PARTITION_LEASES = 3;
-/** Boot times after which a machine that never reported has failed to boot. */
+/** A machine that has not reported within this many boot times has failed to boot. */
 const MAX_BOOT_FACTOR = 3;
 /** Boot time of a machine of unknown type, in seconds. */
 const DEFAULT_BOOT_S = 60;
-/** Intervals of silence after which a machine past its termination notice is gone. */
+/** A machine past its termination notice is gone after this many of the longest heartbeat intervals of silence. */
 const RECLAIMED_SILENCE_INTERVALS = 1.5;
-/** Share of the silence timeout after which a machine that holds tasks of ended jobs is given up. */
+/** Share of the silence timeout after which a silent machine that holds tasks of ended jobs is terminated. */
 const ENDED_WORK_TIMEOUT_SHARE = 0.5;
 
-/** What one pass over the machines goes by. */
+/** Inputs of one pass over the machines. */
 interface DetectionPass {
   readonly state: CoreState;
   readonly now: Now;
@@ -33,7 +33,7 @@
   readonly isMassUnresponsive: boolean;
 }
 
-/** Whether some task on a machine loses an objective if it waits for `waitMs` more. */
+/** Whether some job with tasks on a machine loses an objective if they wait for another `waitMs`. */
 function losesByWaiting(state: CoreState, machine: Machine, waitMs: number, now: Now): boolean {
   for (const { job } of machine.claims.values())
     if (job.finalStage === null && losesObjectiveWithin(state, job, waitMs, now)) return true;
@@ -41,8 +41,9 @@
 }
 
 /**
- * Whether most tasks of a hanging machine gain by waiting rather than running again now. Its host accepts
- * connections, so the worker may go on at any moment within its lease.
+ * Whether at least half of a hanging machine's tasks lose no objective if they wait for another `waitMs` instead
+ * of running again elsewhere now. Its host accepts connections, so the worker may resume at any moment within
+ * its lease.
  */
 function isWorthWaiting(state: CoreState, machine: Machine, waitMs: number, now: Now): boolean {
   let losing = 0;
@@ -60,40 +61,42 @@
 }
 
 /**
- * Milliseconds that a machine of a partitioned zone may be silent. It probably comes back; but once its lease
- * must have expired and no follower relays it either, tasks that would lose an objective need not wait. A
- * leader without contact to any machine presumes that the fault is its own, and waits for all.
+ * Longest silence of a machine in a partitioned zone, in milliseconds. The machine probably comes back. Only if
+ * its tasks would lose an objective by waiting does the shorter silence timeout apply: by then its lease must have
+ * expired, and no follower has relayed it either. A leader without contact to any machine assumes that the
+ * fault is its own, and applies the longer timeout to all of them.
  */
 function partitionTimeoutMs(pass: DetectionPass, machine: Machine, silentMs: number): number {
   const { state, now, health } = pass;
   const { silenceTimeoutMs, workerLeaseMs } = state.config.timing;
   const longestMs = MAX_PARTITION_LEASES * workerLeaseMs;
-  const isGivenUpEarly =
-    !health.hearsNobody &&
+  const timesOutEarly =
+    !health.hasLostAllContact &&
     silentMs > silenceTimeoutMs &&
     losesByWaiting(state, machine, longestMs - silentMs, now);
-  return isGivenUpEarly ? silenceTimeoutMs : longestMs;
+  return timesOutEarly ? silenceTimeoutMs : longestMs;
 }
 
 /**
- * Milliseconds that a machine which never reported to this leader may be silent. Many of them are one event:
- * the previous leader, partitioned but within its authority, may hold them alive. A machine without
- * tasks loses nothing by being given up, and may be a stale entry of the cloud's list.
+ * Longest silence of a machine that never reported to this leader, in milliseconds. Many such machines have a
+ * common cause: the previous leader, partitioned but within its authority window, may still be answering them,
+ * so they get a longer timeout. A machine without tasks does not: terminating it loses no work, and it may be
+ * a stale entry of the cloud's list.
  */
 function neverReportedTimeoutMs(pass: DetectionPass, machine: Machine, silentMs: number): number {
   const { state, health } = pass;
   const { timing } = state.config;
   if (health.partitionedZones.has(machine.zone)) return partitionTimeoutMs(pass, machine, silentMs);
-  const mayBeHeldElsewhere =
+  const mayReportToPreviousLeader =
     health.isMassNeverReported && machine.cloudStage === 'running' && machine.claims.size > 0;
-  return mayBeHeldElsewhere
+  return mayReportToPreviousLeader
     ? timing.authorityWindowMs + timing.workerLeaseMs + timing.maxHeartbeatIntervalMs
     : timing.silenceTimeoutMs;
 }
 
 /**
- * Whether a machine that never reported holds tasks of ended jobs for too long. Each failover begins the wait
- * for heartbeats anew, and cancelled work must end within its limit all the same.
+ * Whether a machine that never reported has held tasks of ended jobs for too long. Each failover restarts the
+ * wait for heartbeats, but the tasks of a cancelled job must still end within their time limit.
  */
 function holdsEndedWorkTooLong(
   { state, health }: DetectionPass,
@@ -116,7 +119,7 @@
   );
 }
 
-/** Why a machine that has never reported to this leader is given up; null: it is not. */
+/** The reason to terminate a machine that has never reported to this leader; null if there is none. */
 function checkNeverReported(pass: DetectionPass, machine: Machine): TerminationReason | null {
   const { state, now, health } = pass;
   const { lastRelayedAt } = machine;
@@ -128,13 +131,13 @@
   const silentMs = now.monotonicMs - Math.min(machine.discoveredAt, zoneSilentSince ?? Infinity);
   const shouldBeUp = machine.cloudStage === 'running' || machine.claims.size > 0;
   if (!shouldBeUp) return hasFailedToBoot(pass, machine, silentMs) ? TerminationReason.neverBooted : null;
-  const isGivenUp =
+  const isTimedOut =
     silentMs > neverReportedTimeoutMs(pass, machine, silentMs) ||
     holdsEndedWorkTooLong(pass, machine, silentMs);
-  return isGivenUp ? TerminationReason.neverReported : null;
+  return isTimedOut ? TerminationReason.neverReported : null;
 }
 
-/** Milliseconds that a machine which has reported before may be silent. */
+/** Longest silence of a machine that has reported before, in milliseconds. */
 function silenceTimeoutMs(pass: DetectionPass, machine: Machine, silentMs: number, hangs: boolean): number {
   const { state, now, health } = pass;
   const { timing } = state.config;
@@ -144,7 +147,7 @@
   return health.isMassSilence ? timing.silenceTimeoutMs : timing.shortSilenceTimeoutMs;
 }
 
-/** Why a machine that has reported before is given up for its silence; null: it is not. */
+/** The reason to terminate a machine that has reported before and is silent now; null if there is none. */
 function checkSilence(pass: DetectionPass, machine: Machine, silentMs: number): TerminationReason | null {
   const { state, now } = pass;
   const hangs = isHanging(state, machine, now);
@@ -154,7 +157,7 @@
   return isOverEndedLimit && hasEndedWork(machine) ? TerminationReason.silentWithEndedWork : null;
 }
 
-/** Why a machine is given up; null: it is not. Tasks are evicted from one that the cloud reclaims. */
+/** The reason to terminate a machine; null if there is none. Also evicts tasks before the cloud reclaims it. */
 function checkMachine(pass: DetectionPass, machine: Machine): TerminationReason | null {
   const { state, now } = pass;
   if (isUnreachable(machine)) return TerminationReason.unreachable;
@@ -170,8 +173,8 @@
 }
 
 /**
- * Marks machines for termination that are silent, unreachable or unresponsive, never came up, or hold
- * cancelled work without contact; probes those whose heartbeat is overdue.
+ * Marks machines for termination that are silent, unreachable or unresponsive, failed to boot, were reclaimed, or
+ * hold tasks of ended jobs without contact. Probes machines whose heartbeat is overdue.
  */
 export function detectFailures(state: CoreState, now: Now, effects: Effect[]): void {
   const pass: DetectionPass = {
--- a/src/core/fleet/graceful-eviction.ts
+++ b/src/core/fleet/graceful-eviction.ts
@@ -4,10 +4,10 @@
 import type { CoreState } from '../state.js';
 import { expectedEnd } from './expected-end.js';
 
-/** Heartbeat intervals that a stop command and the report of a saved checkpoint take together, at most. */
+/** Longest time that a stop command and the report of the saved checkpoint take together, in heartbeat intervals. */
 const EVICTION_INTERVALS = 2;
 
-/** Whether a task has time to run on and save a checkpoint later. */
+/** Whether a task can keep running for now because there will still be time to save a checkpoint later. */
 function canSaveLater(state: CoreState, { job }: LiveClaim, reclaimedAt: number, now: Now): boolean {
   const { checkpointS, saveS } = job.spec;
   const neededMs = saveS * 1000 + EVICTION_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
@@ -15,9 +15,9 @@
 }
 
 /**
- * Stops the tasks that are not expected to end before the machine is reclaimed (a monotonic time, in
- * milliseconds), so that they run elsewhere the sooner. Those that can save a checkpoint are stopped as late
- * as it is safe.
+ * Stops the tasks that are not expected to end before `reclaimedAt`, the monotonic time in milliseconds at which
+ * the cloud reclaims the machine, so that they run elsewhere sooner. Tasks that can save a checkpoint are stopped
+ * as late as is safe.
  */
 export function evictBeforeReclaim(state: CoreState, machine: Machine, reclaimedAt: number, now: Now): void {
   for (const claim of machine.claims.values()) {
--- a/src/core/fleet/health-summary.ts
+++ b/src/core/fleet/health-summary.ts
@@ -1,68 +1,68 @@
 /**
- * The fleet's health in one pass over the machines, made at each tick: which zones report, which are
- * partitioned, and whether so many machines are silent together that it is one event.
+ * Health of the fleet, determined in one pass over the machines at each tick: which zones report, which are
+ * partitioned, and whether so many machines are silent that a common cause is likely.
  */
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import { isExpectedToReport } from './probes.js';
 
-/** A zone of which a smaller share reports may be partitioned, or this node be. */
+/** If less than this share of a zone's machines reports, the zone or this node may be partitioned. */
 const MIN_REPORTING_SHARE = 0.5;
 /** If more than this share of machines is silent, the fault may be this node's own. */
 const MAX_SILENT_SHARE = 0.3;
-/** Every machine that can report does so within so many of the longest heartbeat intervals. */
+/** Every machine that can report does so within this many of the longest heartbeat intervals. */
 const REPORTING_INTERVALS = 1.1;
-/** A machine is silent after so many intervals. */
+/** A machine is silent after this many of the longest heartbeat intervals without contact. */
 const SILENT_INTERVALS = 3;
-/** A zone is partitioned if more than this share of its running machines is silent, */
+/** A zone is partitioned only if more than this share of its running machines is silent. */
 const MIN_PARTITION_SHARE = 0.9;
-/** and at least so many. */
+/** A zone is partitioned only if at least this many of its machines are silent. */
 const MIN_PARTITION_MACHINES = 3;
-/** Intervals that a new leader gives machines to report for the first time, once some have done so, */
+/** Heartbeat intervals that a new leader gives machines for their first heartbeat, once some have reported. */
 const FIRST_REPORT_INTERVALS = 3;
-/** and while none has. */
+/** Heartbeat intervals that a new leader gives machines for their first heartbeat, while none has reported. */
 const FIRST_REPORT_INTERVALS_WITHOUT_CONTACT = 1.5;
 
 interface ZoneCounts {
-  /** Machines that are expected to report, and those of them that do. */
+  /** Machines that are expected to report, and how many of them do. */
   expected: number;
   reporting: number;
-  /** Machines that should be up, and those of them that are silent. */
+  /** Machines that should be up, and how many of them are silent. */
   running: number;
   silent: number;
-  /** Monotonic time at which any of them was last heard of, in milliseconds. */
+  /** Monotonic time in milliseconds of the latest heartbeat of any of these, or discovery of one without any. */
   lastContactAt: number;
 }
 
 interface FleetCounts {
-  /** Machines that had time to report to this leader, and those of them that do. */
+  /** Machines that have had time to report to this leader, and how many of them do. */
   expected: number;
   reporting: number;
-  /** Machines that should be up, and those of them that never reported to this leader. */
+  /** Machines that should be up, and how many of them never reported to this leader. */
   running: number;
   neverReported: number;
-  /** Machines that have reported to this leader, and those of them silent now. */
+  /** Machines that have reported to this leader, and how many of them are silent now. */
   known: number;
   silent: number;
-  /** Monotonic time of the latest heartbeat, or of the start of the leadership, in milliseconds. */
+  /** Monotonic time in milliseconds of the latest heartbeat, or of the start of the leadership if that is later. */
   lastHeartbeatAt: number;
 }
 
-/** What the failure detector asks of the fleet as a whole. */
+/** Facts about the whole fleet that failure detection needs. */
 export interface HealthSummary {
-  /** Zones most of whose machines have sent a heartbeat within the longest interval. */
+  /** Zones in which at least `MIN_REPORTING_SHARE` of the machines report. */
   readonly reachableZones: ReadonlySet<string>;
-  /** Zones all of whose machines fell silent together. */
+  /** Zones of which nearly all machines are silent. */
   readonly partitionedZones: ReadonlySet<string>;
-  /** Some zone is partitioned, and no machine at all has sent a heartbeat of late. */
-  readonly hearsNobody: boolean;
-  /** So many of the machines that have reported are silent that it is one event. */
+  /** Some zone is partitioned, and no machine of any zone has sent a heartbeat for `SILENT_INTERVALS`. */
+  readonly hasLostAllContact: boolean;
+  /** So many of the machines that have reported are silent that a common cause is likely. */
   readonly isMassSilence: boolean;
-  /** The same of running machines that never reported to this leader. */
+  /** So many of the machines that should be up never reported to this leader that a common cause is likely. */
   readonly isMassNeverReported: boolean;
 }
 
-/** One pass over the machines: what it goes by, and what it has counted. */
+/** Inputs and counts of one pass over the machines. */
 interface SummaryPass {
   readonly state: CoreState;
   readonly now: Now;
@@ -72,23 +72,24 @@
   readonly zones: Map<string, ZoneCounts>;
 }
 
-/** Whether a machine should be up; one still booting says nothing. */
+/** Whether a machine should be up. The silence of a machine that is still booting is no evidence. */
 const shouldBeUp = ({ terminationReason, lastHeartbeatAt, cloudStage, claims }: Machine): boolean =>
   terminationReason === null && (lastHeartbeatAt !== null || cloudStage === 'running' || claims.size > 0);
 
 /**
- * Finds the zones all of whose machines fell silent together: rather a network partition than so many deaths,
- * for a wave of spot reclamations leaves some behind. Terminating them would cost a boot of each, whereas the
- * end of the partition brings proof of their tasks at once.
+ * Finds the zones of which nearly all machines are silent. The likely cause is a network partition and not the
+ * failure of so many machines, because a wave of spot reclamations leaves some of them running. Terminating the
+ * machines would cost a boot for each, whereas their heartbeats prove which tasks still run as soon as the
+ * partition ends.
  */
 function findPartitionedZones({ state, now, zones }: SummaryPass): Set<string> {
   const { maxHeartbeatIntervalMs } = state.config.timing;
   const partitioned = new Set<string>();
   for (const [zone, { silent, running, lastContactAt }] of zones) {
-    // A machine known from claims alone has no zone, and is probably gone.
+    // A machine known only from claims has no zone, and is probably gone.
     if (zone === '' || silent < MIN_PARTITION_MACHINES || silent <= MIN_PARTITION_SHARE * running) continue;
     partitioned.add(zone);
-    // What an earlier leader saw of the partition counts: otherwise each failover would begin the wait anew.
+    // A start of the silence that an earlier leader recorded is kept: otherwise each failover would restart the wait.
     state.silentZones.set(zone, Math.min(lastContactAt, state.silentZones.get(zone) ?? Infinity));
   }
   for (const zone of state.silentZones.keys()) {
@@ -124,7 +125,7 @@
     lastHeartbeatAt > now.monotonicMs - REPORTING_INTERVALS * maxHeartbeatIntervalMs;
   zone.expected += 1;
   if (isReporting) zone.reporting += 1;
-  // A machine silent for a whole lease is a case of its own, and says nothing of this node's contact.
+  // The silence of a machine for a whole lease is its own fault, and no evidence about this node's contact.
   const isExpected =
     lastHeartbeatAt === null ? pass.isFirstReportDue : lastHeartbeatAt > now.monotonicMs - workerLeaseMs;
   if (!isExpected) return;
@@ -157,10 +158,10 @@
   if (silentMs > SILENT_INTERVALS * state.config.timing.maxHeartbeatIntervalMs) fleet.silent += 1;
 }
 
-/** An empty pass over the machines, with the time since which this leader has waited for heartbeats. */
+/** Creates an empty pass, in which the time without heartbeats counts from the start of the leadership. */
 function beginPass(state: CoreState, now: Now): SummaryPass {
   const leaderSince = state.leadership?.since ?? now.monotonicMs;
-  // A leader without any contact need not wait as long as one whose machines report one after another.
+  // A leader without any contact needs a shorter wait than one whose machines report one after another.
   const hasContact = state.health !== null && state.health.neverReported < state.health.running;
   const firstReportMs =
     (hasContact ? FIRST_REPORT_INTERVALS : FIRST_REPORT_INTERVALS_WITHOUT_CONTACT) *
@@ -182,7 +183,7 @@
   };
 }
 
-/** Counts the machines, keeps the counts in `state.health`, and returns what the failure detector needs. */
+/** Counts the machines, stores the counts in `state.health`, and returns what failure detection needs. */
 export function summarizeHealth(state: CoreState, now: Now): HealthSummary {
   const pass = beginPass(state, now);
   for (const machine of state.machines.values()) countMachine(pass, machine);
@@ -193,7 +194,7 @@
   return {
     reachableZones: findReachableZones(pass.zones),
     partitionedZones,
-    hearsNobody:
+    hasLostAllContact:
       partitionedZones.size > 0 && silentMs >= SILENT_INTERVALS * state.config.timing.maxHeartbeatIntervalMs,
     isMassSilence: silent > MAX_SILENT_SHARE * known,
     isMassNeverReported: neverReported > MAX_SILENT_SHARE * running,
--- a/src/core/fleet/heartbeats.ts
+++ b/src/core/fleet/heartbeats.ts
@@ -1,6 +1,7 @@
 /**
- * Heartbeat processing: what a worker's heartbeat with status proves about its machine. A claim ends on proof
- * alone: the worker reports the task's exit, or an authoritative heartbeat does not list it.
+ * Heartbeat processing: what a worker's heartbeat with status proves about its machine. A heartbeat ends a claim
+ * only if it proves that the task is gone: it reports the task's exit, it begins a new agent epoch, or it is
+ * authoritative and does not list the task.
  */
 import type { Effect } from '../effects.js';
 import { log } from '../log.js';
@@ -10,16 +11,16 @@
 import type { Heartbeat } from '../types.js';
 import { dropAllImages } from './image-cache.js';
 import { getOrCreateMachine } from './machines.js';
-import { isSignOfLife, observeResponse } from './response-tracking.js';
+import { observeResponse, provesLiveness } from './response-tracking.js';
 import { attemptKey, recordTaskExit, recordTaskStage } from './task-reports.js';
 
-/** Whether a task need not run any more, whatever its worker reports. */
+/** Whether a task no longer needs to run, regardless of what its worker reports. */
 const isObsolete = ({ job, task, stopRequested }: LiveClaim): boolean =>
   job.finalStage !== null || stopRequested || isDone(job, task);
 
 /**
- * Releases every claim of a machine that the heartbeat proves absent, and forgets the exits that the worker
- * no longer lists. Only an authoritative heartbeat proves absence.
+ * Releases every claim of a machine whose task the heartbeat proves absent, and drops the exits that the worker no
+ * longer lists. Within an agent epoch, only an authoritative heartbeat proves absence.
  */
 function releaseAbsentClaims(
   state: CoreState,
@@ -31,7 +32,7 @@
   for (const { job, task, attempt } of heartbeat.tasks) listed.add(attemptKey(job, task, attempt));
   for (const [key, claim] of [...machine.claims]) {
     if (claim.agentEpoch < heartbeat.agentEpoch) {
-      // In a new epoch the worker has killed and forgotten all tasks of the one before.
+      // A worker begins a new agent epoch without any task of the previous one: it has killed them.
       releaseClaim(state, claim, false);
     } else if (isAuthoritative && !listed.has(`${key}#${claim.attempt}`)) {
       // This heartbeat is newer than any start sent, and no earlier leader's response can
@@ -42,12 +43,12 @@
   for (const name of [...machine.exits.keys()]) if (!listed.has(name)) machine.exits.delete(name);
 }
 
-/** Whether a heartbeat is newer than the latest one taken in. */
+/** Whether a heartbeat is newer than the latest one that was applied. */
 const isNewer = (machine: Machine, { agentEpoch, sequence }: Heartbeat): boolean =>
   agentEpoch > machine.agentEpoch ||
   (agentEpoch === machine.agentEpoch && sequence > machine.heartbeatSequence);
 
-/** The first heartbeat describes its machine; a record made from claims alone has no type or zone. */
+/** Copies the machine's description from its first heartbeat; a record made from claims has no type or zone. */
 function adoptDescription(state: CoreState, machine: Machine, heartbeat: Heartbeat, now: Now): void {
   if (machine.lastHeartbeatAt !== null && machine.type !== '') return;
   machine.type = heartbeat.type;
@@ -61,7 +62,7 @@
 function recordContact(state: CoreState, machine: Machine, isAuthoritative: boolean, now: Now): void {
   machine.leaseExpired = false;
   machine.firstHeartbeatAt ??= now.monotonicMs;
-  if (isSignOfLife(state, machine, isAuthoritative, now)) {
+  if (provesLiveness(state, machine, isAuthoritative, now)) {
     machine.lastHeartbeatAt = now.monotonicMs;
     machine.failedProbes = 0;
   }
@@ -70,15 +71,16 @@
 }
 
 /**
- * Records that a machine has answered a direct command. It may be held by another controller then, unless
- * its lease has expired; one whose heartbeats reach no controller stays held for as long as it answers.
+ * Records that a machine has answered a direct command. Another controller may be answering its heartbeats, unless
+ * its lease has expired: otherwise a machine whose heartbeats reach no controller would count as in contact for
+ * as long as it answers direct commands.
  */
-function recordDirectAnswer(machine: Machine, hasRestarted: boolean, now: Now): void {
-  machine.leaseExpired ||= hasRestarted;
+function recordDirectAnswer(machine: Machine, hasNewEpoch: boolean, now: Now): void {
+  machine.leaseExpired ||= hasNewEpoch;
   if (!machine.leaseExpired) machine.lastRelayedAt = now.monotonicMs;
 }
 
-/** Records the cloud's notice that it reclaims the machine. */
+/** Records the cloud's notice that it will reclaim the machine. */
 function recordTerminationNotice(
   state: CoreState,
   machine: Machine,
@@ -104,15 +106,16 @@
 }
 
 /**
- * Takes in a heartbeat. `direct`: it came as the answer to a direct command, not from the worker itself.
- * Returns false if it is not newer than what is known; then it changes nothing.
+ * Applies a heartbeat. `isDirectAnswer`: it is the answer to a direct command, and was not sent by the worker on
+ * its own. Returns false, without any effect on the machine's state, if the machine has been terminated or the
+ * heartbeat is not newer than the latest one.
  */
 export function applyHeartbeat(
   state: CoreState,
   heartbeat: Heartbeat,
   now: Now,
   effects: Effect[],
-  direct: boolean,
+  isDirectAnswer: boolean,
 ): boolean {
   if (state.terminatedMachines.has(heartbeat.machine)) return false;
   const isKnown = state.machines.has(heartbeat.machine);
@@ -120,19 +123,23 @@
   if (!isNewer(machine, heartbeat)) return false;
   if (!isKnown) state.unexpected.push(heartbeat.machine);
   adoptDescription(state, machine, heartbeat, now);
-  if (!direct) observeResponse(state, machine, heartbeat, now);
-  const hasRestarted = heartbeat.agentEpoch > machine.agentEpoch && machine.agentEpoch > 0;
-  if (hasRestarted) dropAllImages(state, machine);
+  if (!isDirectAnswer) observeResponse(state, machine, heartbeat, now);
+  const hasNewEpoch = heartbeat.agentEpoch > machine.agentEpoch && machine.agentEpoch > 0;
+  if (hasNewEpoch) dropAllImages(state, machine);
   machine.address = heartbeat.address;
   machine.agentEpoch = heartbeat.agentEpoch;
   machine.heartbeatSequence = heartbeat.sequence;
   // The answer to a direct command may overtake a start that is still on its way in the
-  // response to a heartbeat, so only heartbeats prove that something is absent.
-  const isAuthoritative = !direct && heartbeat.token === (state.leadership?.term ?? 0);
-  if (direct) recordDirectAnswer(machine, hasRestarted, now);
+  // response to a heartbeat, so only heartbeats prove that a task is absent.
+  const isAuthoritative = !isDirectAnswer && heartbeat.token === (state.leadership?.term ?? 0);
+  if (isDirectAnswer) recordDirectAnswer(machine, hasNewEpoch, now);
   else recordContact(state, machine, isAuthoritative, now);
-  // A notice in a heartbeat with an earlier token may be as old as the heartbeat.
-  if (heartbeat.terminationNoticeS !== null && machine.reclaimedAt === null && (isAuthoritative || direct))
+  // A heartbeat with an earlier token may be a late duplicate with an outdated termination notice.
+  if (
+    heartbeat.terminationNoticeS !== null &&
+    machine.reclaimedAt === null &&
+    (isAuthoritative || isDirectAnswer)
+  )
     recordTerminationNotice(state, machine, heartbeat.terminationNoticeS, now, effects);
   applyTaskReports(state, machine, heartbeat, now);
   releaseAbsentClaims(state, machine, heartbeat, isAuthoritative);
--- a/src/core/fleet/image-cache.ts
+++ b/src/core/fleet/image-cache.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of each machine's image cache. Workers do not report it: a machine is believed to hold the
- * images that its tasks ran from, and to drop the least recently used ones when they no longer fit.
+ * Estimated contents of each machine's image cache. Workers do not report it: a machine is assumed to hold the
+ * images that its tasks ran from, and to evict the least recently used ones when they no longer fit.
  */
 import type { Machine } from '../model.js';
 import type { CoreState } from '../state.js';
@@ -12,14 +12,14 @@
   if (holders?.size === 0) state.machinesByImage.delete(image);
 }
 
-/** Forgets all images of a machine: its worker has restarted, or it is gone. */
+/** Clears the image cache of a machine whose worker has begun a new agent epoch, or that has been terminated. */
 export function dropAllImages(state: CoreState, machine: Machine): void {
   for (const image of [...machine.cachedImages.keys()]) dropImage(state, machine, image);
 }
 
 /** Records that a machine uses an image of `imageGb` gigabytes, and evicts the least recently used. */
 export function recordImageUse(state: CoreState, machine: Machine, image: string, imageGb: number): void {
-  // Deleted first: the map's order is the order of use.
+  // Deleting the image first moves it to the end: the map's insertion order is the order of use.
   machine.cachedImages.delete(image);
   machine.cachedImages.set(image, imageGb);
   const holders = state.machinesByImage.get(image);
--- a/src/core/fleet/index.ts
+++ b/src/core/fleet/index.ts
@@ -1,6 +1,6 @@
 /**
- * Machines: what their heartbeats prove, the commands sent to them, and when they are given up. The area's
- * public interface: code outside the core imports from here alone.
+ * Fleet: heartbeat processing, commands to workers, and failure detection. This is the directory's public
+ * interface: code outside the core imports only from here.
  */
 export * from './cloud-listing.js';
 export * from './expected-end.js';
--- a/src/core/fleet/keepalives.ts
+++ b/src/core/fleet/keepalives.ts
@@ -1,11 +1,11 @@
 /**
- * Keepalives: heartbeats without news that a follower has answered in the leader's place. They say that a
- * machine is up and receives its answers, and nothing else: they prove no task absent and release no claim.
+ * Keepalives: heartbeats without changes that a follower has answered in the leader's place. They prove only that
+ * a machine is up and receives its answers: they do not prove any task absent, and release no claim.
  */
 import type { Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
-/** One machine's latest heartbeat without news, as a follower relays it. */
+/** The latest heartbeat without changes of one machine, as relayed by a follower. */
 export interface Keepalive {
   /** Name of the machine. */
   readonly machine: string;
@@ -16,7 +16,7 @@
   readonly ageMs: number;
 }
 
-/** Takes in a keepalive of a machine that this leader has reconciled; others change nothing. */
+/** Applies a keepalive of a machine that this leader has reconciled, if it is newer than the latest heartbeat. */
 export function applyKeepalive(state: CoreState, keepalive: Keepalive, now: Now): void {
   const machine = state.machines.get(keepalive.machine);
   if (machine === undefined || !machine.isReconciled || machine.lastHeartbeatAt === null) return;
--- a/src/core/fleet/machines.ts
+++ b/src/core/fleet/machines.ts
@@ -1,10 +1,10 @@
-/** The registry of machines: how a record of one begins, and what its state allows. */
+/** Registry of machines: creates their records, marks them for termination, and decides if they get new tasks. */
 import { noResources } from '../placement/resources.js';
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { TerminationReason } from './termination-reasons.js';
 
-/** A machine without heartbeats for so many of the longest heartbeat intervals gets no new tasks. */
+/** A machine without heartbeats for this many of the longest heartbeat intervals gets no new tasks. */
 const SCHEDULABLE_REPORT_AGE_FACTOR = 2;
 
 function createMachine(name: string, discoveryOrder: number, now: Now): Machine {
@@ -56,12 +56,12 @@
   return machine;
 }
 
-/** Marks a machine to be terminated; the first reason given to it stays. It gets no new tasks. */
+/** Marks a machine for termination, after which it gets no new tasks. If it is marked already, its reason stays. */
 export function markForTermination(machine: Machine, reason: TerminationReason): void {
   machine.terminationReason ??= reason;
 }
 
-/** Whether new tasks may be put on a machine now. */
+/** Whether new tasks may be placed on a machine now. */
 export function isSchedulable(state: CoreState, machine: Machine, now: Now): boolean {
   return (
     machine.isReconciled &&
--- a/src/core/fleet/pending-heartbeats.ts
+++ b/src/core/fleet/pending-heartbeats.ts
@@ -1,4 +1,4 @@
-/** Heartbeats that wait for their answer: the worker's request stays open until commands for it are ready. */
+/** Pending heartbeats: a worker's request stays open until the commands that answer it are ready. */
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
@@ -9,7 +9,7 @@
   state.answerable.push(machine);
 }
 
-/** Removes and returns a machine's open heartbeat, which the caller must answer; null if there is none. */
+/** Removes and returns a machine's pending heartbeat, which the caller must answer; null if there is none. */
 export function takePendingHeartbeat(state: CoreState, machine: Machine): Machine['pendingHeartbeat'] {
   const { pendingHeartbeat } = machine;
   machine.pendingHeartbeat = null;
--- a/src/core/fleet/probes.ts
+++ b/src/core/fleet/probes.ts
@@ -1,17 +1,17 @@
 /**
- * Probes: a connection attempt to each machine whose heartbeat is overdue. A machine whose host accepts none,
- * while most machines of its zone report, is dead: its tasks need not wait out the time that a worker without
- * contact to its controller may take to find another.
+ * Probes: connection attempts to machines whose heartbeat is overdue. A machine whose host accepts no connection
+ * while most machines of its zone report counts as dead: its tasks need not wait for as long as a worker without
+ * contact to its controller may take to find another one.
  */
 import type { Effect } from '../effects.js';
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
-/** Probes in a row that must fail before a machine counts as unreachable; a single one may fail by chance. */
+/** Consecutive failed probes after which a machine counts as unreachable; a single probe may fail by chance. */
 const MIN_FAILED_PROBES = 2;
-/** A heartbeat is overdue after so many of the longest heartbeat intervals. */
+/** A heartbeat is overdue after this many of the longest heartbeat intervals. */
 const OVERDUE_INTERVALS = 1.25;
-/** A successful probe says for so many intervals that the host is up. */
+/** After a successful probe, the host counts as up for this many of the longest heartbeat intervals. */
 const REACHABLE_INTERVALS = 2;
 
 const isOverdue = (state: CoreState, machine: Machine, now: Now): boolean =>
@@ -22,7 +22,7 @@
 export const isExpectedToReport = ({ terminationReason, lastHeartbeatAt, claims }: Machine): boolean =>
   terminationReason === null && (lastHeartbeatAt !== null || claims.size > 0);
 
-/** Whether a machine's heartbeat is overdue and no probe of it is under way or was successful of late. */
+/** Whether a machine's heartbeat is overdue, and no probe of it is in progress or has recently succeeded. */
 function needsProbe(state: CoreState, machine: Machine, now: Now): boolean {
   return (
     !machine.isProbing &&
@@ -42,7 +42,7 @@
   now: Now,
   effects: Effect[],
 ): void {
-  // A network partition explains the probes that failed until now; its end must not count them as deaths.
+  // A network partition would explain the failed probes: they must not count against the machine when it ends.
   if (!reachableZones.has(machine.zone)) {
     machine.failedProbes = 0;
   } else if (needsProbe(state, machine, now)) {
@@ -52,8 +52,8 @@
 }
 
 /**
- * Takes in a probe's result. `isReachable`: whether the host accepted the connection; null: the probe
- * could not tell.
+ * Records a probe's result. `isReachable`: whether the host accepted the connection; null if the probe was
+ * inconclusive.
  */
 export function settleProbe(state: CoreState, name: string, isReachable: boolean | null, now: Now): void {
   const machine = state.machines.get(name);
@@ -63,15 +63,15 @@
     machine.failedProbes = 0;
     machine.lastReachableAt = now.monotonicMs;
   } else if (isReachable === false && isOverdue(state, machine, now)) {
-    // A heartbeat, its own or one relayed by a follower, may have come since the probe was sent.
+    // A heartbeat that arrived since the probe was sent, directly or through a follower, makes the failure void.
     machine.failedProbes += 1;
   }
 }
 
-/** Whether a machine's host accepted a probe of late: its worker hangs, or reports to another controller. */
+/** Whether a machine's host recently accepted a probe: its worker then hangs, or reports to another controller. */
 export const isHanging = (state: CoreState, { lastReachableAt }: Machine, now: Now): boolean =>
   lastReachableAt !== null &&
   now.monotonicMs - lastReachableAt < REACHABLE_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
 
-/** Whether so many probes of a machine have failed in a row that it counts as dead. */
+/** Whether enough consecutive probes of a machine have failed for it to count as dead. */
 export const isUnreachable = (machine: Machine): boolean => machine.failedProbes >= MIN_FAILED_PROBES;
--- a/src/core/fleet/response-tracking.ts
+++ b/src/core/fleet/response-tracking.ts
@@ -1,24 +1,24 @@
 /**
  * Response tracking: whether a machine receives the answers to its heartbeats. In a one-way partition its
- * heartbeats arrive and nothing gets back: it looks alive, and would be given task after task that it never
- * starts. A heartbeat may also be a late copy of one sent long ago. An unresponsive machine only gets no new
- * work; its claims still end on proof alone.
+ * heartbeats arrive but the answers are lost: it looks alive, and would be assigned one task after another without
+ * starting any. A heartbeat may also be a late duplicate of one sent long ago. An unresponsive machine gets no new
+ * tasks, but its claims are still released only on proof that their tasks are gone.
  */
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { Heartbeat } from '../types.js';
 import { attemptKey } from './task-reports.js';
 
-/** A worker that got its answer sends the next heartbeat within so many of the longest heartbeat intervals. */
+/** A worker that received its answer sends its next heartbeat within this many longest heartbeat intervals. */
 const MAX_ANSWERED_INTERVALS = 1.25;
 /** If more than this share of machines is unresponsive, the network or this node is at fault. */
 const MAX_UNRESPONSIVE_SHARE = 0.3;
-/** Answers in a row that must be missed before a machine is given up; a single one may be lost by chance. */
+/** Consecutive missed answers before a machine is terminated; a single answer may be lost by chance. */
 const MIN_MISSED_RESPONSES = 2;
 
 /**
- * Records an answer to a machine, with the keys of the attempts that it starts. An answer of an overloaded
- * leader may come after the worker's timeout: whether it is received says nothing.
+ * Records an answer to a machine, with the keys of the attempts that it starts. Answers of an overloaded leader are
+ * not tracked: they may arrive after the worker's timeout, so a missed one is no evidence against the machine.
  */
 export function recordResponse(state: CoreState, machine: Machine, starts: readonly string[]): void {
   machine.lastAnsweredAt = state.isOverloaded ? null : state.monotonicMs;
@@ -36,14 +36,14 @@
   missedResponses >= MIN_MISSED_RESPONSES &&
   now.monotonicMs - unresponsiveSince > state.config.timing.silenceTimeoutMs;
 
-/** Concludes from a heartbeat newer than the latest one whether the answer before it was received. */
+/** Determines from a new heartbeat whether the machine received the answer to its previous one. */
 export function observeResponse(state: CoreState, machine: Machine, heartbeat: Heartbeat, now: Now): void {
   const { maxHeartbeatIntervalMs, workerLeaseMs } = state.config.timing;
   const { lastAnsweredAt, agentEpoch, unacknowledgedStarts } = machine;
   if (lastAnsweredAt === null) return;
   const sinceAnswerMs = now.monotonicMs - lastAnsweredAt;
   const listed = new Set(heartbeat.tasks.map(({ job, task, attempt }) => attemptKey(job, task, attempt)));
-  // A worker has one heartbeat under way at a time: this one was sent after the answer came, or was given up.
+  // A worker sends one heartbeat at a time: it sent this one after it received that answer, or timed out.
   const hasMissedStart =
     heartbeat.agentEpoch === agentEpoch && unacknowledgedStarts.some((start) => !listed.has(start));
   const hasReceivedStart = unacknowledgedStarts.some((start) => listed.has(start));
@@ -60,11 +60,11 @@
 }
 
 /**
- * Whether a heartbeat is a sign of life. One that still carries an earlier token, a whole lease after this
- * leader first answered the machine, is none: it is a late copy, or its worker receives no answers and has
- * stopped its tasks by now.
+ * Whether a heartbeat proves that its machine is alive. It does not if it still carries an earlier token although
+ * this leader has answered the machine and received its first heartbeat a whole worker lease ago: it is a late
+ * duplicate, or its worker receives no answers and has stopped its tasks by now.
  */
-export function isSignOfLife(
+export function provesLiveness(
   state: CoreState,
   machine: Machine,
   isAuthoritative: boolean,
@@ -79,7 +79,7 @@
   );
 }
 
-/** Whether so many machines miss their answers that the fault is not theirs. */
+/** Whether so many machines are unresponsive that the fault is not theirs. */
 export function isMassUnresponsive(state: CoreState): boolean {
   let known = 0;
   let unresponsive = 0;
--- a/src/core/fleet/task-reports.ts
+++ b/src/core/fleet/task-reports.ts
@@ -1,4 +1,4 @@
-/** What a heartbeat says of single tasks: their stages, and how they exited. */
+/** Applies what a heartbeat reports about individual tasks: their stages and exits. */
 import { expectedRun } from '../jobs/jobs.js';
 import { isDone, taskKey, type LiveClaim, type Machine, type Now } from '../model.js';
 import { recordUnclaimedCompletion, releaseClaim } from '../persistence/claims.js';
@@ -7,16 +7,16 @@
 import { recordTaskFailure, recordTaskSuccess } from './fault-attribution.js';
 import { recordImageUse } from './image-cache.js';
 
-/** A run counts as at most so many times its estimate, so that one outlier does not spoil the average. */
+/** Upper limit of a run's ratio of run time to estimate, so that one outlier does not distort the average. */
 const MAX_RUN_TIME_RATIO = 4;
 /** Weight of the latest run in a class's moving average of run time over estimate. */
 const RUN_TIME_RATIO_WEIGHT = 1 / 16;
 
-/** Name of one attempt of a task, unique among all attempts. */
+/** Identifies one attempt among all attempts of all tasks: `job/task#attempt`. */
 export const attemptKey = (job: string, task: number, attempt: number): string =>
   `${taskKey(job, task)}#${attempt}`;
 
-/** Takes a completed run into the moving average of run time over estimate of its class. */
+/** Adds a completed run to its class's moving average of run time over estimate. */
 function updateRunTimeRatio(state: CoreState, { job, runningSince }: LiveClaim, now: Now): void {
   const { estimateS, jobClass } = job.spec;
   if (runningSince === null || estimateS <= 0) return;
@@ -28,7 +28,7 @@
   );
 }
 
-/** Draws the conclusions from how a claimed task exited; the claim is still there. */
+/** Updates fault attribution, run time statistics and retry delay by a task's exit, before its claim is released. */
 function evaluateExit(
   state: CoreState,
   machine: Machine,
@@ -55,27 +55,27 @@
   }
 }
 
-/** Records a task's exit once: its claim is released, and its result is to be written. */
+/** Records a task's exit once: releases its claim, and marks its result to be written to the store. */
 export function recordTaskExit(state: CoreState, machine: Machine, task: ReportedTask, now: Now): void {
   const key = taskKey(task.job, task.task);
-  const name = attemptKey(task.job, task.task, task.attempt);
-  if (machine.exits.has(name)) return;
+  const exitKey = attemptKey(task.job, task.task, task.attempt);
+  if (machine.exits.has(exitKey)) return;
   const claim = machine.claims.get(key);
   const job = state.jobs.get(task.job) ?? null;
   if (claim !== undefined && claim.attempt === task.attempt) {
     evaluateExit(state, machine, claim, task, now);
     const chunk = releaseClaim(state, claim, task.exit === 'done');
-    machine.exits.set(name, { job, chunk, version: chunk.version });
+    machine.exits.set(exitKey, { job, chunk, version: chunk.version });
   } else if (job !== null && job.finalStage === null && task.exit === 'done' && !isDone(job, task.task)) {
     // A completed task's result counts even if this leader holds no claim of it.
     const chunk = recordUnclaimedCompletion(state, job, task.task);
-    machine.exits.set(name, { job, chunk, version: chunk.version });
+    machine.exits.set(exitKey, { job, chunk, version: chunk.version });
   } else {
-    machine.exits.set(name, { job: null, chunk: null, version: 0 });
+    machine.exits.set(exitKey, { job: null, chunk: null, version: 0 });
   }
 }
 
-/** Records the stage that a worker reports of a claimed task. */
+/** Records the stage that a worker reports for a claimed task. */
 export function recordTaskStage(
   state: CoreState,
   machine: Machine,
--- a/src/core/fleet/token-announcement.ts
+++ b/src/core/fleet/token-announcement.ts
@@ -1,24 +1,24 @@
 /**
- * Token announcement: machines that have not seen this leader's fencing token are sent it directly, so that
- * they send their heartbeats here. The calls are limited by a budget, for each costs a connection.
+ * Token announcement: sends this leader's fencing token directly to machines that have not seen it, so that they
+ * send their heartbeats to this leader. A budget limits these calls, because each needs a connection.
  */
 import type { Effect } from '../effects.js';
 import type { Leadership, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
-/** Share of an interval's direct calls that go out at once if the previous leader may be alive still. */
+/** Share of an interval's direct calls made right after a failover if the previous leader may still be alive. */
 const EARLY_CALL_SHARE = 0.25;
-/** A machine that sent a heartbeat, or was sent the token, within so many intervals is not called. */
-const QUIET_INTERVALS = 2;
+/** A machine that sent a heartbeat, or was sent the token, within this many heartbeat intervals is not called. */
+const RECENT_CONTACT_INTERVALS = 2;
 
-/** The agent epoch to send the token with; the worker answers a wrong guess with the right one. */
+/** The agent epoch to send with the token. If it is wrong, the worker's answer contains the right one. */
 function presumedAgentEpoch(machine: Machine): number {
   if (machine.agentEpoch > 0) return machine.agentEpoch;
   for (const { agentEpoch } of machine.claims.values()) return agentEpoch;
   return 1;
 }
 
-/** Refills the budget of direct calls up to now, and returns it. */
+/** Adds the direct calls allowed since the last refill to the budget, and returns it. */
 function refillCallBudget(state: CoreState, lead: Leadership, now: Now): Leadership['directCallBudget'] {
   const { timing, maxDirectCallsPerInterval } = state.config;
   const { directCallBudget } = lead;
@@ -40,25 +40,28 @@
 }
 
 function isRecent(state: CoreState, at: number | null, now: Now): boolean {
-  return at !== null && now.monotonicMs - at < QUIET_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
+  return (
+    at !== null &&
+    now.monotonicMs - at < RECENT_CONTACT_INTERVALS * state.config.timing.maxHeartbeatIntervalMs
+  );
 }
 
 /** Whether a machine should be sent the token now. */
 function needsToken(state: CoreState, machine: Machine, now: Now): boolean {
   if (machine.isReconciled || machine.address === '' || machine.terminationReason !== null) return false;
-  // Only what the cloud lists, or a claim names, is connected to: heartbeats under
-  // invented names could otherwise use up every socket.
+  // Connects only to machines that the cloud lists as running or that hold claims: heartbeats
+  // with invented machine names could otherwise exhaust the sockets.
   if (machine.cloudStage !== 'running' && machine.claims.size === 0) return false;
-  // The answer to its heartbeat carries the token by itself.
+  // The answer to the machine's heartbeat already carries the token.
   if (isRecent(state, machine.lastHeartbeatAt, now)) return false;
   return !isRecent(state, machine.tokenSentAt, now);
 }
 
 /**
- * Sends this leader's token to machines that have not seen it. Right after a failover from a leader that may
- * be alive, a few are called: a partitioned leader goes on answering them, and the token that they carry back
- * tells it of its successor. The others get one heartbeat interval to come by themselves: a leader that calls
- * all of them at once has no time left to take in their heartbeats before their leases expire.
+ * Sends this leader's token to machines that have not seen it. Right after a failover from a leader that may still
+ * be alive, only a few are called: a partitioned leader keeps answering them, and learns of its successor from the
+ * token in their next heartbeats. The other machines get one heartbeat interval to report on their own: a leader
+ * that calls all of them together has no time left to process their heartbeats before their leases expire.
  */
 export function announceToken(state: CoreState, now: Now, effects: Effect[]): void {
   const lead = state.leadership;
--- a/src/core/fleet/worker-commands.ts
+++ b/src/core/fleet/worker-commands.ts
@@ -1,4 +1,4 @@
-/** The answer to a heartbeat: which tasks its worker is to start, stop and forget. */
+/** Answers to heartbeats: the commands to start, stop and forget tasks. */
 import { settleAttention } from '../attention.js';
 import type { Effect } from '../effects.js';
 import { isDone, isExitDurable, taskKey, type Machine } from '../model.js';
@@ -9,7 +9,7 @@
 import { recordResponse } from './response-tracking.js';
 import { attemptKey } from './task-reports.js';
 
-/** Whether some start for this machine is still waiting to be committed. */
+/** Whether a start for this machine is still waiting for the commit of its claim. */
 export function awaitsCommit(state: CoreState, machine: Machine): boolean {
   for (const claim of machine.claims.values()) {
     if (!claim.startSent && claim.job.finalStage === null && !isDurable(state, claim)) return true;
@@ -17,7 +17,7 @@
   return false;
 }
 
-/** The command about a task that the worker lists; null: there is none. */
+/** The command for a task that the worker lists; null if it needs none. */
 function commandForListed(machine: Machine, listed: ReportedTask): WorkerCommand | null {
   const { job, task, attempt, stage } = listed;
   if (stage === 'exited') {
@@ -36,7 +36,7 @@
   return null;
 }
 
-/** Adds the starts of claims that are durable and not listed yet; drops unsent claims that are obsolete. */
+/** Adds start commands for durable claims that are not listed yet; releases obsolete claims that were never sent. */
 function addStarts(
   state: CoreState,
   machine: Machine,
@@ -47,7 +47,7 @@
     if (claim.agentEpoch !== machine.agentEpoch) continue;
     const { job, task, attempt } = claim;
     if (job.finalStage !== null || claim.stopRequested || isDone(job, task)) {
-      // No leader has sent its start, and none will.
+      // No leader has sent this start or will send it, so the task cannot be on the machine.
       if (!claim.startSent) releaseClaim(state, claim, false);
     } else if (!listed.has(key) && isDurable(state, claim)) {
       claim.startSent = true;
@@ -56,7 +56,7 @@
   }
 }
 
-/** The commands for a worker in answer to the heartbeat last taken in. */
+/** The commands that answer a machine's latest heartbeat. */
 function commandsFor(state: CoreState, machine: Machine): WorkerCommand[] {
   const commands: WorkerCommand[] = [];
   const listed = new Set<string>();
@@ -65,12 +65,12 @@
     const command = commandForListed(machine, reported);
     if (command !== null) commands.push(command);
   }
-  // A job may have been cancelled since a view that is not fresh was read: nothing is started from one.
+  // Nothing is started while the view of the jobs is stale: a job may have been cancelled since it was read.
   if (machine.isReconciled && hasFreshView(state)) addStarts(state, machine, listed, commands);
   return commands;
 }
 
-/** Answers a machine's open heartbeat with its commands; does nothing if there is none, or no leadership. */
+/** Answers a machine's pending heartbeat with its commands; sends nothing if there is none, or no leadership. */
 export function answerHeartbeat(state: CoreState, machine: Machine, effects: Effect[]): void {
   const lead = state.leadership;
   const pending = takePendingHeartbeat(state, machine);
