--- a/src/core/autoscaling/capacity-plan.ts
+++ b/src/core/autoscaling/capacity-plan.ts
@@ -1,6 +1,6 @@
 /**
- * The capacity plan: the machines that there are and will be, with their free resources over time, and the
- * instances to request. It is made anew for each scale-out decision.
+ * The capacity plan: existing and expected machines, with their free resources over time, and the instances to
+ * request. A new plan is made for each scale-out decision.
  */
 import { expectedEnd } from '../fleet/expected-end.js';
 import { isBestEffort } from '../jobs/best-effort.js';
@@ -13,37 +13,37 @@
 import { newPlannedMachine, type PlannedMachine } from './planned-machine.js';
 import { StartQueue } from './start-queue.js';
 
-/** A machine late to boot is expected within this share of its boot time from now. */
+/** The remaining boot time of a machine is estimated as at least this share of its full boot time. */
 const LATE_BOOT_SHARE = 0.5;
-/** Heartbeat intervals that a stop command and the report of a saved checkpoint take together, at most. */
+/** Longest time that a stop command and the report of the saved checkpoint take together, in heartbeat intervals. */
 const PREEMPTION_INTERVALS = 2;
 
-/** Planned machines that jobs of one shape may use, by their earliest start. */
+/** Planned machines that jobs of one shape may use, ordered by their earliest start. */
 export interface Candidates {
   readonly spot: StartQueue;
   readonly onDemand: StartQueue;
 }
 
-/** The candidates of one job shape, with a job of that shape as the pattern. */
+/** The candidates of one job shape: of jobs with the same resource requests and constraints. */
 export interface ShapeCandidates {
   readonly spec: JobSpec;
-  /** Jobs of this shape can use several types, and leave the constrained ones to others. */
+  /** Jobs of this shape can use several machine types, and leave constrained types to jobs that need them. */
   readonly isFlexible: boolean;
   readonly candidates: Candidates;
 }
 
-/** Machines of one kind that the plan asks for. */
+/** The number of instances of one kind that the plan requests. */
 export interface RequestedKind {
   readonly kind: InstanceKind;
   count: number;
 }
 
-/** One plan: all machines with what is planned on them, and the instances that are missing. */
+/** One plan: all machines with the tasks planned on them, and the instances to request. */
 export interface CapacityPlan {
   readonly state: CoreState;
   readonly now: Now;
   readonly machines: PlannedMachine[];
-  /** Types that some class in demand can use nothing but. */
+  /** Machine types that are the only one that some class with recent arrivals can use. */
   readonly constrainedTypes: ReadonlySet<string>;
   /** Instances to request, by the kind's key. */
   readonly requested: Map<string, RequestedKind>;
@@ -55,7 +55,7 @@
 
 /**
  * Whether a machine is known only from heartbeats that do not carry this leader's token: they may be late
- * copies of those of a machine that is gone.
+ * duplicates from a machine that no longer exists.
  */
 const isUnconfirmed = ({
   lastHeartbeatAt,
@@ -66,7 +66,7 @@
 }: Machine): boolean =>
   lastHeartbeatAt !== null && !isReconciled && provisionedAt >= discoveredAt && claims.size === 0;
 
-/** Whether the plan may count on a machine. */
+/** Whether the plan may use a machine. */
 const isPlannable = (machine: Machine): boolean =>
   machine.terminationReason === null &&
   machine.reclaimedAt === null &&
@@ -74,8 +74,9 @@
   !isUnconfirmed(machine);
 
 /**
- * Monotonic time in milliseconds at which a best-effort task's resources can be had for other work, at the
- * cost of saving a checkpoint; Infinity: the task is not preempted. The plan finds such a task another place.
+ * Monotonic time in milliseconds at which a best-effort task's resources become free for other tasks if it is
+ * preempted now and saves a checkpoint; Infinity: the task is not preempted. The plan places the preempted task
+ * again.
  */
 function preemptibleAt(state: CoreState, { spec }: JobState, now: Now): number {
   if (spec.checkpointS === 0 || !isBestEffort(state, spec)) return Infinity;
@@ -116,7 +117,7 @@
   };
 }
 
-/** The machines that there are and that have been requested, in the order in which the plan fills them. */
+/** Existing and requested machines, in the order in which the plan fills them. */
 function planMachines(state: CoreState, now: Now): PlannedMachine[] {
   const planned: PlannedMachine[] = [];
   for (const machine of state.machines.values()) {
@@ -130,14 +131,14 @@
     for (let i = 0; i < request.count; i += 1)
       planned.push(newPlannedMachine(type, request.zone, request.spot, now));
   }
-  // Busy machines come first, then those with most cached images: the idle ones with the
-  // fewest fall out of use.
+  // Busy machines come first, then those with the most cached images, so that the idle machines
+  // with the fewest cached images remain unused.
   const imageCount = ({ machine }: PlannedMachine): number =>
     state.machines.get(machine ?? '')?.cachedImages.size ?? 0;
   return planned.sort((a, b) => Number(b.isBusy) - Number(a.isBusy) || imageCount(b) - imageCount(a));
 }
 
-/** A plan of the present machines, with nothing planned on them yet. */
+/** Creates a plan of the existing and requested machines, with no tasks planned on them yet. */
 export function createCapacityPlan(state: CoreState, now: Now): CapacityPlan {
   const machines = planMachines(state, now);
   const counts = new Map<string, number>();
@@ -156,7 +157,7 @@
   };
 }
 
-/** Asks for one more instance of a kind. */
+/** Adds one more instance of a kind to the plan's requests. */
 export function requestInstance(plan: CapacityPlan, kind: InstanceKind): void {
   const key = instanceKindKey(kind.type.name, kind.zone, kind.spot);
   const requested = plan.requested.get(key) ?? { kind, count: 0 };
@@ -165,7 +166,7 @@
   plan.counts.set(key, (plan.counts.get(key) ?? 0) + 1);
 }
 
-/** Whether jobs like this one may use a planned machine, and do not leave it to others. */
+/** Whether jobs with this spec may use a planned machine, and need not leave it to jobs that can use no other type. */
 export function mayUse(
   plan: CapacityPlan,
   spec: JobSpec,
@@ -191,13 +192,17 @@
 }
 
 /**
- * Adds an instance that is requested for the jobs with candidates `own` to the plan, as a candidate of every
- * shape that may use it.
+ * Adds a requested instance to the plan, as a candidate of every shape that may use it.
+ * `requesterCandidates`: the candidates of the job that it is requested for.
  */
-export function addCandidate(plan: CapacityPlan, planned: PlannedMachine, own: Candidates): void {
+export function addCandidate(
+  plan: CapacityPlan,
+  planned: PlannedMachine,
+  requesterCandidates: Candidates,
+): void {
   plan.machines.push(planned);
   for (const { spec, isFlexible, candidates } of plan.shapes.values()) {
-    if (candidates !== own && !mayUse(plan, spec, isFlexible, planned)) continue;
+    if (candidates !== requesterCandidates && !mayUse(plan, spec, isFlexible, planned)) continue;
     (planned.spot ? candidates.spot : candidates.onDemand).add(planned);
   }
 }
--- a/src/core/autoscaling/demand-history.ts
+++ b/src/core/autoscaling/demand-history.ts
@@ -1,6 +1,6 @@
 /**
- * Demand history: how many tasks of each class there are at once, and how often jobs of it arrive. It is the
- * measure of the headroom kept for classes that cannot wait for a boot, and is stored for the next leader.
+ * Demand history: how many tasks of each class would run concurrently, and how often its jobs arrive. It
+ * determines the headroom for classes that cannot wait for a machine to boot, and is stored for the next leader.
  */
 import type { Effect } from '../effects.js';
 import { expectedRun, isReady } from '../jobs/jobs.js';
@@ -15,14 +15,14 @@
 import { isFaultyJob } from '../placement/resources.js';
 import type { CoreState } from '../state.js';
 
-/** Classes of which the history is stored, at most. */
+/** Maximum number of classes whose history is stored. */
 const MAX_SAVED_CLASSES = 20;
 /** Weight of the latest gap in the moving average of the gaps between arrivals. */
 const ARRIVAL_GAP_WEIGHT = 1 / 8;
-/** Share of the decay time that a new class's gap between arrivals is assumed to be. */
+/** Initial estimate of a new class's gap between arrivals, as a share of the demand decay time. */
 const INITIAL_GAP_SHARE = 1 / 8;
 
-/** Counts a job's arrival, or its becoming ready, in the demand of its class. */
+/** Counts a job in the demand of its class once it has arrived and is ready. */
 function recordArrival(state: CoreState, job: JobState, now: Now): void {
   const { spec } = job;
   const known = state.demand.get(spec.jobClass);
@@ -42,7 +42,7 @@
   });
 }
 
-/** Drops arrivals that would have ended, and lets the peak decay down to what is left. */
+/** Drops arrivals that would have ended by now or are faulty, and decays the peak down to the tasks of the rest. */
 function updatePeak(state: CoreState, demand: Demand, now: Now): void {
   demand.arrivals = demand.arrivals.filter(({ until, job }) => until > now.monotonicMs && !isFaultyJob(job));
   const current = demand.arrivals.reduce((sum, { job }) => sum + job.spec.tasks, 0);
@@ -52,9 +52,9 @@
 }
 
 /**
- * Updates how many tasks of each class would be running now had each started on arrival, and the decaying
- * peak of that. A backlog does not count: it has built up for lack of capacity, and headroom for all of it
- * would stand idle as soon as it is worked off.
+ * Updates the number of tasks of each class that would be running now if each had started on arrival, and the
+ * decaying peak of that number. A backlog is not counted: it is caused by a lack of capacity, and headroom for all
+ * of it would be idle as soon as the backlog is processed.
  */
 export function updateDemandHistory(state: CoreState, now: Now): void {
   for (const job of state.jobs.values()) {
@@ -66,19 +66,19 @@
   for (const demand of state.demand.values()) updatePeak(state, demand, now);
 }
 
-/** The history of the first classes, in stored form. */
+/** The stored form of the history, limited to the first `MAX_SAVED_CLASSES` classes. */
 function demandRecords(state: CoreState): ClassDemandRecord[] {
   const classes: ClassDemandRecord[] = [];
   for (const [name, { spec, peak, meanArrivalGap }] of state.demand) {
     if (classes.length >= MAX_SAVED_CLASSES) break;
-    // The dependencies are those of one job, and not of its class.
+    // Dependencies belong to a single job, not to its class.
     const { awaits: _, ...pattern } = spec;
     classes.push({ spec: pattern, peak, gap: meanArrivalGap, ratio: state.runTimeRatio.get(name) ?? 1 });
   }
   return classes;
 }
 
-/** Stores the demand history once per worker lease, so that the next leader begins with it. */
+/** Stores the demand history once per worker lease, so that the next leader can start from it. */
 export function saveDemandHistory(state: CoreState, now: Now, effects: Effect[]): void {
   const lead = state.leadership;
   if (lead === null || now.monotonicMs < state.nextDemandSaveAt) return;
@@ -98,7 +98,7 @@
   );
 }
 
-/** Begins with the demand history that an earlier leader has stored. */
+/** Restores the demand history that an earlier leader has stored. */
 export function restoreDemandHistory(
   state: CoreState,
   classes: readonly ClassDemandRecord[],
--- a/src/core/autoscaling/headroom-planning.ts
+++ b/src/core/autoscaling/headroom-planning.ts
@@ -1,6 +1,7 @@
 /**
- * Headroom: capacity for classes that cannot wait for a boot, provisioned ahead of their arrival. Their
- * waiting tasks alone would not request it: they get their turn, late, before a new machine could be up.
+ * Headroom: capacity for classes that cannot wait for a machine to boot, provisioned before their jobs arrive.
+ * Planning their waiting tasks alone would not request it: they would be placed, too late, on existing machines
+ * before a new one could be up.
  */
 import { expectedEnd } from '../fleet/expected-end.js';
 import { allowedWait } from '../jobs/objectives.js';
@@ -14,21 +15,21 @@
 import { availableKinds, cheapestBalancedKind, type InstanceKind } from './instance-kinds.js';
 import type { PlannedMachine } from './planned-machine.js';
 
-/** Tasks counted on one machine at most, for tasks that request next to nothing. */
+/** Maximum number of tasks counted on one machine; bounds the count for tasks with nearly empty requests. */
 const MAX_TASKS_PER_MACHINE = 2000;
-/** Boot times without an arrival after which no more arrivals of a class are expected. */
+/** Number of boot times without an arrival after which no more arrivals of a class are expected. */
 const MAX_ARRIVAL_GAP_BOOTS = 2;
 
-/** The headroom of one class, as far as it is not covered yet. */
+/** The part of a class's headroom that is not covered yet. */
 interface HeadroomGap {
   readonly spec: JobSpec;
-  /** The class can use several types, and leaves the constrained ones to others. */
+  /** The class can use several machine types, and leaves constrained types to jobs that need them. */
   readonly isFlexible: boolean;
   /** How long its tasks may wait, in milliseconds. */
   readonly allowedWaitMs: number;
-  /** Tasks for which instances are missing. */
+  /** Tasks for which instances have to be requested. */
   missing: number;
-  /** Tasks for which nothing is up now. */
+  /** Tasks for which no machine is up now. */
   missingNow: number;
 }
 
@@ -43,7 +44,7 @@
   return count;
 }
 
-/** The shortest boot time of a type that a class can use, in seconds; Infinity: none can hold its tasks. */
+/** Shortest boot time of the machine types that can hold a class's tasks, in seconds; Infinity if none can. */
 function shortestBootS(state: CoreState, spec: JobSpec): number {
   let shortest = Infinity;
   for (const type of state.machineTypes.values())
@@ -51,13 +52,13 @@
   return shortest;
 }
 
-/** Whether no more arrivals of a class are expected, by its usual gap or by the length of a boot. */
+/** Whether no more arrivals of a class are expected: none has come for several mean gaps, or several boot times. */
 function hasEnded({ lastArrivalAt, meanArrivalGap }: Demand, bootS: number, now: Now): boolean {
   const maxGapMs = Math.min(MAX_ARRIVAL_GAPS * meanArrivalGap, MAX_ARRIVAL_GAP_BOOTS * 1000 * bootS);
   return now.monotonicMs - lastArrivalAt > maxGapMs;
 }
 
-/** How many tasks of a class a machine could hold in time, beside the tasks of others that stay on it. */
+/** How many tasks of a class fit on a machine within their allowed wait, next to longer tasks of other classes. */
 function countTasksOn({ state, now }: CapacityPlan, gap: HeadroomGap, planned: PlannedMachine): number {
   const { spec, allowedWaitMs } = gap;
   const resources = resourcesOf(planned.type);
@@ -70,8 +71,8 @@
 }
 
 /**
- * Covers a gap with the plan's spot or on-demand machines. `isLasting`: they make instances unnecessary;
- * otherwise they only stand in until those are up.
+ * Covers a gap with the plan's spot or on-demand machines. `isLasting`: they replace instances that would be
+ * requested otherwise; if false, they only cover the time until those instances are up.
  */
 function coverWithMachines(plan: CapacityPlan, gap: HeadroomGap, spot: boolean, isLasting: boolean): void {
   for (const planned of plan.machines) {
@@ -84,7 +85,7 @@
   }
 }
 
-/** Requests instances for what is missing still. */
+/** Requests instances for the tasks that are not covered yet. */
 function coverWithInstances(plan: CapacityPlan, gap: HeadroomGap, kinds: readonly InstanceKind[]): void {
   while (gap.missing > 0) {
     const kind = cheapestBalancedKind(plan.counts, kinds);
@@ -96,8 +97,8 @@
 }
 
 /**
- * Plans headroom for a class that cannot wait for a boot: capacity for its recent peak of tasks at once, times
- * the policy's factor.
+ * Plans headroom for a class that cannot wait for a machine to boot: capacity for its recent peak of concurrent
+ * tasks, multiplied by the policy's headroom factor.
  */
 export function planHeadroom(plan: CapacityPlan, demand: Demand): void {
   const { state, now, constrainedTypes } = plan;
@@ -110,7 +111,7 @@
   const gap: HeadroomGap = { spec, isFlexible, allowedWaitMs, missing: needed, missingNow: needed };
   const spotKinds = availableKinds(state, spec, constrainedTypes, isFlexible, now).filter(({ spot }) => spot);
   coverWithMachines(plan, gap, true, true);
-  // On-demand machines stand in until spot ones are up, or replace them where none can be had.
+  // On-demand machines cover the time until spot machines are up, or replace them if none can be requested.
   coverWithMachines(plan, gap, false, spotKinds.length === 0);
   coverWithInstances(plan, gap, spotKinds);
 }
--- a/src/core/autoscaling/index.ts
+++ b/src/core/autoscaling/index.ts
@@ -1,6 +1,6 @@
 /**
- * Autoscaling: provisioning and termination of machines. The area's public interface: code outside the core
- * imports from here alone.
+ * Autoscaling: provisioning and termination of machines. This is the directory's public interface: code outside
+ * the core imports only from here.
  */
 export * from './capacity-plan.js';
 export * from './demand-history.js';
--- a/src/core/autoscaling/instance-kinds.ts
+++ b/src/core/autoscaling/instance-kinds.ts
@@ -5,12 +5,12 @@
 import type { JobSpec, MachineType } from '../types.js';
 
 /**
- * How many times its price a type costs jobs that can use others, while some jobs can use nothing else.
+ * Price factor of a constrained type, which is the only type that some class can use, for jobs that can use others.
  */
 const CONSTRAINED_TYPE_PRICE_FACTOR = 4;
-/** Prices within this ratio of one another count as the same. */
+/** Prices within this ratio of each other count as equal. */
 const SAME_PRICE_RATIO = 1.001;
-/** Keeps the division by a request of nothing finite. */
+/** Lower limit of a request in divisions, so that a request of zero gives a finite result. */
 const MIN_REQUEST = 1e-6;
 
 /** What one provisioning request is for: a machine type in a zone, spot or on-demand. */
@@ -18,7 +18,7 @@
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
-  /** Price of the share of it that one task takes. */
+  /** Price of the share of an instance that one task takes, times the factor for constrained types. */
   readonly pricePerTask: number;
 }
 
@@ -35,7 +35,7 @@
   return Math.max(1, Math.floor(count));
 }
 
-/** Whether the cloud has lately failed to provide instances of a kind. */
+/** Whether the cloud has recently failed to provide instances of a kind. */
 function isBlocked(state: CoreState, type: string, zone: string, spot: boolean, now: Now): boolean {
   const blockedUntil = state.provisioningBlockedUntil.get(instanceKindKey(type, zone, spot)) ?? 0;
   return blockedUntil > now.monotonicMs;
@@ -43,7 +43,7 @@
 
 /**
  * Kinds of instance that may be requested for a job now, cheapest per task first. `isFlexible`: the job can
- * use several types, and leaves the constrained ones to others if it can.
+ * use several machine types, and constrained types are rated more expensive for it.
  */
 export function availableKinds(
   state: CoreState,
@@ -69,8 +69,8 @@
 }
 
 /**
- * The kind to request next: among the cheapest ones the one with the fewest machines so far, by
- * `counts` of the kinds' keys. More is left then after a zone's partition or a wave of spot reclamations.
+ * The kind to request next: of the cheapest kinds, the one with the fewest machines so far. More machines are then
+ * left after a partition of a zone or a wave of spot reclamations. `counts`: machines by the kind's key.
  * `kinds`: cheapest first.
  */
 export function cheapestBalancedKind(
--- a/src/core/autoscaling/planned-machine.ts
+++ b/src/core/autoscaling/planned-machine.ts
@@ -1,6 +1,6 @@
 /**
- * A machine in the capacity plan: the resources that it has free over time. The plan only estimates where
- * tasks could start; placement decides where they do.
+ * A machine in the capacity plan, with its free resources over time. The plan only estimates where tasks could
+ * start; placement decides where they do.
  */
 import { allocate, fits, release, resourcesOf } from '../placement/resources.js';
 import type { Now } from '../model.js';
@@ -8,22 +8,22 @@
 
 /** A machine that is up, booting, requested or only planned, with its free resources over time. */
 export interface PlannedMachine {
-  /** Its name; null: it is not provisioned yet. */
+  /** Name of the machine; null: it is not provisioned yet. */
   readonly machine: string | null;
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
   /** Monotonic time in milliseconds from which tasks can start on it. */
   readonly readyAt: number;
-  /** What is free before the first of `ends`. */
+  /** Resources that are free before the first of `ends`. */
   readonly free: Resources;
   /** When resources become free, in ascending order of the monotonic time in milliseconds. */
   readonly ends: { at: number; resources: Resources }[];
-  /** It holds claims now. */
+  /** The machine holds claims now. */
   readonly isBusy: boolean;
-  /** The plan puts something on it. */
+  /** The plan uses the machine for tasks or headroom. */
   isUsed: boolean;
-  /** Goes up with each task that the plan puts on it. */
+  /** Incremented with each task that the plan puts on the machine. */
   version: number;
 }
 
--- a/src/core/autoscaling/provisioning.ts
+++ b/src/core/autoscaling/provisioning.ts
@@ -1,4 +1,4 @@
-/** The outcome of provisioning requests. */
+/** Handles the outcome of provisioning requests. */
 import type { Effect } from '../effects.js';
 import { log } from '../log.js';
 import type { Machine, Now, ProvisioningRequest } from '../model.js';
@@ -7,10 +7,10 @@
 
 /** Boot time of a machine of unknown type, in seconds. */
 const DEFAULT_BOOT_S = 30;
-/** A kind that could not be had in full is not requested again for this share of its boot time. */
+/** A kind that the cloud could not provide in full is not requested again for this share of its boot time. */
 const BLOCKED_BOOT_SHARE = 0.5;
 
-/** The names of the instances provisioned, or why there is none; `unknown`: the answer was lost. */
+/** The names of the provisioned instances, or why there are none; `unknown`: the answer was lost. */
 export type ProvisioningOutcome = readonly string[] | 'refused' | 'malformed' | 'unknown';
 
 function registerInstance(machine: Machine, request: ProvisioningRequest): void {
@@ -20,7 +20,7 @@
   machine.provisionedAt = Math.min(machine.provisionedAt, request.requestedAt);
 }
 
-/** Requests no more of a kind for a while, and plans anew at once: other kinds may be had. */
+/** Blocks requests for a kind for some time, and makes the next plan due now: other kinds may be available. */
 function blockKind(state: CoreState, { type, zone, spot }: ProvisioningRequest, now: Now): void {
   if (state.nextPlanAt > 0) state.nextPlanAt = 1;
   const bootMs = (state.machineTypes.get(type)?.bootS ?? DEFAULT_BOOT_S) * 1000;
@@ -31,8 +31,8 @@
 }
 
 /**
- * Takes in the outcome of a provisioning request: registers its machines, and blocks a kind that could not be
- * had in full. A request of unknown outcome is sent again: it is idempotent by its id.
+ * Handles the outcome of a provisioning request: registers its machines, and blocks a kind that the cloud could
+ * not provide in full. A request of unknown outcome is sent again: its id is an idempotency key.
  */
 export function settleProvisioning(
   state: CoreState,
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -1,4 +1,4 @@
-/** Scaling in: the termination of machines that are idle or have been given up. */
+/** Scaling in: requests the termination of machines that are idle or marked for termination. */
 import type { Effect } from '../effects.js';
 import { markForTermination } from '../fleet/machines.js';
 import { TerminationReason } from '../fleet/termination-reasons.js';
@@ -6,12 +6,12 @@
 import { isExitDurable, type Machine, type Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
-/** Machines terminated in one request, at most. */
+/** Maximum number of machines in one termination request. */
 const MAX_TERMINATIONS_PER_REQUEST = 100;
-/** The cloud bills at least so much of a machine's time: ending it sooner saves nothing. */
+/** The cloud bills at least this much time of a machine, in milliseconds: terminating it sooner saves nothing. */
 const MIN_BILLED_MS = 60_000;
 
-/** Whether a machine has had no use for longer than the policy keeps such a machine. */
+/** Whether a machine has no use and has been idle for longer than the policy's idle timeout. */
 function hasIdledTooLong(state: CoreState, machine: Machine, now: Now): boolean {
   const type = state.machineTypes.get(machine.type);
   if (type === undefined || machine.claims.size > 0 || machine.lastHeartbeatAt === null) return false;
@@ -25,7 +25,7 @@
   return true;
 }
 
-/** Whether the cloud has been asked to terminate a machine so lately that its answer may still come. */
+/** Whether the termination of a machine was requested so recently that the cloud may still answer. */
 function isTerminationPending(state: CoreState, { terminationRequestedAt }: Machine, now: Now): boolean {
   return (
     terminationRequestedAt !== null &&
--- a/src/core/autoscaling/scale-out.ts
+++ b/src/core/autoscaling/scale-out.ts
@@ -1,4 +1,4 @@
-/** Scaling out: how many instances are provisioned, and of what kind. */
+/** Scaling out: decides how many instances of which kind are provisioned. */
 import type { Effect } from '../effects.js';
 import { waitingTasks } from '../jobs/jobs.js';
 import { isBestEffort } from '../jobs/best-effort.js';
@@ -14,10 +14,10 @@
 import { planHeadroom } from './headroom-planning.js';
 import { planTasks } from './task-planning.js';
 
-/** Instances in one provisioning request, at most. */
+/** Maximum number of instances in one provisioning request. */
 const MAX_INSTANCES_PER_REQUEST = 50;
 
-/** Plans the tasks of a job that wait, and those that may be preempted by what the plan puts before them. */
+/** Plans a job's waiting tasks, and its placed tasks too if jobs planned earlier may preempt them. */
 function planJob(plan: CapacityPlan, job: JobState): void {
   const { state, now } = plan;
   const isPreemptible = isBestEffort(state, job.spec) && job.spec.checkpointS > 0;
@@ -26,7 +26,7 @@
   planTasks(plan, job, taskCount, latestStart(state, job, now), isFlexible);
 }
 
-/** Sends the provisioning requests for all machines of a kind at once, so that they boot together. */
+/** Sends the provisioning requests for all instances of a kind in one step, so that they boot concurrently. */
 function provision(
   state: CoreState,
   lead: Leadership,
@@ -49,8 +49,8 @@
 }
 
 /**
- * Plans the waiting tasks onto machines up and booting, and provisions instances for those that would start
- * too late. Classes that cannot wait for a boot get headroom ahead of their arrival.
+ * Plans the waiting tasks onto machines that are up or booting, and provisions instances for tasks that would start
+ * too late. Classes that cannot wait for a machine to boot get headroom before their jobs arrive.
  */
 export function scaleOut(state: CoreState, now: Now, effects: Effect[]): void {
   const lead = state.leadership;
--- a/src/core/autoscaling/start-queue.ts
+++ b/src/core/autoscaling/start-queue.ts
@@ -1,4 +1,4 @@
-/** A priority queue of planned machines by the earliest start that each offers to tasks of one request. */
+/** Priority queue of planned machines, ordered by the earliest start of tasks with one resource request. */
 import TinyQueue from 'tinyqueue';
 import type { ResourceRequest } from '../types.js';
 import { earliestStart, occupy, type PlannedMachine } from './planned-machine.js';
@@ -8,14 +8,14 @@
   readonly index: number;
   /** Monotonic time of the earliest start, in milliseconds. */
   readonly at: number;
-  /** The machine's version when `at` was worked out. */
+  /** The machine's version when `at` was computed. */
   readonly version: number;
 }
 
 /**
- * Planned machines by their earliest start. What is put on a machine only ever makes its starts later, so an
- * entry that was worked out before its machine changed is renewed when it comes to the front: a plan's cost
- * follows the sum of tasks and machines, not their product.
+ * Planned machines, ordered by their earliest start. A task put on a machine can only delay the starts on it, so an
+ * entry that is out of date is recomputed only when it reaches the front: the cost of a plan grows with the sum of
+ * tasks and machines, not with their product.
  */
 export class StartQueue {
   readonly #byStart = new TinyQueue<QueueEntry>([], (a, b) => a.at - b.at || a.index - b.index);
@@ -43,7 +43,7 @@
     return index;
   }
 
-  /** The machine with the earliest start, the first of several, and that start; null: none has one. */
+  /** The machine with the earliest start (the first added of several), and that start; null: no task ever fits. */
   first(): { readonly index: number; readonly at: number } | null {
     for (;;) {
       const front = this.#byStart.peek();
@@ -54,7 +54,7 @@
     }
   }
 
-  /** Puts a task on the machine at this index, from and until a monotonic time in milliseconds. */
+  /** Puts a task on the machine at this index; `from` and `until` are monotonic times in milliseconds. */
   occupy(index: number, from: number, until: number): void {
     const planned = this.machines[index];
     if (planned !== undefined) occupy(planned, this.request, from, until);
--- a/src/core/autoscaling/task-planning.ts
+++ b/src/core/autoscaling/task-planning.ts
@@ -1,4 +1,4 @@
-/** Plans a job's waiting tasks onto the machines of a capacity plan, and requests what is missing. */
+/** Plans a job's waiting tasks onto the machines of a capacity plan, and requests the instances that are missing. */
 import { expectedRun } from '../jobs/jobs.js';
 import { isBestEffort, isCostSensitive } from '../jobs/best-effort.js';
 import type { JobState } from '../model.js';
@@ -14,31 +14,31 @@
 import { newPlannedMachine } from './planned-machine.js';
 import type { StartQueue } from './start-queue.js';
 
-/** A plan covers at most so many tasks of one job, or more if the fleet is large: */
+/** Maximum number of tasks of one job in a plan; a large fleet allows more, see `PLANNED_TASKS_PER_MACHINE`. */
 const MAX_PLANNED_TASKS = 2000;
-/** so many for each machine. */
+/** Maximum number of tasks of one job in a plan for each machine of the fleet, if that makes more. */
 const PLANNED_TASKS_PER_MACHINE = 2;
 
-/** What a job's tasks are planned by. */
+/** Inputs for planning a job's tasks. */
 interface TaskPlan {
   readonly candidates: Candidates;
   /** Kinds of instance that may be requested, cheapest first. */
   readonly kinds: readonly InstanceKind[];
-  /** Monotonic time in milliseconds by which the tasks are to start. */
+  /** Monotonic time in milliseconds by which the tasks should start. */
   readonly latestStartAt: number;
   readonly runMs: number;
   /** The job does not use on-demand machines. */
   readonly isSpotOnly: boolean;
 }
 
-/** Key of what jobs of the same candidates have in common; null: the job has candidates of its own. */
+/** Key shared by jobs with the same candidates; null: the job has failed on some machines, and shares none. */
 function shapeKey({ spec, failedMachines }: JobState): string | null {
   if (failedMachines.size > 0) return null;
   const { cpus, gpus, memoryGb, types, zone, spot } = spec;
   return JSON.stringify([cpus, gpus, memoryGb, types, zone, spot]);
 }
 
-/** The queue with the earliest start; on-demand machines are for what would be too late on spot ones. */
+/** The queue to start a task from: on-demand only if a spot machine would be too late and on-demand is earlier. */
 function earliestQueue({ candidates, latestStartAt, isSpotOnly }: TaskPlan): StartQueue {
   const { spot, onDemand } = candidates;
   const spotStart = spot.first()?.at ?? Infinity;
@@ -55,7 +55,7 @@
   queue.occupy(queue.machines.length - 1, planned.readyAt, planned.readyAt + tasks.runMs);
 }
 
-/** Plans one task at its earliest start; false: neither a machine nor an instance can ever take it. */
+/** Plans one task at its earliest start. Returns false if neither a machine nor a new instance can ever run it. */
 function planTask(plan: CapacityPlan, tasks: TaskPlan): boolean {
   const queue = earliestQueue(tasks);
   const first = queue.first();
@@ -73,9 +73,9 @@
 }
 
 /**
- * Finds each of `count` tasks of a job its earliest start, on a new instance if that would be after
- * `latestStartAt` (monotonic time in milliseconds) otherwise. `isFlexible`: the job can use several types, and
- * leaves the constrained ones to others.
+ * Plans `count` tasks of a job, each at its earliest start. A task that would start after `latestStartAt` (monotonic
+ * time in milliseconds) gets a new instance if it starts sooner there. `isFlexible`: the job can use several machine
+ * types, and leaves constrained types to jobs that need them.
  */
 export function planTasks(
   plan: CapacityPlan,
@@ -86,7 +86,7 @@
 ): void {
   const { state, now, constrainedTypes } = plan;
   const { spec } = job;
-  // Best-effort work fills what is there; only spot instances are requested for it.
+  // Best-effort tasks use existing capacity; only spot instances are requested for them.
   const requestsSpotOnly = spec.spot && isBestEffort(state, spec);
   const kinds = availableKinds(state, spec, constrainedTypes, isFlexible, now).filter(
     ({ spot }) => spot || !requestsSpotOnly,
@@ -108,6 +108,6 @@
   const limit = Math.max(MAX_PLANNED_TASKS, PLANNED_TASKS_PER_MACHINE * state.machines.size);
   let left = Math.min(count, limit);
   while (left > 0 && planTask(plan, tasks)) left -= 1;
-  // A job that excludes some machines has candidates of its own, which no other job asks for.
+  // A job that excludes some machines has its own candidates, which no other job can reuse.
   if (shape === spec.id) plan.shapes.delete(shape);
 }
