--- a/test/correlated-failures.test.ts
+++ b/test/correlated-failures.test.ts
@@ -1,4 +1,7 @@
-/** Many machines lost at once: what is terminated, what runs again, and what a partitioned leader must not request. */
+/**
+ * Loss of many machines at the same time: what is terminated, what runs again, and what a partitioned leader must not
+ * request.
+ */
 import { expect, test } from 'vitest';
 import { RetryBudget } from '../src/adapters/rate-limiter.js';
 import { countLostObjectives, isStartSensitive, latestStart } from '../src/core/jobs/index.js';
@@ -8,21 +11,21 @@
 import { claimTask } from '../src/core/persistence/index.js';
 import { CoreHarness, EIGHT, job, report, task } from './emulators/core-harness.js';
 
-const returned = (effects: readonly Effect[]): string[] =>
+const terminatedBy = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
-const rented = (effects: readonly Effect[]): number =>
+const provisionedCount = (effects: readonly Effect[]): number =>
   effects.reduce((sum, effect) => sum + (effect.kind === 'provision' ? effect.count : 0), 0);
 
-// Of several start objectives of a class the tightest decides how urgent it is, not the last one in the settings.
+// The strictest of a class's start objectives decides how urgent it is, not the last one in the settings.
 test('a class may have several objectives of each kind, and each counts separately', () => {
-  const aims = classObjectives([
+  const objectives = classObjectives([
     { kind: 'wait', class: 'rush', within_s: 3 },
     { kind: 'wait', class: 'rush', within_s: 50 },
     { kind: 'finished', class: 'rush', within_s: 100 },
     { kind: 'deadline', class: 'rush', times: 1.5 },
     { kind: 'deadline', class: 'rush' },
   ]);
-  expect(aims.get('rush')).toEqual({
+  expect(objectives.get('rush')).toEqual({
     startTargetsMs: [3000, 50_000],
     deadlineMultiples: [1, 1.5],
     finishTargetsMs: [100_000],
@@ -30,7 +33,7 @@
   const bench = new CoreHarness();
   (bench.state.config.objectives as Map<string, ClassObjectives>).set(
     'rush',
-    aims.get('rush') as ClassObjectives,
+    objectives.get('rush') as ClassObjectives,
   );
   bench.add(job('req-1', 1, 2, 20, { jobClass: 'rush', priority: 1, deadlineS: 50, submittedAt: bench.now }));
   const [rush] = bench.state.jobs.values();
@@ -44,8 +47,8 @@
   expect(latestStart(bench.state, rush, bench.time())).toBeLessThanOrEqual(bench.now + 3000);
 });
 
-// A partition delays requests to the cloud: terminations of a partitioned leader would take effect after its
-// end, on machines that work for its successor.
+// A partition delays requests to the cloud: terminations requested by a partitioned leader would take effect when
+// the partition ends, on machines that its successor uses.
 test('a leader whose view is stale requests nothing from the cloud', () => {
   const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
@@ -63,44 +66,53 @@
     authorityUntil: Infinity,
   };
   bench.add(job('req-1', 9, 8, 50));
-  expect([returned(bench.do({ kind: 'tick' })), rented(bench.do({ kind: 'tick' }))]).toEqual([[], 0]);
+  expect([terminatedBy(bench.do({ kind: 'tick' })), provisionedCount(bench.do({ kind: 'tick' }))]).toEqual([
+    [],
+    0,
+  ]);
   bench.isViewConfirmed = true;
-  expect(returned(bench.do({ kind: 'tick' }))).toEqual(names);
+  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual(names);
 });
 
-const FAR = ['p', 'q', 'r', 's'];
+const PARTITIONED_MACHINES = ['p', 'q', 'r', 's'];
 
-/** Four machines of zone b, each with a task of a job that has so long; the leader hears only m, of zone a. */
-function apart(deadlineS: number | null, hears = true): CoreHarness {
+/**
+ * Four machines of zone b, each with a running task of a job with this deadline, have fallen silent.
+ * `hasContact`: the leader still receives heartbeats from machine m, of zone a.
+ */
+function createPartitionedZone(deadlineS: number | null, hasContact = true): CoreHarness {
   const bench = new CoreHarness();
-  for (const name of FAR) bench.hear(report(name, 1, [], { zone: 'b' }));
+  for (const name of PARTITIONED_MACHINES) bench.hear(report(name, 1, [], { zone: 'b' }));
   bench.add(job('req-1', 4, 8, 20, { deadlineS, submittedAt: bench.now }));
-  for (const name of FAR) bench.hear(report(name, 2, [], { zone: 'b' }));
-  for (const name of FAR) {
+  for (const name of PARTITIONED_MACHINES) bench.hear(report(name, 2, [], { zone: 'b' }));
+  for (const name of PARTITIONED_MACHINES) {
     const [claim] = bench.state.machines.get(name)?.claims.values() ?? [];
     bench.hear(report(name, 3, [task(`req-1/${claim?.task}`, 1, 'running')], { zone: 'b' }));
   }
   bench.now += bench.state.config.timing.silenceTimeoutMs + 500;
-  if (hears) bench.hear(report('m', 1));
+  if (hasContact) bench.hear(report('m', 1));
   return bench;
 }
 
-// After lease expiry nothing in the zone runs any more, so waiting for it gains nothing.
-test('tasks of a partitioned zone that waiting would make late run again after lease expiry', () => {
-  expect(returned(apart(50).do({ kind: 'tick' }))).toEqual(FAR);
-  expect(returned(apart(null).do({ kind: 'tick' }))).toEqual([]);
-  // One that hears nobody at all has lost the workers, not they their zone.
-  expect(returned(apart(50, false).do({ kind: 'tick' }))).toEqual([]);
+// After lease expiry no task in the zone is running any more, so waiting for the zone gains nothing.
+test('tasks of a partitioned zone run again after lease expiry if waiting would make them late', () => {
+  expect(terminatedBy(createPartitionedZone(50).do({ kind: 'tick' }))).toEqual(PARTITIONED_MACHINES);
+  expect(terminatedBy(createPartitionedZone(null).do({ kind: 'tick' }))).toEqual([]);
+  // A leader that receives no heartbeats at all has lost its own contact: the zone is not at fault.
+  expect(terminatedBy(createPartitionedZone(50, false).do({ kind: 'tick' }))).toEqual([]);
 });
 
 // A change of leader must not restart the wait for a partitioned zone.
 test('the time since a zone fell silent survives a change of leader', () => {
-  const before = apart(45);
-  const { timing } = before.state.config;
-  const jobs = [...before.state.jobs.values()].map(({ spec, modRevision }) => ({ value: spec, modRevision }));
-  const next = (quiet: Map<string, number>): string[] => {
+  const previousLeader = createPartitionedZone(45);
+  const { timing } = previousLeader.state.config;
+  const jobs = [...previousLeader.state.jobs.values()].map(({ spec, modRevision }) => ({
+    value: spec,
+    modRevision,
+  }));
+  const terminatedAfterFailover = (silentZones: Map<string, number>): string[] => {
     const bench = new CoreHarness();
-    bench.now = before.now;
+    bench.now = previousLeader.now;
     const { layout, legacyChunkTasks } = bench.state;
     const term = {
       term: 6,
@@ -111,8 +123,8 @@
       chunks: [],
       demandHistory: [],
     };
-    bench.do({ kind: 'becomeLeader', ...term, jobs, silentZones: quiet });
-    const listed = FAR.map((name) => ({
+    bench.do({ kind: 'becomeLeader', ...term, jobs, silentZones });
+    const listed = PARTITIONED_MACHINES.map((name) => ({
       name,
       address: '10.0.0.9:1',
       type: 'eight',
@@ -122,7 +134,7 @@
       ageS: 99,
     }));
     bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: listed });
-    FAR.forEach((name, i) => {
+    PARTITIONED_MACHINES.forEach((name, i) => {
       const machine = bench.state.machines.get(name);
       const owner = bench.state.jobs.get('req-1');
       if (machine !== undefined && owner !== undefined)
@@ -130,10 +142,12 @@
     });
     bench.now += 3 * timing.maxHeartbeatIntervalMs + 500;
     bench.hear(report('m', 1, [], { token: 6 }));
-    return returned(bench.do({ kind: 'tick' }));
+    return terminatedBy(bench.do({ kind: 'tick' }));
   };
-  expect(next(new Map())).toEqual([]);
-  expect(next(new Map([['b', before.now - timing.silenceTimeoutMs]]))).toEqual(FAR);
+  expect(terminatedAfterFailover(new Map())).toEqual([]);
+  expect(terminatedAfterFailover(new Map([['b', previousLeader.now - timing.silenceTimeoutMs]]))).toEqual(
+    PARTITIONED_MACHINES,
+  );
 });
 
 // A task that cannot end before the machine is reclaimed is moved before it is lost.
@@ -141,17 +155,17 @@
   const bench = new CoreHarness();
   for (const name of ['m', 'n', 'o', 'p']) bench.hear(report(name, 1));
   bench.add(job('req-1', 2, 4, 100));
-  const before = bench.hear(report('m', 2));
-  expect(CoreHarness.starts(before)).toHaveLength(2);
+  const startAnswer = bench.hear(report('m', 2));
+  expect(CoreHarness.starts(startAnswer)).toHaveLength(2);
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')];
   bench.hear(report('m', 3, running, { terminationNoticeS: 20 }));
   bench.do({ kind: 'tick' });
-  const told = bench.hear(report('m', 4, running, { terminationNoticeS: 19 }));
-  expect(JSON.stringify(told).match(/"op":"stop"/g)).toHaveLength(2);
+  const stopAnswer = bench.hear(report('m', 4, running, { terminationNoticeS: 19 }));
+  expect(JSON.stringify(stopAnswer).match(/"op":"stop"/g)).toHaveLength(2);
   bench.hear(report('m', 5, [task('req-1/0', 1, 'exited', 'stopped')], { terminationNoticeS: 18 }));
   bench.now += 18_000 + 2 * bench.state.config.timing.maxHeartbeatIntervalMs;
   for (const name of ['n', 'o', 'p']) bench.hear(report(name, 2));
-  expect(returned(bench.do({ kind: 'tick' }))).toEqual(['m']);
+  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual(['m']);
 });
 
 // Requests in small batches would delay a scale-out of hundreds of machines by seconds.
@@ -159,54 +173,54 @@
   const bench = new CoreHarness(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
   bench.now += 1000;
   bench.add(job('req-1', 200, 8, 50));
-  const asked = bench.do({ kind: 'tick' }).filter((effect) => effect.kind === 'provision');
+  const requests = bench.do({ kind: 'tick' }).filter((effect) => effect.kind === 'provision');
   const zones = new Map<string, number>();
-  for (const { zone, count } of asked) zones.set(zone, (zones.get(zone) ?? 0) + count);
+  for (const { zone, count } of requests) zones.set(zone, (zones.get(zone) ?? 0) + count);
   expect(Object.fromEntries(zones)).toEqual({ a: 100, b: 100 });
-  expect(Math.max(...asked.map(({ count }) => count))).toBeLessThanOrEqual(50);
+  expect(Math.max(...requests.map(({ count }) => count))).toBeLessThanOrEqual(50);
 });
 
-const knocked = (effects: readonly Effect[]): string[] =>
+const probedMachines = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'probe' ? [effect.machine] : []));
 
-// Without probes a dead machine is known only after the time a worker may need to try all controllers.
-test('a machine that fails two probes while most of its neighbours report is terminated', () => {
+// Without probes, a dead machine is detected only after the time that a live worker may need to try all controllers.
+test('a machine that fails two probes while most machines of its zone report is terminated', () => {
   const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs, shortSilenceTimeoutMs } = bench.state.config.timing;
   const others = ['n', 'o', 'p'];
   let seq = 0;
-  const hear = (...names: string[]): void => {
+  const sendHeartbeats = (...names: string[]): void => {
     seq += 1;
     for (const name of names) bench.hear(report(name, seq));
   };
-  const met = (machine: string, found: boolean | null): void => {
-    bench.do({ kind: 'probed', machine, isReachable: found });
+  const settleProbe = (machine: string, isReachable: boolean | null): void => {
+    bench.do({ kind: 'probed', machine, isReachable });
   };
-  const from = bench.now;
-  hear('m', ...others);
+  const startedAt = bench.now;
+  sendHeartbeats('m', ...others);
   bench.now += 1.3 * maxHeartbeatIntervalMs;
-  // Nobody of its zone has been heard: that may be a cut, and proves nothing of one machine.
-  expect(knocked(bench.do({ kind: 'tick' }))).toEqual([]);
-  hear(...others);
-  expect(knocked(bench.do({ kind: 'tick' }))).toEqual(['m']);
-  // One knock at a time; one that was not made, or that meets somebody, counts for nothing.
-  expect(knocked(bench.do({ kind: 'tick' }))).toEqual([]);
-  for (const found of [false, null, true, false]) {
-    met('m', found);
-    expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
+  // No machine of its zone has reported: that may be a partition, and is no evidence against a single machine.
+  expect(probedMachines(bench.do({ kind: 'tick' }))).toEqual([]);
+  sendHeartbeats(...others);
+  expect(probedMachines(bench.do({ kind: 'tick' }))).toEqual(['m']);
+  // Only one probe at a time; an inconclusive or successful probe is no evidence against the machine.
+  expect(probedMachines(bench.do({ kind: 'tick' }))).toEqual([]);
+  for (const isReachable of [false, null, true, false]) {
+    settleProbe('m', isReachable);
+    expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual([]);
   }
-  // A time in which the zone was silent takes back what was met until then.
+  // A period in which no machine of the zone reports resets the count of failed probes.
   bench.now += 1.2 * maxHeartbeatIntervalMs;
   bench.do({ kind: 'tick' });
-  hear(...others);
-  met('m', false);
-  expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
-  met('m', false);
-  expect(bench.now - from).toBeLessThan(shortSilenceTimeoutMs);
-  expect(returned(bench.do({ kind: 'tick' }))).toEqual(['m']);
+  sendHeartbeats(...others);
+  settleProbe('m', false);
+  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual([]);
+  settleProbe('m', false);
+  expect(bench.now - startedAt).toBeLessThan(shortSilenceTimeoutMs);
+  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual(['m']);
 });
 
-// A heartbeat that is on its way when a probe fails is the newer evidence.
+// A heartbeat that is in flight when a probe fails is newer evidence than the probe.
 test('a probe result is discarded once the machine reports again', () => {
   const bench = new CoreHarness();
   const { maxHeartbeatIntervalMs } = bench.state.config.timing;
@@ -220,7 +234,7 @@
   for (const name of ['n', 'o']) bench.hear(report(name, 3));
   bench.do({ kind: 'tick' });
   bench.do({ kind: 'probed', machine: 'm', isReachable: false });
-  expect(returned(bench.do({ kind: 'tick' }))).toEqual([]);
+  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual([]);
 });
 
 // Retries without a budget would multiply the load on a failing service.
@@ -236,13 +250,13 @@
     },
     100,
   );
-  const asked = (): number =>
+  const countAllowed = (): number =>
     Array.from({ length: 200 }, () => budget.allowsRequest()).filter(Boolean).length;
-  expect(asked()).toBe(200);
+  expect(countAllowed()).toBe(200);
   budget.observeOutcome(false);
-  expect(asked()).toBe(5);
+  expect(countAllowed()).toBe(5);
   now += 1000;
-  expect(asked()).toBe(5);
+  expect(countAllowed()).toBe(5);
   budget.observeOutcome(true);
-  expect(asked()).toBe(200);
+  expect(countAllowed()).toBe(200);
 });
--- a/test/response-tracking.test.ts
+++ b/test/response-tracking.test.ts
@@ -4,61 +4,61 @@
 import type { Effect } from '../src/core/effects.js';
 import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
 
-const returned = (effects: readonly Effect[]): string[] =>
+const terminatedBy = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
 
-/** A worker without an answer gives it up after 4 s, and tries another controller a second later. */
-const UNANSWERED = 5000;
+/** A worker without an answer times out after 4 s, and tries another controller 1 s later; in milliseconds. */
+const UNANSWERED_RETRY_MS = 5000;
 
-function usable(bench: CoreHarness, name: string): boolean {
+function isUsable(bench: CoreHarness, name: string): boolean {
   const machine = bench.state.machines.get(name);
   return machine !== undefined && isSchedulable(bench.state, machine, bench.time());
 }
 
-/** Others report in their rhythm, so that only one machine is in question. */
-function others(bench: CoreHarness, seq: number): void {
+/** Other machines report too, so that only machine m is unresponsive. */
+function reportOthers(bench: CoreHarness, seq: number): void {
   for (const name of ['n', 'o', 'p', 'q']) bench.hear(report(name, seq));
 }
 
-/** Machine m reports, and hears nothing of what it is told. */
-function deaf(): { bench: CoreHarness; seq: number } {
+/** Machine m sends heartbeats, but does not receive the start that answers the latest one (sequence number `seq`). */
+function createUnresponsiveMachine(): { bench: CoreHarness; seq: number } {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
   bench.now += 1000;
   bench.hear(report('m', 2));
   bench.add(job('req-1', 1, 8, 60));
   expect(CoreHarness.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
-  others(bench, 1);
+  reportOthers(bench, 1);
   return { bench, seq: 3 };
 }
 
-// Its heartbeats look alive, but each start on it is lost.
+// Its heartbeats arrive, but every start sent to it is lost.
 test('a machine that does not acknowledge a start gets no new task until it does', async () => {
-  const { bench, seq } = deaf();
+  const { bench, seq } = createUnresponsiveMachine();
   const claim = [...(bench.state.machines.get('m')?.claims.values() ?? [])][0];
-  bench.now += UNANSWERED;
+  bench.now += UNANSWERED_RETRY_MS;
   bench.hear(report('m', seq + 1));
-  expect(usable(bench, 'm')).toBe(false);
-  // Doubt frees nothing: what it was told may still be carried out, as far as is known here.
+  expect(isUsable(bench, 'm')).toBe(false);
+  // The claim is kept: the machine may have received the start, and may still run the task.
   expect(bench.state.machines.get('m')?.claims.size).toBe(1);
   const started = task(`req-1/${claim?.task}`, claim?.attempt ?? 0, 'running');
   bench.now += 1000;
   bench.hear(report('m', seq + 2, [started]));
-  expect(usable(bench, 'm')).toBe(true);
+  expect(isUsable(bench, 'm')).toBe(true);
   await bench.expectTrace('unresponsive-recovers');
 });
 
 test('a machine that stays unresponsive is terminated, and its tasks run elsewhere after the confirmation', async () => {
-  const { bench, seq } = deaf();
+  const { bench, seq } = createUnresponsiveMachine();
   const { silenceTimeoutMs } = bench.state.config.timing;
-  const gone: string[] = [];
-  for (let at = 0; at < 2 * silenceTimeoutMs; at += UNANSWERED) {
-    bench.now += UNANSWERED;
-    bench.hear(report('m', seq + 1 + at / UNANSWERED));
-    others(bench, 10 + at);
-    gone.push(...returned(bench.do({ kind: 'tick' })));
+  const terminated: string[] = [];
+  for (let at = 0; at < 2 * silenceTimeoutMs; at += UNANSWERED_RETRY_MS) {
+    bench.now += UNANSWERED_RETRY_MS;
+    bench.hear(report('m', seq + 1 + at / UNANSWERED_RETRY_MS));
+    reportOthers(bench, 10 + at);
+    terminated.push(...terminatedBy(bench.do({ kind: 'tick' })));
   }
-  expect(gone).toContain('m');
+  expect(terminated).toContain('m');
   expect(bench.state.machines.get('m')?.claims.size).toBe(1);
   bench.do({ kind: 'terminated', machines: ['m'], ok: true });
   expect([...(bench.state.jobs.get('req-1')?.claims.values() ?? [])].every((c) => c.machine !== 'm')).toBe(
@@ -67,16 +67,16 @@
   await bench.expectTrace('unresponsive-stays');
 });
 
-// An overloaded leader responds after the worker's timeout: no fault of the machine.
+// An overloaded leader may respond after the worker's timeout, which is not the machine's fault.
 test('late responses of an overloaded leader do not count as missed by a machine', () => {
-  const { bench, seq } = deaf();
+  const { bench, seq } = createUnresponsiveMachine();
   bench.do({ kind: 'tick', isOverloaded: true });
   for (let i = 1; i < 6; i += 1) {
-    bench.now += UNANSWERED;
+    bench.now += UNANSWERED_RETRY_MS;
     bench.hear(report('m', seq + i));
-    others(bench, 10 + i);
-    expect(returned(bench.do({ kind: 'tick', isOverloaded: true }))).toEqual([]);
-    // The first answer was given in time, and missed; none of those since says anything.
+    reportOthers(bench, 10 + i);
+    expect(terminatedBy(bench.do({ kind: 'tick', isOverloaded: true }))).toEqual([]);
+    // Only the first answer was sent in time and missed; the later ones are no evidence against the machine.
     expect(bench.state.machines.get('m')?.missedResponses).toBe(1);
   }
 });
@@ -84,32 +84,32 @@
 test('an agent epoch that changes although its heartbeat was answered counts as a missed response', () => {
   const bench = new CoreHarness();
   bench.hear(report('m', 1));
-  bench.now += UNANSWERED;
+  bench.now += UNANSWERED_RETRY_MS;
   bench.hear(report('m', 2));
-  bench.now += UNANSWERED;
+  bench.now += UNANSWERED_RETRY_MS;
   bench.hear(report('m', 3, [], { agentEpoch: 2 }));
-  expect(usable(bench, 'm')).toBe(false);
+  expect(isUsable(bench, 'm')).toBe(false);
   bench.now += 1000;
   bench.hear(report('m', 4, [], { agentEpoch: 2 }));
-  expect(usable(bench, 'm')).toBe(true);
+  expect(isUsable(bench, 'm')).toBe(true);
 });
 
 // If the responses of this node are lost, all machines seem unresponsive and none is at fault.
-test('many unresponsive machines are one event: none is terminated for it', () => {
+test('when many machines are unresponsive together, none is terminated for it', () => {
   const bench = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
-  let gone: string[] = [];
+  let terminated: string[] = [];
   for (let seq = 1; seq < 9; seq += 1) {
     for (const name of names) bench.hear(report(name, seq, [], { agentEpoch: seq }));
-    gone = gone.concat(returned(bench.do({ kind: 'tick' })));
-    bench.now += UNANSWERED;
+    terminated = terminated.concat(terminatedBy(bench.do({ kind: 'tick' })));
+    bench.now += UNANSWERED_RETRY_MS;
   }
-  expect(names.some((name) => usable(bench, name))).toBe(false);
-  expect(gone).toEqual([]);
+  expect(names.some((name) => isUsable(bench, name))).toBe(false);
+  expect(terminated).toEqual([]);
 });
 
-test('duplicates: a stale heartbeat is no sign of life, carries no termination notice and ends nothing', () => {
-  const { bench, seq } = deaf();
+test('a stale duplicate of a heartbeat proves no liveness, sets no termination notice and releases no claim', () => {
+  const { bench, seq } = createUnresponsiveMachine();
   const [claim] = bench.state.machines.get('m')?.claims.values() ?? [];
   bench.now += 1000;
   bench.hear(report('m', seq + 1, [task(`req-1/${claim?.task}`, 1, 'running')]));
@@ -121,23 +121,23 @@
   expect(bench.state.machines.get('m')?.claims.size).toBe(1);
 });
 
-// To a leader that never heard from the machine, duplicates that arrive in order look like its heartbeats.
+// To a leader that has not yet received a heartbeat from a machine, duplicates that arrive in order look current.
 test('duplicates after failover do not keep a machine alive that never shows the fencing token', async () => {
   const bench = new CoreHarness();
   const { workerLeaseMs, silenceTimeoutMs } = bench.state.config.timing;
-  others(bench, 1);
-  const gone: string[] = [];
+  reportOthers(bench, 1);
+  const terminated: string[] = [];
   for (let seq = 1; seq * 1000 < workerLeaseMs + 2 * silenceTimeoutMs; seq += 1) {
-    // Sent to the leader before, with its token, and a notice that was kept long ago.
+    // Sent to the previous leader, with its token and with a termination notice that is out of date.
     bench.hear(report('m', seq, [], { token: TERM - 1, terminationNoticeS: 300 }));
-    others(bench, seq + 1);
-    expect(usable(bench, 'm')).toBe(false);
+    reportOthers(bench, seq + 1);
+    expect(isUsable(bench, 'm')).toBe(false);
     expect(bench.state.machines.get('m')?.reclaimedAt).toBe(null);
-    gone.push(...returned(bench.do({ kind: 'tick' })));
+    terminated.push(...terminatedBy(bench.do({ kind: 'tick' })));
     bench.now += 1000;
   }
-  expect(gone).toContain('m');
-  // Its beginning and its end are enough to read.
+  expect(terminated).toContain('m');
+  // The trace keeps only its first and last 30 lines.
   bench.lines.splice(30, bench.lines.length - 60);
   await bench.expectTrace('failover-duplicates');
 });
