--- a/src/core/autoscaling/capacity-plan.ts
+++ b/src/core/autoscaling/capacity-plan.ts
@@ -43,7 +43,7 @@
   readonly state: CoreState;
   readonly now: Now;
   readonly machines: PlannedMachine[];
-  /** Machine types that are the only one that some class with recent arrivals can use. */
+  /** Types that are the only machine type that some class with recent arrivals can use. */
   readonly constrainedTypes: ReadonlySet<string>;
   /** Instances to request, by the kind's key. */
   readonly requested: Map<string, RequestedKind>;
--- a/src/core/autoscaling/demand-history.ts
+++ b/src/core/autoscaling/demand-history.ts
@@ -42,7 +42,10 @@
   });
 }
 
-/** Drops arrivals that would have ended by now or are faulty, and decays the peak down to the tasks of the rest. */
+/**
+ * Drops arrivals that would have ended by now, or whose job is faulty. The peak decays, but not below the tasks of
+ * the remaining arrivals.
+ */
 function updatePeak(state: CoreState, demand: Demand, now: Now): void {
   demand.arrivals = demand.arrivals.filter(({ until, job }) => until > now.monotonicMs && !isFaultyJob(job));
   const current = demand.arrivals.reduce((sum, { job }) => sum + job.spec.tasks, 0);
--- a/src/core/autoscaling/task-planning.ts
+++ b/src/core/autoscaling/task-planning.ts
@@ -16,7 +16,7 @@
 
 /** Maximum number of tasks of one job in a plan; a large fleet allows more, see `PLANNED_TASKS_PER_MACHINE`. */
 const MAX_PLANNED_TASKS = 2000;
-/** Maximum number of tasks of one job in a plan for each machine of the fleet, if that makes more. */
+/** Maximum number of tasks of one job in a plan per machine of the fleet, if that is more in total. */
 const PLANNED_TASKS_PER_MACHINE = 2;
 
 /** Inputs for planning a job's tasks. */
--- a/src/core/fleet/cloud-listing.ts
+++ b/src/core/fleet/cloud-listing.ts
@@ -63,7 +63,7 @@
     if (!state.machines.has(entry.name)) added.push(entry.name);
     applyListedMachine(state, entry, now);
   }
-  // One log line names all new machines, because a new leader registers the whole fleet from one list.
+  // One log line covers all new machines, because a new leader registers the whole fleet from one list.
   if (added.length > 0)
     log(effects, 'machines adopted', {
       machines: added.length,
--- a/src/core/fleet/failure-detection.ts
+++ b/src/core/fleet/failure-detection.ts
@@ -61,10 +61,10 @@
 }
 
 /**
- * Longest silence of a machine in a partitioned zone, in milliseconds. The machine probably comes back. Only if
- * its tasks would lose an objective by waiting does the shorter silence timeout apply: by then its lease must have
- * expired, and no follower has relayed it either. A leader without contact to any machine assumes that the
- * fault is its own, and applies the longer timeout to all of them.
+ * Longest silence of a machine in a partitioned zone, in milliseconds. The machine probably comes back. The
+ * shorter silence timeout applies only if its tasks would lose an objective by waiting longer: by then its lease
+ * must have expired, and no follower has relayed it either. A leader without contact to any machine assumes that
+ * the fault is its own, and applies the longer timeout to all of them.
  */
 function partitionTimeoutMs(pass: DetectionPass, machine: Machine, silentMs: number): number {
   const { state, now, health } = pass;
--- a/src/core/fleet/heartbeats.ts
+++ b/src/core/fleet/heartbeats.ts
@@ -71,9 +71,9 @@
 }
 
 /**
- * Records that a machine has answered a direct command. Another controller may be answering its heartbeats, unless
- * its lease has expired: otherwise a machine whose heartbeats reach no controller would count as in contact for
- * as long as it answers direct commands.
+ * Records that a machine has answered a direct command. Unless its lease has expired, another controller may be
+ * answering its heartbeats, so it counts as relayed. Without this exception, a machine whose heartbeats reach no
+ * controller would count as relayed for as long as it answers direct commands.
  */
 function recordDirectAnswer(machine: Machine, hasNewEpoch: boolean, now: Now): void {
   machine.leaseExpired ||= hasNewEpoch;
--- a/src/core/fleet/token-announcement.ts
+++ b/src/core/fleet/token-announcement.ts
@@ -9,7 +9,7 @@
 /** Share of an interval's direct calls made right after a failover if the previous leader may still be alive. */
 const EARLY_CALL_SHARE = 0.25;
 /** A machine that sent a heartbeat, or was sent the token, within this many heartbeat intervals is not called. */
-const RECENT_CONTACT_INTERVALS = 2;
+const RECENT_INTERVALS = 2;
 
 /** The agent epoch to send with the token. If it is wrong, the worker's answer contains the right one. */
 function presumedAgentEpoch(machine: Machine): number {
@@ -40,10 +40,7 @@
 }
 
 function isRecent(state: CoreState, at: number | null, now: Now): boolean {
-  return (
-    at !== null &&
-    now.monotonicMs - at < RECENT_CONTACT_INTERVALS * state.config.timing.maxHeartbeatIntervalMs
-  );
+  return at !== null && now.monotonicMs - at < RECENT_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
 }
 
 /** Whether a machine should be sent the token now. */
--- a/src/core/fleet/worker-commands.ts
+++ b/src/core/fleet/worker-commands.ts
@@ -36,7 +36,7 @@
   return null;
 }
 
-/** Adds start commands for durable claims that are not listed yet; releases obsolete claims that were never sent. */
+/** Adds starts for durable claims that are not listed yet; releases obsolete claims whose start was never sent. */
 function addStarts(
   state: CoreState,
   machine: Machine,
