--- a/src/core/placement/candidates.ts
+++ b/src/core/placement/candidates.ts
@@ -1,4 +1,4 @@
-/** Candidate machines for a job's tasks, scored against one another. */
+/** Candidate machines for a job's tasks, with their placement scores. */
 import { tightestFirst, type NodeCapacity } from './capacity-index.js';
 import type { PlacementPass } from './placement-pass.js';
 import { satisfiesConstraints } from './resources.js';
@@ -6,8 +6,8 @@
 import type { ZoneFilter } from './zone-constraints.js';
 
 /**
- * Number of fitting machines that are scored, and of further ones that hold the task's image. A
- * choice among more is hardly better, and would make the cost follow the fleet's size.
+ * Maximum number of machines with room that are scored for a job, and maximum number of further ones that
+ * cache its image. Scoring more would hardly improve the choice, and its cost would grow with the fleet.
  */
 const MAX_CANDIDATES = 160;
 
@@ -16,10 +16,10 @@
   readonly node: NodeCapacity;
 }
 
-/** The scored machines for one job; after a task has been placed only its machine is scored anew. */
+/** Scored machines for one job. After a task is placed, only its machine is scored again. */
 export class CandidateSet {
   readonly #candidates = new Map<NodeCapacity, Candidate>();
-  /** There are machines that fit and have not been scored. */
+  /** Whether the latest search stopped at `MAX_CANDIDATES`, so that other machines with room may exist. */
   #isTruncated = false;
 
   constructor(
@@ -30,7 +30,7 @@
     this.#search();
   }
 
-  /** The candidate with the lowest score, of equal ones the machine known longest; null: there is none. */
+  /** The candidate with the lowest score; of equal ones, the machine discovered first. Null: there is none. */
   best(): Candidate | null {
     let best: Candidate | null = null;
     for (const candidate of this.#candidates.values())
@@ -62,14 +62,14 @@
     }
   }
 
-  /** Adds the tightest fits; tells whether any machine may have room, and whether some were left out. */
+  /** Adds the tightest fits. Returns whether any machine may have room, and whether some may be left out. */
   #addTightest(): { hasRoom: boolean; isTruncated: boolean } {
     const { spec } = this.preferences.job;
     let hasRoom = false;
     let remaining = MAX_CANDIDATES;
     for (const group of this.pass.state.capacityIndex.groups) {
       if (!satisfiesConstraints(spec, group.type.name, group.zone, group.spot)) {
-        // Another job with the same request may be allowed there.
+        // A job with the same request and other constraints may fit there, so the request is not unplaceable.
         hasRoom = true;
         continue;
       }
--- a/src/core/placement/capacity-index.ts
+++ b/src/core/placement/capacity-index.ts
@@ -1,6 +1,6 @@
 /**
- * Index of the machines that tasks may be placed on, by their free resources: what fits a
- * task is found without looking at the machines that are full.
+ * Index of the machines that tasks may be placed on, by their free resources, so that a machine
+ * with room for a task is found without visiting the full ones.
  */
 import type { LiveClaim, Machine } from '../model.js';
 import type { JobSpec, MachineType, ResourceRequest } from '../types.js';
@@ -44,7 +44,7 @@
       .sort((a, b) => Number(b.spot) - Number(a.spot));
   }
 
-  /** Forgets all nodes, headroom and shadow times. */
+  /** Removes all nodes, headroom and shadow times. */
   clear(): void {
     this.#nodes.clear();
     this.#groups.clear();
@@ -82,13 +82,13 @@
     return cache;
   }
 
-  /** Expected ends have moved on: shadow times are computed anew when they are next asked for. */
+  /** Drops all shadow times, as expected ends move with time; they are computed again when next needed. */
   clearShadowTimes(): void {
     this.#shadowTimes.clear();
     this.changeLog.length = 0;
   }
 
-  /** Takes a machine out; no effect if it is not in the index. */
+  /** Removes a machine; no effect if it is not in the index. */
   remove(machine: Machine): void {
     const node = this.#nodes.get(machine);
     if (node === undefined) return;
@@ -97,7 +97,7 @@
     node.group.size -= 1;
   }
 
-  /** Adds a machine, or takes in what has changed on it. */
+  /** Adds a machine, or updates its node from the machine's present type and claims. */
   update(machine: Machine, type: MachineType, endOf: (claim: LiveClaim) => number): NodeCapacity {
     let node = this.#nodes.get(machine);
     if (node !== undefined && node.type !== type) {
@@ -138,13 +138,13 @@
     return group;
   }
 
-  /** Computes the unreserved resources of a node anew, and moves it to its buckets. */
+  /** Recomputes the unreserved resources of a node, and moves it to the matching buckets. */
   reindex(node: NodeCapacity): void {
     const { machine, type, unreserved, headroom, group } = node;
     unreserved.cpus = type.cpus - machine.allocated.cpus;
     unreserved.gpus = type.gpus - machine.allocated.gpus;
     unreserved.memoryGb = type.memoryGb - machine.allocated.memoryGb;
-    // Headroom gives way to the claims that are there.
+    // Claims take precedence: headroom that no longer fits beside them is released as a whole.
     if (!fits(headroom, unreserved)) Object.assign(headroom, noResources());
     const freeBucket = bucketOf(type, unreserved.cpus);
     allocate(unreserved, headroom);
@@ -156,7 +156,7 @@
     this.recordChange(node);
   }
 
-  /** Notes that a node has changed, for its cached shadow times. */
+  /** Records that a node has changed, so that its cached shadow times are computed again. */
   recordChange(node: NodeCapacity): void {
     node.version += 1;
     this.changeLog.push(node);
@@ -174,12 +174,12 @@
     return this.#headroomTasks.get(spec.jobClass) ?? 0;
   }
 
-  /** Counts a task that has been placed on the headroom of its class. */
+  /** Counts one task less that headroom is held for: a task of the class has been placed on it. */
   consumeHeadroom(spec: JobSpec): void {
     this.#headroomTasks.set(spec.jobClass, Math.max(0, this.headroomTasks(spec) - 1));
   }
 
-  /** Gives up all headroom, on every node. */
+  /** Releases all headroom on every node. */
   releaseAllHeadroom(): void {
     this.#headroomTasks.clear();
     for (const node of this.#nodes.values()) {
--- a/src/core/placement/capacity-refresh.ts
+++ b/src/core/placement/capacity-refresh.ts
@@ -5,17 +5,17 @@
 import type { CoreState } from '../state.js';
 import type { NodeCapacity } from './capacity-index.js';
 
-/** Whether tasks may be placed on a machine, as far as its own state goes. */
+/** Whether tasks may be placed on a machine, apart from its free resources and the constraints of jobs. */
 function isPlaceable(state: CoreState, machine: Machine, now: Now): boolean {
   if (!isSchedulable(state, machine, now)) return false;
-  // On-demand machines run dry unless the plan still has a use for them.
+  // Once there is a capacity plan, on-demand machines that it does not use are drained.
   return machine.spot || state.nextPlanAt === 0 || state.plannedMachines.has(machine.name);
 }
 
 /**
- * Takes in what has changed on machines since the last call. With `isFull` all machines are read
- * again and the shadow times cleared, for expected ends have moved on. Returns the nodes that
- * have changed; null: all may have.
+ * Applies the changes on machines since the last call. With `isFull`, all machines are read again
+ * and the shadow times cleared, because expected ends move with time. Returns the nodes that have
+ * changed; null: any node may have changed.
  */
 export function refreshCapacity(state: CoreState, now: Now, isFull: boolean): NodeCapacity[] | null {
   const { capacityIndex, changedMachines } = state;
--- a/src/core/placement/constrained-types.ts
+++ b/src/core/placement/constrained-types.ts
@@ -1,10 +1,10 @@
-/** Constrained machine types: those that some job can use nothing but. */
+/** Constrained machine types: those that are the only suitable type for some job. */
 import type { JobState } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
 import { fits } from './resources.js';
 
-/** Types that some waiting job can use nothing but, with the first such job of each. */
+/** Types that are the only suitable one for some job in the queue, each with the first such job. */
 export function constrainedTypes(state: CoreState, queue: readonly JobState[]): Map<string, JobState> {
   const firstJobs = new Map<string, JobState>();
   if (state.machineTypes.size < 2) return firstJobs;
@@ -15,7 +15,7 @@
   return firstJobs;
 }
 
-/** Types that some class with recent arrivals can use nothing but. */
+/** Types that are the only suitable one for some class with recent arrivals. */
 export function constrainedTypesInDemand(state: CoreState): Set<string> {
   const types = new Set<string>();
   if (state.machineTypes.size < 2) return types;
@@ -26,7 +26,7 @@
   return types;
 }
 
-/** The one machine type that can take a job's tasks; null: none or several can. */
+/** The only machine type that a job's tasks can run on; null: there is none, or more than one. */
 export function soleType(state: CoreState, spec: JobSpec): string | null {
   let sole: string | null = null;
   for (const type of state.machineTypes.values()) {
--- a/src/core/placement/easy.ts
+++ b/src/core/placement/easy.ts
@@ -26,21 +26,21 @@
 import { zoneFilter } from './zone-constraints.js';
 
 /**
- * Deferrable tasks placed per tick by a leader that is behind its timers: it needs the processor
- * for heartbeats first, or leases of running tasks expire.
+ * Maximum number of deferrable tasks that a leader places per tick while its timers run late. It
+ * needs the processor for heartbeats first; otherwise leases of running tasks expire.
  */
 const MAX_DEFERRABLE_PLACEMENTS_WHEN_OVERLOADED = 8;
 
-/** Jobs that others are preempted for per tick; each looks at all tasks that may be preempted. */
+/** Maximum number of jobs per tick that others are preempted for; each visits all preemptible tasks. */
 const MAX_PREEMPTING_JOBS = 4;
 
-/** Longest heartbeat intervals that a preemption takes: stop sent, checkpoint saved, end proven, start sent. */
+/** Time of a preemption in maximum heartbeat intervals: stop sent, checkpoint saved, end proven, start sent. */
 const PREEMPTION_HEARTBEATS = 4;
 
 /**
- * One pass over the queue: places what may start, and records the head job's reservation.
- * `isTick` is true once a tick, when expected ends have moved on: then all machines are read
- * again, and preemption is allowed. In between, only what has changed is looked at.
+ * Makes one pass over the queue: places the tasks that may start, and records the head job's
+ * reservation. `isTick` is true for one pass per tick: it reads all machines again, because expected
+ * ends have moved, and may preempt. Passes between ticks read only the machines that have changed.
  */
 export function place(state: CoreState, now: Now, isTick: boolean): void {
   if (isTick)
@@ -54,7 +54,7 @@
   let preemptingJobs = 0;
   for (const job of queue) {
     if (!isSchedulableNow(state, job)) continue;
-    // A faulty job takes what is left over, and reserves nothing.
+    // A faulty job uses only what is free now: it gets no reservation, and nothing is preempted for it.
     if (placeJob(pass, job) || isFaultyJob(job)) continue;
     if (isTick && preemptingJobs < MAX_PREEMPTING_JOBS && mayPreempt(pass, job)) {
       preemptingJobs += 1;
@@ -88,7 +88,7 @@
   }
 }
 
-/** Reserves for the head job at its shadow time, if it has one. */
+/** Reserves capacity for the head job at its shadow time, if it has one. */
 function reserveForHead(pass: PlacementPass, job: JobState): HeadReservation {
   const reservation = reserveFor(pass, job);
   const shadowTime = reservation?.shadowTime ?? null;
@@ -102,18 +102,21 @@
   };
 }
 
-/** Whether a job's tasks may be placed now, machines apart. */
+/** Whether a job's tasks may be placed now, regardless of whether a machine has room for them. */
 function isSchedulableNow(state: CoreState, job: JobState): boolean {
-  // A gang of which some tasks have ended waits until all have, and starts as a whole again.
+  // If only some tasks of a gang have ended, it waits for the others to end and starts again as a whole.
   if (job.spec.form === 'gang' && job.claims.size > 0) return false;
-  // A job of a team at its limit is passed over.
+  // A job is skipped while it would exceed its team's limit.
   return isWithinTeamQuota(state, job, startTogetherCount(job));
 }
 
-/** Whether others may be preempted for a job: its resources are guaranteed or reserved, or an objective is at risk. */
+/**
+ * Whether tasks of other jobs may be preempted for a job: it is within its team's guarantee, an
+ * objective is at risk, or it would exceed its maximum wait in spite of a starvation reservation.
+ */
 function mayPreempt({ state, now, reservations }: PlacementPass, job: JobState): boolean {
   const preemptionMs = PREEMPTION_HEARTBEATS * state.config.timing.maxHeartbeatIntervalMs;
-  // For a reserved job, tasks are preempted only if their own ends would come too late.
+  // With a reservation, a job preempts others only if waiting for their expected ends would take too long.
   const missesMaxWait = (): boolean => {
     const startsAt = reservations.find(({ job: owner }) => owner === job)?.shadowTime ?? Infinity;
     const waitMs = waitedMs(job, now) + (startsAt - now.monotonicMs) + preemptionMs;
@@ -127,7 +130,7 @@
   );
 }
 
-/** Places a job's waiting tasks. False: some are left because no machine has room for them. */
+/** Places a job's waiting tasks. Returns false if some are left because no machine has room for them. */
 function placeJob(pass: PlacementPass, job: JobState): boolean {
   const tooLarge = pass.unplaceable.filter(({ request }) => fits(request, job.spec));
   if (tooLarge.some(({ includesHeadroom }) => includesHeadroom)) return false;
@@ -144,7 +147,7 @@
   return true;
 }
 
-/** Places tasks that start one by one, until none is left or none may be placed. */
+/** Places tasks that start independently of each other, until none is left or none may be placed. */
 function placeSingleTasks(pass: PlacementPass, preferences: PlacementPreferences): boolean {
   const { state } = pass;
   const { job, mayUseHeadroom } = preferences;
@@ -155,7 +158,7 @@
     // A faulty job is tried one task at a time.
     if (isFaultyJob(job) && job.claims.size > 0) return true;
     if (!mayUseHeadroom && state.deferrablePlacements <= 0) return true;
-    // Under zone constraints the zone of one task decides on those of the others.
+    // Under zone constraints, the zone of one task limits the zones of the others.
     if (candidates === null || hasZoneConstraints)
       candidates = new CandidateSet(pass, preferences, zoneFilter(state, job));
     const best = candidates.best();
@@ -168,7 +171,7 @@
   return true;
 }
 
-/** Claims the job's next task for a node, and brings its entry in the index up to date. */
+/** Claims the job's next task for a node, and updates the node's entry in the index. */
 function claimNextTask({ state, now }: PlacementPass, job: JobState, node: NodeCapacity, end: number): void {
   const task = nextTask(job);
   if (task !== null) claimTask(state, job, task, node.machine, now, end);
--- a/src/core/placement/gang.ts
+++ b/src/core/placement/gang.ts
@@ -12,7 +12,7 @@
   readonly end: number;
 }
 
-/** Places so many tasks of a gang, all of them or none; null: they do not all fit. */
+/** Places `count` tasks of a gang, all of them or none; null: they do not all fit. */
 export function placeGang(
   pass: PlacementPass,
   preferences: PlacementPreferences,
@@ -34,7 +34,7 @@
   return placed;
 }
 
-/** Takes back what has been allocated to some of a gang's tasks. */
+/** Undoes the allocations for the tasks of a gang that were placed before one did not fit. */
 function undo(pass: PlacementPass, { job }: PlacementPreferences, placed: readonly TaskPlacement[]): void {
   for (const { node, end } of placed) {
     pass.state.capacityIndex.reindex(node);
--- a/src/core/placement/headroom.ts
+++ b/src/core/placement/headroom.ts
@@ -9,16 +9,16 @@
 import { constrainedTypesInDemand, soleType } from './constrained-types.js';
 import { fits, satisfiesConstraints } from './resources.js';
 
-/** Number of mean arrival gaps without an arrival after which a class is taken to have ended for now. */
+/** Number of mean arrival gaps without an arrival after which a class counts as inactive. */
 export const MAX_ARRIVAL_GAPS = 8;
 
 /**
- * Share of the peak demand that headroom is held for while provisioning is blocked: other classes
- * wait for the same resources then, and many of their tasks will be late.
+ * Share of the peak demand that headroom is held for while provisioning is blocked, because other
+ * classes then wait for the same resources and many of their tasks will be late.
  */
 const BLOCKED_PROVISIONING_SHARE = 0.6;
 
-/** Number of tasks of a class that headroom is needed for, beside those that are out or waiting. */
+/** Number of tasks of a class that headroom is needed for, beyond those on machines or waiting. */
 function headroomNeed(state: CoreState, demand: Demand, now: Now): number {
   const { spec, peak, lastArrivalAt, meanArrivalGap } = demand;
   if (now.monotonicMs - lastArrivalAt > MAX_ARRIVAL_GAPS * meanArrivalGap) return 0;
@@ -29,8 +29,8 @@
 
 /**
  * Holds headroom for start-sensitive classes up to their recent peak, first on the machines that
- * cache the most images, for elsewhere each image has to be fetched. With `changed` null all of it
- * is worked out anew; else what is missing is looked for on the changed nodes only.
+ * cache the most images, because other machines have to fetch each image. If `changed` is null, all
+ * headroom is recomputed; otherwise missing headroom is reserved on the changed nodes only.
  */
 export function reserveHeadroom(state: CoreState, now: Now, changed: Iterable<NodeCapacity> | null): void {
   const { capacityIndex } = state;
@@ -50,7 +50,7 @@
     for (const node of byCachedImages) {
       if (remaining <= 0) break;
       const { type, zone, spot } = node.machine;
-      // A type that other classes can run on alone is left to them.
+      // A class with a choice of types leaves a constrained type to the classes that can run on no other.
       if (hasChoice && constrained.has(type)) continue;
       if (!satisfiesConstraints(spec, type, zone, spot)) continue;
       for (; remaining > 0 && fits(spec, node.unreserved); remaining -= 1)
--- a/src/core/placement/index.ts
+++ b/src/core/placement/index.ts
@@ -1,6 +1,6 @@
 /**
  * Placement: which task goes to which machine, and when, by EASY backfilling. Code outside the
- * core imports from here alone.
+ * core imports from this file only.
  */
 export * from './constrained-types.js';
 export * from './easy.js';
--- a/src/core/placement/job-queue.ts
+++ b/src/core/placement/job-queue.ts
@@ -5,10 +5,10 @@
 import type { JobState, Now, QueuePosition } from '../model.js';
 import type { CoreState } from '../state.js';
 
-/** The priority next above that of best-effort work. */
+/** The priority directly above that of best-effort work; a lower number is a higher priority. */
 const NORMAL_PRIORITY = 2;
 
-/** Group of the jobs that must start soon to be in time; the others follow by lost objectives. */
+/** Group of the jobs that must start soon to meet a deadline; the others follow by lost objectives. */
 const URGENT_GROUP = 0;
 const FIRST_REGULAR_GROUP = 1;
 
@@ -18,12 +18,12 @@
   const slackMs = timeToDeadlineMs(job, 1, now) - runMs;
   const rank = state.guaranteedJobs.has(job) ? 0 : 1;
   const { priority, modRevision } = job;
-  // Urgent: it has to start within one run time from now to be in time.
+  // Urgent: the job must start within one run time from now to meet its deadline.
   if (lost === 0 && slackMs < runMs) {
     const waitingWork = waitingTasks(job) * runMs * job.spec.cpus;
     return { job, rank, priority, group: URGENT_GROUP, key: waitingWork };
   }
-  // A normal job that can no longer meet any objective counts as low priority, and stands among that by arrival.
+  // A job of normal priority that can no longer meet any objective is queued at low priority, by arrival.
   if (priority === NORMAL_PRIORITY && all > 0 && lost === all)
     return { job, rank, priority: LOW_PRIORITY, group: FIRST_REGULAR_GROUP, key: modRevision };
   return { job, rank, priority, group: FIRST_REGULAR_GROUP + lost, key: modRevision };
@@ -34,12 +34,12 @@
   a.rank - b.rank || a.priority - b.priority || a.group - b.group || a.key - b.key;
 
 /**
- * Works out the order anew: higher priority first, then order of arrival (of the job records'
- * revisions). Under overload, arrival order alone would make every job late by the same delay.
- * So a job that can no longer meet some objective stands behind those of its priority that can
- * meet theirs, and one that must start soon to be in time stands before those that need not. Of
- * those, the one with the least work waiting comes first: when not all can be in time, a large
- * job takes the place of many.
+ * Sorts the queue again: jobs within their team's guarantee first, then higher priority, then order
+ * of arrival (by the revisions of the job records). Under overload, arrival order alone would make
+ * every job late by the same delay. So a job that can no longer meet some objective is queued behind
+ * the jobs of its priority that can meet theirs, and a job that must start soon to meet its deadline
+ * is queued before those that need not. Of such urgent jobs, the one with the least waiting work
+ * comes first: when not all can be in time, one large job would make many small ones late.
  */
 export function sortQueue(state: CoreState, now: Now): void {
   state.newlyWaitingJobs.length = 0;
@@ -52,7 +52,7 @@
   state.queue.sort(compare);
 }
 
-/** Inserts the jobs that have come to wait since the queue was sorted. */
+/** Inserts the jobs whose tasks have begun to wait since the queue was sorted. */
 function insertNewlyWaiting(state: CoreState, now: Now): void {
   for (const job of state.newlyWaitingJobs.splice(0)) {
     if (job.isQueued || job.waitingCount === 0) continue;
@@ -62,7 +62,7 @@
   }
 }
 
-/** Index behind all positions that are served no later; by binary search. */
+/** Index after all positions that sort before `position` or equal to it, by binary search. */
 function insertionIndex(queue: readonly QueuePosition[], position: QueuePosition): number {
   let low = 0;
   let high = queue.length;
@@ -75,7 +75,10 @@
   return low;
 }
 
-/** Jobs that may be tried now, in the order as of the latest tick, with those that came since in their places. */
+/**
+ * Jobs with waiting tasks whose retry time has passed, in the order of the latest tick, with the jobs
+ * that arrived since inserted at their positions.
+ */
 export function currentQueue(state: CoreState, now: Now): JobState[] {
   insertNewlyWaiting(state, now);
   const jobs: JobState[] = [];
@@ -84,7 +87,7 @@
   return jobs;
 }
 
-/** Jobs that may be tried now, in an order worked out for this moment. */
+/** Jobs with waiting tasks whose retry time has passed, in an order computed for the present time. */
 export function waitingJobs(state: CoreState, now: Now): JobState[] {
   sortQueue(state, now);
   return currentQueue(state, now);
--- a/src/core/placement/job-reservation.ts
+++ b/src/core/placement/job-reservation.ts
@@ -1,4 +1,4 @@
-/** Reservations for blocked jobs: the nodes that a job may reserve, and which of them it does. */
+/** Reservations for blocked jobs: the nodes that a job may reserve, and the choice among them. */
 import { isSchedulable } from '../fleet/machines.js';
 import type { JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
@@ -17,12 +17,12 @@
 
 const noConstrainedCapacity: ReadonlyMap<NodeCapacity, ReservedCapacity> = new Map();
 
-/** Tells which nodes a job may reserve, or have cleared for it by preemption. */
+/** Returns a filter for the nodes that a job may reserve, or that may be freed for it by preemption. */
 export function nodeFilter(pass: PlacementPass, job: JobState): (node: NodeCapacity) => boolean {
   const { state, now } = pass;
   const { spec } = job;
   const isZoneOpen = zoneFilter(state, job);
-  // A job that keeps off a node must not reserve it either: nobody could use it then.
+  // A job that avoids a node must not reserve it either, or no job could use the node.
   const avoided = avoidsConstrainedTypes(pass, job) ? pass.constrainedCapacity : noConstrainedCapacity;
   return (node) => {
     const { machine } = node;
--- a/src/core/placement/node-capacity.ts
+++ b/src/core/placement/node-capacity.ts
@@ -1,5 +1,5 @@
 /**
- * Capacity of one worker node as placement sees it, and the groups of like nodes that the
+ * Capacity of one worker node for placement, and the groups of nodes of one kind that the
  * capacity index sorts into buckets of free CPUs.
  */
 import type { Machine } from '../model.js';
@@ -22,7 +22,7 @@
   /** Incremented whenever its free resources, its tasks or its headroom change. */
   version: number;
   readonly group: NodeGroup;
-  /** Positions in the buckets of its group. */
+  /** Indexes of its buckets in the group's `byUnreservedCpus` and `byFreeCpus`. */
   buckets: { unreserved: number; free: number };
 }
 
@@ -52,12 +52,12 @@
 const createBuckets = (): Set<NodeCapacity>[] =>
   Array.from({ length: CPU_BUCKETS + 1 }, () => new Set<NodeCapacity>());
 
-/** Bucket of a node of this type with so many CPUs. */
+/** Index of the bucket for a node of this type with `cpus` CPUs. */
 export const bucketOf = (type: MachineType, cpus: number): number => {
   const bucket = Math.floor((cpus / Math.max(RESOURCE_EPSILON, type.cpus)) * CPU_BUCKETS + RESOURCE_EPSILON);
   return Math.max(0, Math.min(CPU_BUCKETS, bucket));
 };
 
-/** First bucket whose nodes may have so many CPUs. */
+/** Index of the first bucket whose nodes may have at least `cpus` CPUs. */
 export const firstBucketFor = (type: MachineType, cpus: number): number =>
   bucketOf(type, cpus - RESOURCE_EPSILON);
--- a/src/core/placement/placement-pass.ts
+++ b/src/core/placement/placement-pass.ts
@@ -1,4 +1,4 @@
-/** State of one pass over the queue: what is reserved in it, and what it has found out so far. */
+/** State of one pass over the queue: its reservations, and the requests found unplaceable so far. */
 import { isDeadlineAtRisk } from '../jobs/objectives.js';
 import { waitingTasks } from '../jobs/jobs.js';
 import type { JobState, Now } from '../model.js';
@@ -9,12 +9,12 @@
 import { addResources, allocate, fits, noResources } from './resources.js';
 import type { Reservation, ReservedCapacity } from './shadow-time.js';
 
-/** The reservation of one job; it binds all other jobs. */
+/** The reservation of one job; all other jobs must respect it. */
 interface JobReservation extends Reservation {
   readonly job: JobState;
 }
 
-/** A request that no node has room for in this pass, with or without the headroom. */
+/** A request that no node has room for in this pass, with the headroom counted as free or not. */
 interface UnplaceableRequest {
   readonly request: ResourceRequest;
   readonly includesHeadroom: boolean;
@@ -26,7 +26,7 @@
   readonly now: Now;
   /** CPUs of the largest machine. */
   readonly maxCpus: number;
-  /** Reservations of the head job, and of jobs whose wait nears their bound. */
+  /** Starvation reservations, and the reservation of the head job. */
   readonly reservations: JobReservation[];
   /** Capacity reserved on constrained machine types, against jobs that could use another type. */
   readonly constrainedCapacity: ReadonlyMap<NodeCapacity, ReservedCapacity>;
@@ -40,15 +40,15 @@
   return job.spec.form === 'gang' ? waitingTasks(job) : 1;
 }
 
-/** Whether a job keeps off the capacity reserved on constrained machine types. */
+/** Whether a job must respect the capacity reserved on constrained machine types. */
 export function avoidsConstrainedTypes(pass: PlacementPass, job: JobState): boolean {
   const { state, now, constrainedCapacity, constrainedPriority } = pass;
   if (constrainedCapacity.size === 0 || soleType(state, job.spec) !== null) return false;
-  // One of higher priority that is about to miss an objective goes first.
+  // A job of higher priority that is about to miss an objective takes precedence.
   return !(job.priority < constrainedPriority && isDeadlineAtRisk(state, job, now));
 }
 
-/** Capacity reserved on a node for others than a job. */
+/** Capacity reserved on a node for other jobs, and as capacity of a constrained machine type. */
 export function reservedForOthers(
   pass: PlacementPass,
   job: JobState,
@@ -73,7 +73,7 @@
     if (end > shadowTime) allocate(extra, spec);
 }
 
-/** Allocates from unreserved resources and headroom together; the headroom keeps what is left. */
+/** Allocates from the unreserved resources first, and takes the remainder from the headroom. */
 function allocateFromHeadroom(node: NodeCapacity, request: ResourceRequest): void {
   const free = addResources(node.unreserved, node.headroom);
   allocate(free, request);
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -1,9 +1,9 @@
 /**
  * Preemption: stops tasks so that another job starts in time. Tasks of strictly lower priority may be
- * stopped, and for a guaranteed job those of teams that use more than their guarantee; what loses
- * least first, and no more than is needed. The resources count as free only once a task is proven
- * gone. No task is stopped that would end about as soon by itself, and one that has been stopped
- * before must have gained more than a checkpoint's progress first.
+ * stopped, and for a guaranteed job also tasks of teams that use more than their guarantee. The tasks
+ * that lose the least are stopped first, and no more than needed. Their resources count as free only
+ * once the tasks are proven gone. A task that would end about as soon by itself is not stopped, and
+ * one that has been stopped before must first have run for more than its checkpoint interval.
  */
 import { needAttention } from '../attention.js';
 import { spotSlots } from '../jobs/best-effort.js';
@@ -15,26 +15,26 @@
 import { addResources, allocate, fits, release, RESOURCE_EPSILON, resourcesOf } from './resources.js';
 import type { NodeCapacity } from './capacity-index.js';
 
-/** Share of a job's longest wait that a task of it runs at least before it may be preempted. */
+/** Minimum run time of a task before it may be preempted, as a share of its job's maximum wait. */
 const MIN_RUN_SHARE = 0.125;
-/** Share of the spot machines' capacity that the first job of a class keeps while others' objectives are at risk. */
+/** Share of the spot machines' capacity that the first job of a class keeps from preemption for objectives. */
 const PROTECTED_SPOT_SHARE = 0.25;
-/** Longest heartbeat intervals that stopping a task takes, beside the saving of its checkpoint. */
+/** Time to stop a task, apart from saving its checkpoint, in maximum heartbeat intervals. */
 const STOP_HEARTBEATS = 2;
 
-/** What a task loses by being stopped now, in milliseconds of its run. */
+/** Run time in milliseconds that a task loses if it is stopped now. */
 function preemptionLossMs({ job, runningSince, stage }: LiveClaim, now: Now): number {
   const { checkpointS, saveS, form } = job.spec;
   if (stage !== 'running' || runningSince === null) return 0;
   const ranMs = now.monotonicMs - runningSince;
-  // The only task of a job counts in full, so that it is the last to go.
+  // The only placed task of a job counts with its whole run time, so that it is stopped last.
   if (job.claims.size === 1) return ranMs + saveS * 1000;
   if (checkpointS > 0) return saveS * 1000;
-  // A replica of a service goes on elsewhere as it was.
+  // A replica of a service loses nothing: it continues on another machine.
   return form === 'service' ? 0 : ranMs;
 }
 
-/** Whether stopping a task now is of any use, and fair to it. */
+/** Whether a task may be stopped now: it would not end about as soon by itself, and it has run long enough. */
 function isPreemptible(state: CoreState, claim: LiveClaim, now: Now): boolean {
   const { job, runningSince, stopRequested, attempt } = claim;
   const { form, checkpointS, saveS } = job.spec;
@@ -43,10 +43,10 @@
   const stopMs = saveS * 1000 + STOP_HEARTBEATS * maxHeartbeatIntervalMs;
   if (expectedEnd(state, claim, now) <= now.monotonicMs + stopMs) return false;
   const ranMs = runningSince === null ? 0 : now.monotonicMs - runningSince;
-  // A start that is taken back at once is none to its user.
+  // A start that is revoked immediately is of no value to the user.
   const minRunMs = MIN_RUN_SHARE * state.config.policy.maxWaitMs(job.spec);
   if (runningSince !== null && ranMs < minRunMs) return false;
-  // What is stopped again and again must make progress in between.
+  // A task that is stopped repeatedly must make progress in between.
   return attempt === 1 || ranMs > checkpointS * 1000 + maxHeartbeatIntervalMs;
 }
 
@@ -56,8 +56,9 @@
 }
 
 /**
- * Tasks protected from preemption for mere objectives: of each class, some of the job that came
- * first, those that began first. With all jobs of a class stopped by turns none would complete.
+ * Tasks protected from preemption for the objective of another job: in each class, a limited number
+ * of tasks of the earliest job on machines, those placed first. If all jobs of a class were stopped in
+ * turn, none would complete.
  */
 function protectedClaims(state: CoreState): Set<LiveClaim> {
   const firstByClass = new Map<string, { readonly job: JobState; readonly count: number }>();
@@ -77,7 +78,7 @@
   return found;
 }
 
-/** Tells whether a team uses more CPUs than it is guaranteed. */
+/** Returns a filter for the teams that use more CPUs than they are guaranteed. */
 function overGuaranteeFilter(state: CoreState): (team: string) => boolean {
   const excessByTeam = new Map<string, number>();
   return (team) => {
@@ -91,11 +92,12 @@
   };
 }
 
-/** Tells which tasks may be preempted for a job. */
+/** Returns a filter for the tasks that may be preempted for a job. */
 function preemptibleFilter(state: CoreState, job: JobState, now: Now): (claim: LiveClaim) => boolean {
   const isGuaranteed = state.guaranteedJobs.has(job);
-  // To meet one objective at the cost of another is no gain; a reservation has no other way.
-  const isOwed = isGuaranteed || state.reservedJobs.includes(job);
+  // Meeting one objective at the cost of another gains nothing. A guarantee or a reservation cannot be
+  // met in any other way.
+  const isEntitled = isGuaranteed || state.reservedJobs.includes(job);
   const isOverGuarantee = overGuaranteeFilter(state);
   const protectedFromObjectives = protectedClaims(state);
   return (claim) => {
@@ -104,9 +106,9 @@
     const isBorrowed = isGuaranteed && spec.team !== job.spec.team && isOverGuarantee(spec.team);
     if (!isLower && !isBorrowed) return false;
     if (state.guaranteedJobs.has(claim.job) || !isPreemptible(state, claim, now)) return false;
-    // What was started on a reservation is not stopped for another reservation.
+    // A task that was started by a starvation reservation is stopped only for a team's guarantee.
     if (claim.isReserved && !isGuaranteed) return false;
-    return isOwed || (!protectedFromObjectives.has(claim) && isExpendable(state, claim));
+    return isEntitled || (!protectedFromObjectives.has(claim) && isExpendable(state, claim));
   };
 }
 
@@ -120,7 +122,7 @@
   if (!isGuaranteed && !hasLower) return found;
   const mayStop = preemptibleFilter(state, job, now);
   for (const [priority, claims] of state.claimsByPriority) {
-    // Dependent jobs may have raised a job's priority since its submission, never lowered it.
+    // This is the submitted priority: dependent jobs may have raised a job's priority since, never lowered it.
     if (!isGuaranteed && priority <= job.priority) continue;
     for (const claim of claims) {
       if (!mayStop(claim)) continue;
@@ -137,17 +139,17 @@
 /** A set of tasks of one machine whose preemption lets one task of the job start. */
 interface PreemptionOption {
   readonly victims: readonly LiveClaim[];
-  /** What they lose together, in milliseconds, with a little for each of them. */
+  /** Run time in milliseconds that the victims lose in total, plus 1 ms for each of them. */
   readonly loss: number;
 }
 
-/** Lower priority first, then what loses least; of equal ones the job that came last, so that the first completes. */
+/** Lower priority first, then smaller loss; of equal ones the latest job, so that the earliest completes. */
 const compareVictims = (a: LiveClaim, b: LiveClaim, now: Now): number =>
   b.job.priority - a.job.priority ||
   preemptionLossMs(a, now) - preemptionLossMs(b, now) ||
   b.job.modRevision - a.job.modRevision;
 
-/** Takes victims from the candidates until a request fits; null: it does not fit with all of them gone. */
+/** Takes victims from the candidates until a request fits; null: it does not fit even without all of them. */
 function takeVictims(candidates: LiveClaim[], request: ResourceRequest, free: Resources): LiveClaim[] | null {
   const victims: LiveClaim[] = [];
   while (!fits(request, free)) {
@@ -156,7 +158,7 @@
     release(free, next.job.spec);
     victims.push(next);
   }
-  // A victim taken before a larger one turned up may not be needed.
+  // A victim that was taken before a larger one may not be needed any more.
   for (const claim of [...victims].reverse()) {
     const without = resourcesOf(free);
     allocate(without, claim.job.spec);
@@ -168,8 +170,8 @@
 }
 
 /**
- * Options to start one task after another on a node, up to `count` of them. Tasks that are being
- * stopped already count as gone.
+ * Options for starting tasks on a node, one for each task and at most `count` of them. Tasks that
+ * are already being stopped count as gone.
  */
 function preemptionOptions(
   node: NodeCapacity,
@@ -202,7 +204,7 @@
   state.preemptedClaims.add(claim);
 }
 
-/** Requests the stop of what has to go for `count` tasks of a job to start; returns how many tasks that is. */
+/** Requests the stop of the tasks that must go for `count` tasks of a job to start; returns their number. */
 export function preemptFor(
   state: CoreState,
   job: JobState,
@@ -213,7 +215,7 @@
   const preemptible = preemptibleClaims(state, job, now);
   if (preemptible.size === 0) return 0;
   const machines = new Set(preemptible.keys());
-  // What is being freed already comes without a loss.
+  // Resources that are already being freed can be used without further loss.
   for (const claim of state.preemptedClaims) {
     const machine = state.machines.get(claim.machine);
     if (machine !== undefined) machines.add(machine);
--- a/src/core/placement/resources.ts
+++ b/src/core/placement/resources.ts
@@ -5,7 +5,7 @@
 /** Tolerance for rounding errors in sums of resources. */
 export const RESOURCE_EPSILON = 1e-6;
 
-/** Whether a request fits into free resources, but for rounding errors. */
+/** Whether a request fits into free resources, with a tolerance for rounding errors. */
 export function fits(request: ResourceRequest, free: ResourceRequest): boolean {
   return (
     request.cpus <= free.cpus + RESOURCE_EPSILON &&
@@ -35,7 +35,7 @@
   memoryGb: a.memoryGb + b.memoryGb,
 });
 
-/** A copy of the resources alone, whatever else the object holds. */
+/** A copy of an object's resources, without its other properties. */
 export const resourcesOf = ({ cpus, gpus, memoryGb }: ResourceRequest): Resources => ({
   cpus,
   gpus,
@@ -45,7 +45,7 @@
 /** Zero of each resource. */
 export const noResources = (): Resources => ({ cpus: 0, gpus: 0, memoryGb: 0 });
 
-/** What a machine's claims leave free of it. */
+/** The resources of a machine that its claims leave free. */
 export function freeResources(machine: Machine, type: MachineType): Resources {
   const free = resourcesOf(type);
   allocate(free, machine.allocated);
@@ -60,27 +60,31 @@
   for (const claim of machine.claims.values()) {
     if (claim.job.spec.image !== spec.image) continue;
     if (claim.runningSince !== null) return 0;
-    // Being fetched for another task already.
+    // The image is already being fetched for this claim.
     remainingMs = Math.min(remainingMs, Math.max(0, fetchMs - (now.epochMs - claim.createdAt)));
   }
   return remainingMs;
 }
 
-/** Number of machines with failures, and no completed task, from which on a job itself is at fault. */
+/** Number of machines that a job without a completed task must have failed on to count as faulty itself. */
 const MIN_FAILED_MACHINES_OF_FAULTY_JOB = 3;
 
-/** Whether a job was submitted with a mistake, as far as is known; it may be tried on any machine. */
+/** Whether a job's failures are attributed to the job itself, not to machines; any machine may then run it. */
 export const isFaultyJob = (job: JobState): boolean =>
   job.doneCount === 0 && job.failedMachines.size >= MIN_FAILED_MACHINES_OF_FAULTY_JOB;
 
 /**
- * Whether a job has failed on a machine that may be to blame for it. Placement and autoscaling must
- * agree on this: a machine that the plan counts on and placement avoids keeps the job waiting for ever.
+ * Whether a job avoids a machine because it has failed there and the machine may be at fault. Placement
+ * and autoscaling must agree on this: if the plan counts on a machine that placement avoids, the job
+ * waits forever.
  */
 export const isExcluded = (job: JobState, machine: string): boolean =>
   job.failedMachines.has(machine) && !isFaultyJob(job);
 
-/** Whether a job's own constraints allow a kind of machine, whatever its zone constraints say of its other tasks. */
+/**
+ * Whether a job's constraints on type, zone and spot allow a kind of machine. Constraints on the zones
+ * of its tasks relative to each other (`oneZone`, `spread`) are not checked here.
+ */
 export function satisfiesConstraints(spec: JobSpec, type: string, zone: string, spot: boolean): boolean {
   return (
     (spec.types === null || spec.types.includes(type)) &&
--- a/src/core/placement/scoring.ts
+++ b/src/core/placement/scoring.ts
@@ -18,26 +18,26 @@
 import { mayBackfill } from './shadow-time.js';
 import type { ZoneFilter } from './zone-constraints.js';
 
-/** Penalty of an on-demand machine against a spot machine that fits as well. */
+/** Penalty of an on-demand machine compared with a spot machine that fits equally well. */
 const ON_DEMAND_PENALTY = 1;
-/** Penalty of a machine that would be kept busy for the whole of the run longer. */
+/** Penalty of a machine whose use the task prolongs by its whole duration; in proportion if by less. */
 const PROLONGED_USE_PENALTY = 0.5;
-/** Penalty of missing the task's start objective for want of its image. */
+/** Penalty of a machine that would start the task after its start objective, as when it lacks the image. */
 const MISSED_START_PENALTY = 1.5;
 
-/** What decides on the choice of a machine for a job's tasks. */
+/** Properties of a job that determine the choice of a machine for its tasks. */
 export interface PlacementPreferences {
   readonly job: JobState;
   /** Expected run time of a task in milliseconds. */
   readonly runMs: number;
-  /** It keeps off the capacity reserved on constrained machine types. */
+  /** Whether it must respect the capacity reserved on constrained machine types. */
   readonly avoidsConstrainedTypes: boolean;
-  /** It must not prolong the use of an on-demand machine. */
+  /** Whether it must not prolong the use of an on-demand machine. */
   readonly isCostSensitive: boolean;
   readonly isBestEffort: boolean;
   /** Monotonic time in milliseconds by which a task should start; Infinity: none. */
   readonly startDeadline: number;
-  /** It may use the headroom. */
+  /** Whether it may use the headroom. */
   readonly mayUseHeadroom: boolean;
 }
 
@@ -56,7 +56,7 @@
   };
 }
 
-/** A placement that is allowed. */
+/** Score of an allowed placement. */
 export interface PlacementScore {
   /** The lower, the better. */
   score: number;
@@ -84,9 +84,9 @@
   const end = spec.form === 'service' ? Infinity : now.monotonicMs + fetchMs + runMs;
   if (preferences.isCostSensitive && !machine.spot && end > node.busyUntil) return null;
   if (!respectsReservations(pass, preferences, node, end)) return null;
-  const start = now.monotonicMs + untilNextReport(state, machine, now) + fetchMs;
+  const start = now.monotonicMs + msUntilNextHeartbeat(state, machine, now) + fetchMs;
   const missesStart = preferences.startDeadline < Infinity && start > preferences.startDeadline;
-  // Tight fits come first, so that large free rooms stay whole.
+  // Tight fits score better, so that large amounts of free resources stay in one piece.
   const cpusLeftShare = (node.unreserved.cpus - spec.cpus) / Math.max(RESOURCE_EPSILON, pass.maxCpus);
   const durationMs = fetchMs + runMs + 1;
   const prolongedMs = Math.max(0, end - Math.max(now.monotonicMs, node.busyUntil));
@@ -99,7 +99,7 @@
   return { score, end };
 }
 
-/** Whether a task that ends at `end` passes the backfilling tests against all that is reserved on a node. */
+/** Whether a task that ends at `end` passes the backfilling tests against all capacity reserved on a node. */
 function respectsReservations(
   pass: PlacementPass,
   { job, isBestEffort, avoidsConstrainedTypes }: PlacementPreferences,
@@ -107,20 +107,20 @@
   end: number,
 ): boolean {
   const { spec } = job;
-  const givesWay = isBestEffort && spec.checkpointS > 0;
+  const isQuicklyPreempted = isBestEffort && spec.checkpointS > 0;
   for (const { job: owner, capacity } of pass.reservations) {
     const reserved = owner === job ? undefined : capacity.get(node);
     if (reserved === undefined) continue;
-    // Best-effort work with checkpoints is preempted within moments, and keeps nothing from a higher priority.
-    if (givesWay && owner.priority < job.priority) continue;
+    // Best-effort work with checkpoints is preempted quickly, so it does not block a job of higher priority.
+    if (isQuicklyPreempted && owner.priority < job.priority) continue;
     if (!mayBackfill(reserved, spec, end)) return false;
   }
   const constrained = avoidsConstrainedTypes ? pass.constrainedCapacity.get(node) : undefined;
   return constrained === undefined || mayBackfill(constrained, spec, end);
 }
 
-/** Milliseconds until a machine's next report is due at the latest: a start is sent in the answer to it. */
-function untilNextReport(state: CoreState, machine: Machine, now: Now): number {
+/** Milliseconds until a machine's next heartbeat is due at the latest: a start is sent in the answer to it. */
+function msUntilNextHeartbeat(state: CoreState, machine: Machine, now: Now): number {
   if (machine.pendingHeartbeat !== null || machine.lastHeartbeatAt === null) return 0;
   return Math.max(0, machine.lastHeartbeatAt + state.config.timing.maxHeartbeatIntervalMs - now.monotonicMs);
 }
--- a/src/core/placement/shadow-time-cache.ts
+++ b/src/core/placement/shadow-time-cache.ts
@@ -23,25 +23,25 @@
   of(machine: Machine): NodeCapacity | undefined;
 }
 
-/** The shadow of a node as of one version of it. */
+/** The shadow time of a node, with the version of the node that it was computed from. */
 interface CachedShadow {
   readonly node: NodeCapacity;
   readonly version: number;
   readonly shadow: NodeShadow;
 }
 
-/** Earliest shadow time first; of equal ones the node known longest. */
+/** Earliest shadow time first; of equal times, the node discovered first. */
 const byShadowTime = (a: CachedShadow, b: CachedShadow): number =>
   a.shadow.at - b.shadow.at || a.node.machine.discoveryOrder - b.node.machine.discoveryOrder;
 
-/** Shadow times of one resource request, the earliest at hand. */
+/** Shadow times of one resource request, with the nodes ordered by shadow time. */
 export class ShadowTimeCache {
   readonly #byNode = new Map<NodeCapacity, CachedShadow>();
   readonly #queue = new TinyQueue<CachedShadow>([], byShadowTime);
-  /** Entries of the change log that have been read. */
+  /** Number of entries of the change log that have been read. */
   #logPosition: number;
 
-  /** `compute` tells the shadow of one node from its present state. */
+  /** `compute` returns the shadow time of one node in its present state. */
   constructor(
     private readonly source: ChangingNodes,
     private readonly compute: (node: NodeCapacity) => NodeShadow,
@@ -57,7 +57,7 @@
     return cached;
   }
 
-  /** The shadow of a node, as of its present version. */
+  /** The shadow time of a node, for its present version. */
   of(node: NodeCapacity): NodeShadow {
     const cached = this.#byNode.get(node);
     return (cached?.version === node.version ? cached : this.#update(node)).shadow;
--- a/src/core/placement/shadow-time.ts
+++ b/src/core/placement/shadow-time.ts
@@ -1,7 +1,7 @@
 /**
  * Shadow time and extra nodes of EASY backfilling (Mu'alem & Feitelson). The shadow time is the
- * earliest time at which a blocked job fits, as running tasks end; the extra nodes are what is
- * left beside the job then. Both are counted per machine and resource.
+ * earliest time at which a blocked job fits, as running tasks end; the extra nodes are the
+ * resources left free beside the job at that time. Both are counted per machine and resource.
  */
 import { expectedEnd } from '../fleet/expected-end.js';
 import type { LiveClaim, Now } from '../model.js';
@@ -13,9 +13,9 @@
 
 /** Capacity of one node that is reserved for a blocked job. */
 export interface ReservedCapacity {
-  /** Monotonic time in milliseconds; until then the node may be used as a whole. */
+  /** Monotonic time in milliseconds until which all of the node may be used. */
   readonly shadowTime: number;
-  /** The paper's extra nodes: what may be used beyond the shadow time as well. */
+  /** The paper's extra nodes: the resources that may also be used beyond the shadow time. */
   readonly extra: Resources;
 }
 
@@ -27,7 +27,7 @@
   readonly capacity: ReadonlyMap<NodeCapacity, ReservedCapacity>;
 }
 
-/** What of a node's resources is left when a task has started there at its shadow time. */
+/** Capacity to reserve on a node for a task that starts there at its shadow time; what is left is extra. */
 export function reservedCapacity({ at, free }: NodeShadow, request: ResourceRequest): ReservedCapacity {
   const extra = { ...free };
   allocate(extra, request);
@@ -42,7 +42,7 @@
   return end <= reserved.shadowTime || fits(request, reserved.extra);
 }
 
-/** When one task with this request would fit a node, and what is free there then. */
+/** The earliest time at which one task with this request fits a node, and what is free there at that time. */
 export function shadowOn(
   state: CoreState,
   node: NodeCapacity,
@@ -66,8 +66,8 @@
 }
 
 /**
- * Reserves for a single task, on the eligible node where it can start first; null when it fits
- * none, ever. The index keeps shadow times in order, so that only nodes that have changed are
+ * Reserves capacity for a single task, on the eligible node where it can start first; null if it
+ * never fits any. The index keeps shadow times in order, so that only nodes that have changed are
  * computed again.
  */
 export function earliestShadow(
@@ -83,15 +83,15 @@
   return { shadowTime: shadow.at, capacity: new Map([[node, reservedCapacity(shadow, request)]]) };
 }
 
-/** How many tasks with one request fit each of several nodes, as running tasks end. */
+/** Number of tasks with one request that fit each of several nodes, updated as running tasks end. */
 class FittingTasks {
-  /** What is free on each node, with the ended tasks gone. */
+  /** Free resources of each node, including those that ended tasks have released. */
   readonly #free: Map<NodeCapacity, Resources>;
   readonly #counts: Map<NodeCapacity, number>;
-  /** Tasks that fit all nodes together. */
+  /** Number of tasks that fit on all nodes together. */
   total = 0;
 
-  /** On one node no more than `limit` tasks are counted. */
+  /** At most `limit` tasks are counted on each node. */
   constructor(
     nodes: readonly NodeCapacity[],
     private readonly request: ResourceRequest,
@@ -113,12 +113,12 @@
     return this.#counts.get(node) ?? 0;
   }
 
-  /** A copy of what is free on a node. */
+  /** A copy of the free resources of a node. */
   freeOn(node: NodeCapacity): Resources {
     return { ...(this.#free.get(node) ?? node.unreserved) };
   }
 
-  /** A running task has ended. */
+  /** Releases the resources of a running task that has ended, and updates the counts. */
   release(node: NodeCapacity, ended: ResourceRequest): void {
     const free = this.#free.get(node);
     if (free !== undefined) release(free, ended);
@@ -142,9 +142,8 @@
 }
 
 /**
- * Reserves for tasks that start together: running tasks are gone through in the order of their
- * expected ends, collecting the resources they free, until enough tasks fit. Null when that
- * never happens.
+ * Reserves capacity for tasks that start together: adds up the resources that running tasks free, in
+ * the order of their expected ends, until enough tasks fit. Null if that never happens.
  */
 export function reserveAcrossMachines(
   state: CoreState,
--- a/src/core/placement/starvation.ts
+++ b/src/core/placement/starvation.ts
@@ -1,20 +1,20 @@
 /**
- * Starvation reservations. EASY backfilling reserves for the head job alone, and proves that the
- * second may be passed without bound; where priorities order the queue, so may every job of low
- * priority, and a large one by small ones. So a job that has not been served for a share of its
- * longest wait gets a reservation of its own, whatever its priority or size, and all others must
- * pass the two backfilling tests against it too.
+ * Starvation reservations. EASY backfilling reserves for the head job only, and it is proven that the
+ * second job may be overtaken without bound. In a queue ordered by priority, the same holds for every
+ * job of low priority, and for a large job overtaken by small ones. So a job that has not been served
+ * for a share of its maximum wait gets a reservation of its own, whatever its priority or size, and
+ * all other jobs must pass the two backfilling tests against it too.
  */
 import type { JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import { isFaultyJob } from './resources.js';
 
-/** Starvation reservations of one class at a time; more would leave little of the queue's order. */
+/** Maximum number of starvation reservations per class; more would override most of the queue order. */
 const MAX_RESERVED_JOBS_PER_CLASS = 2;
-/** Share of its longest wait after which a job gets a reservation. */
+/** Share of its maximum wait after which a job gets a reservation. */
 const RESERVATION_WAIT_SHARE = 0.5;
 
-/** Milliseconds since a job was ready, or since a task of it was last placed. */
+/** Milliseconds since a job became ready or since a task of it was last placed, whichever is less. */
 export const waitedMs = (job: JobState, now: Now): number =>
   Math.min(now.epochMs - job.readyAt, now.monotonicMs - job.lastPlacedAt);
 
@@ -22,9 +22,9 @@
 
 /**
  * Chooses the jobs that get a starvation reservation, those that have waited longest first. The
- * number is limited by class, so that the backlog of one keeps no other from beginning. Of the
- * jobs of a class that have begun only the first one counts: served by turns, all of them would
- * end late.
+ * number is limited per class, so that the backlog of one class does not keep another from starting.
+ * Of the jobs of a class that have begun, only the earliest is considered: if they were served in
+ * turn, all of them would end late.
  */
 export function chooseReserved(state: CoreState, now: Now): void {
   const starving: { readonly job: JobState; readonly waited: number }[] = [];
--- a/src/core/placement/team-quota.ts
+++ b/src/core/placement/team-quota.ts
@@ -4,7 +4,7 @@
 import type { CoreState } from '../state.js';
 import { isFaultyJob, RESOURCE_EPSILON } from './resources.js';
 
-/** Whether a job's team stays within its limit with `count` more tasks of the job; a limit of 0 is none. */
+/** Whether a job's team stays within its limit with `count` more tasks of the job; a limit of 0 means none. */
 export function isWithinTeamQuota(state: CoreState, job: JobState, count: number): boolean {
   const quota = state.config.teams.get(job.spec.team);
   if (quota === undefined) return true;
@@ -21,7 +21,8 @@
 
 /**
  * Chooses the jobs within their team's guarantee: those that fit into it together with the team's
- * earlier unfinished ones. They wait for no other team. No job is walked if no team has a guarantee.
+ * earlier unfinished jobs. They do not have to wait for jobs of other teams. If no team has a
+ * guarantee, the jobs are not visited.
  */
 export function chooseGuaranteed(state: CoreState): void {
   const remainingByTeam = new Map<string, { cpus: number; gpus: number }>();
--- a/src/core/placement/wait-reason.ts
+++ b/src/core/placement/wait-reason.ts
@@ -3,7 +3,7 @@
 import type { CoreState } from '../state.js';
 import { isFaultyJob } from './resources.js';
 
-/** All reasons; their order is fixed, for peers exchange positions in it. */
+/** All reasons. Their order is fixed, because peers exchange indexes into this list. */
 export const WAIT_REASONS = [
   'fails wherever it is tried',
   'stopped for more urgent work',
@@ -12,10 +12,10 @@
   'waits for room',
 ] as const;
 
-/** One of the reasons. */
+/** One of `WAIT_REASONS`. */
 export type WaitReason = (typeof WAIT_REASONS)[number];
 
-/** Why tasks of a job wait; null: none does. */
+/** Why tasks of a job wait; null: no task waits. */
 export function waitReason(state: CoreState, job: JobState): WaitReason | null {
   if (job.finalStage !== null) return null;
   if (isFaultyJob(job)) return 'fails wherever it is tried';
--- a/src/core/placement/zone-constraints.ts
+++ b/src/core/placement/zone-constraints.ts
@@ -1,16 +1,16 @@
-/** Zone constraints of a job: all tasks in one zone, or no more than half of them in any. */
+/** Zone constraints of a job: all tasks in one zone, or at most half of them, rounded up, in any one zone. */
 import type { JobState } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { NodeCapacity } from './capacity-index.js';
 
-/** Tells whether a job's next task may be placed in a zone. */
+/** Returns whether a job's next task may be placed in a zone. */
 export type ZoneFilter = (zone: string) => boolean;
 
 const anyZone: ZoneFilter = () => true;
 
 /**
- * The zones open to a job's next task, given every task of it that may be on a machine, and those
- * that this pass has put on `placed` without a claim so far.
+ * Returns a filter for the zones that a job's next task may be placed in, given the zones of all its
+ * tasks that may be on a machine, and of `placed`: nodes that this pass has chosen without a claim yet.
  */
 export function zoneFilter(
   state: CoreState,
@@ -20,7 +20,7 @@
   const { spec } = job;
   if (!spec.oneZone && !spec.spread) return anyZone;
   const tasksByZone = new Map<string, number>();
-  // A machine known from a claim alone may be in any zone, so its tasks count in each.
+  // A machine that is known only from a claim may be in any zone, so its tasks count in every zone.
   let inUnknownZone = 0;
   const count = (zone: string): void => {
     if (zone === '') inUnknownZone += 1;
