--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -1,8 +1,8 @@
 /**
- * DAG dependencies between jobs. A job is ready once every job it depends on is known, from the
- * committed record, to be done; it is cancelled once one of them is known, from there, to have been
- * cancelled. Both outcomes are final, so what has been learned stays true. Jobs are indexed by
- * those they depend on, so that an outcome costs no more than the jobs that it makes ready.
+ * DAG dependencies between jobs. A job is ready once the committed record of every job it depends on
+ * shows that job as done; it is cancelled once the committed record of one of them shows that job as
+ * cancelled. Both outcomes are final, so an outcome that has been read stays valid. Jobs are indexed
+ * by those they depend on, so that the cost of an outcome follows the number of its dependents.
  */
 import { markDirty } from '../persistence/dirty-jobs.js';
 import type { FinalOutcome, JobState, Now } from '../model.js';
@@ -10,24 +10,33 @@
 import type { EndedRecord, FinalStage } from '../types.js';
 import { expectedRun, isReady, startLatency, updateTaskCounts } from './jobs.js';
 
-/** Outcomes that are remembered at least; with more live jobs, twice their number is. */
+/** Maximum number of outcomes kept, unless twice the number of jobs is more. */
 const MIN_REMEMBERED_OUTCOMES = 4000;
-/** Records of jobs that are read with one query. */
+/** Maximum number of job records that one query reads. */
 const MAX_QUERIED_OUTCOMES = 16;
 /** Length of a dependency chain beyond which priority and deadline are propagated no further. */
 const MAX_PROPAGATION_DEPTH = 200;
 /** Expected run time of the last task of an array, as a multiple of the usual one. */
 const LAST_TASK_RUN_FACTOR = 1.3;
 
-/** Monotonic time of the latest proof of the leader's view; what is learned now happened after it. */
+/**
+ * Monotonic time in milliseconds of the latest read that confirmed the leader's view; a change that
+ * the leader learns of now happened after it.
+ */
 const viewConfirmedAt = (state: CoreState): number => state.leadership?.viewConfirmedAt ?? 0;
 
-/** Has the record of a job read, for its outcome; `since` is when that became necessary. */
+/**
+ * Requests a read of a job's record for its outcome. `since`: monotonic time in milliseconds at which
+ * that became necessary.
+ */
 function requestOutcome(state: CoreState, id: string, since = viewConfirmedAt(state)): void {
   if (!state.unresolvedDependencies.has(id)) state.unresolvedDependencies.set(id, { since, notBefore: 0 });
 }
 
-/** Has a job cancelled because one that it depends on was. It has no task out, for it never was ready. */
+/**
+ * Schedules the cancellation of a job because one that it depends on was cancelled. The job has no
+ * task on a machine, because it was never ready.
+ */
 function scheduleCancellation(state: CoreState, job: JobState, since: number): void {
   if (job.finalStage !== null || state.cancelPending.has(job)) return;
   state.cancelPending.set(job, since);
@@ -51,11 +60,11 @@
   if (!isReady(dependent)) return;
   updateTaskCounts(state, dependent);
   state.isPlacementDue = true;
-  // The plan is due at the next tick; 0 would say that there has been none yet.
+  // Makes a new plan due at the next tick; 0 would mean that there has been no plan yet.
   if (state.nextPlanAt > 0) state.nextPlanAt = 1;
 }
 
-/** Enters a new job into the index, and requests the outcomes of the jobs it depends on as far as unknown. */
+/** Adds a new job to the index, and requests the missing outcomes of jobs it depends on that are not live. */
 export function registerDependencies(state: CoreState, job: JobState): void {
   for (const id of job.spec.awaits ?? []) {
     job.pendingDependencies.add(id);
@@ -73,8 +82,8 @@
 }
 
 /**
- * Gives a job's priority to the jobs it depends on, and a deadline that leaves time for the job
- * itself: users set both on the last job of a DAG only.
+ * Propagates a job's priority to the jobs it depends on, and a deadline that leaves time for the job
+ * itself, because users set both on the last job of a DAG only.
  */
 function propagateToDependencies(state: CoreState, job: JobState, depth: number): void {
   if (depth === 0) return;
@@ -91,12 +100,12 @@
   }
 }
 
-/** Expected milliseconds from a job's being ready to its being done. */
+/** Expected time in milliseconds from when a job is ready until it is done. */
 const expectedCompletionMs = (state: CoreState, { spec }: JobState): number =>
   startLatency(state) + LAST_TASK_RUN_FACTOR * expectedRun(state, spec);
 
 /**
- * Takes a job that has ended out of the index. `outcome` null: its committed record is not at hand,
+ * Removes an ended job from the index. If `outcome` is null, the committed record is not available,
  * so it is requested if other jobs depend on this one.
  */
 export function unregisterDependencies(state: CoreState, job: JobState, outcome: FinalOutcome | null): void {
@@ -114,7 +123,7 @@
   else if (state.dependents.has(id)) requestOutcome(state, id, since);
 }
 
-/** Takes in a job's outcome from its committed record, and applies it to the jobs that depend on it. */
+/** Stores a job's outcome from its committed record, and applies it to the jobs that depend on it. */
 function recordFinalOutcome(
   state: CoreState,
   id: string,
@@ -130,7 +139,7 @@
   for (const job of dependents) resolveDependency(state, job, id, outcome, Math.min(since, requestedSince));
 }
 
-/** Keeps an outcome as the newest, and drops the oldest beyond the bound. */
+/** Stores an outcome as the newest, and drops the oldest ones beyond the limit. */
 function rememberOutcome({ finalOutcomes, jobs }: CoreState, id: string, outcome: FinalOutcome): void {
   finalOutcomes.delete(id);
   finalOutcomes.set(id, outcome);
@@ -141,7 +150,7 @@
   }
 }
 
-/** The outcome that a committed record tells; its time is never in the future. */
+/** The outcome in a committed record; a time in the future is replaced by the present time. */
 export const finalOutcomeOf = (record: EndedRecord, now: Now): FinalOutcome => ({
   stage: record.stage,
   at: Math.min(record.at ?? now.epochMs, now.epochMs),
@@ -151,8 +160,8 @@
 export const finalOutcomeNow = (stage: FinalStage, now: Now): FinalOutcome => ({ stage, at: now.epochMs });
 
 /**
- * Ids of the jobs whose records are to be read now, a limited number; null: none is, or a query is
- * under way. The caller reports the result to `settleDependencyQuery`.
+ * Ids of the jobs whose records are to be read now, at most `MAX_QUERIED_OUTCOMES`; null: there are
+ * none, or a query is in flight. The result of the query has to be passed to `settleDependencyQuery`.
  */
 export function nextDependencyQuery(state: CoreState, now: Now): readonly string[] | null {
   if (state.pendingDependencyQuery !== null || state.unresolvedDependencies.size === 0) return null;
@@ -167,7 +176,7 @@
   return ids;
 }
 
-/** Takes in the answers to a query; jobs without an outcome are asked for again later. */
+/** Applies the results of a query; jobs without an outcome are queried again later. */
 export function settleDependencyQuery(
   state: CoreState,
   answers: ReadonlyMap<string, EndedRecord | 'live' | 'none' | 'unknown'>,
@@ -182,13 +191,16 @@
     }
     const query = state.unresolvedDependencies.get(id);
     if (query === undefined) continue;
-    // The outcome of a job that the leader's view shows by now comes with that view.
+    // A job that the leader's view shows as live needs no query: its outcome will arrive with that view.
     if (answer === 'live' && state.jobs.get(id)?.finalStage === null) state.unresolvedDependencies.delete(id);
     else query.notBefore = now.monotonicMs + (answer === 'none' ? workerLeaseMs : tickMs);
   }
 }
 
-/** Monotonic time in milliseconds up to which every cancellation has reached all dependents, as this leader sees it. */
+/**
+ * Monotonic time in milliseconds up to which, in this leader's view, every cancellation has been
+ * propagated to all dependents.
+ */
 export function resolvedUntil(state: CoreState): number {
   let until = state.leadership?.viewConfirmedAt ?? 0;
   for (const { since } of state.unresolvedDependencies.values()) until = Math.min(until, since);
--- a/src/core/jobs/index.ts
+++ b/src/core/jobs/index.ts
@@ -1,6 +1,6 @@
 /**
  * Jobs: their tasks and claims, service-level objectives, and DAG dependencies. Code outside the
- * core imports from here alone.
+ * core imports from this file only.
  */
 export * from './best-effort.js';
 export * from './objectives.js';
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -1,7 +1,7 @@
 /**
- * Tasks of jobs: which of them wait, which are claimed for a machine, and what they take. The
- * counts that placement and autoscaling go by are kept up with each change, so that neither has
- * to walk over all jobs or all machines for them.
+ * Tasks of jobs: which of them wait, which are claimed for a machine, and the resources they use. The
+ * counts that placement and autoscaling read are updated with each change, so that neither has to
+ * iterate over all jobs or all machines.
  */
 import { needAttention } from '../attention.js';
 import { allocate, isFaultyJob, noResources, release } from '../placement/resources.js';
@@ -9,13 +9,13 @@
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
 
-/** Longest heartbeat intervals from the placement of a task to its running. */
+/** Time from the placement of a task until it runs, in maximum heartbeat intervals. */
 const START_HEARTBEATS = 1.5;
 
 /** Whether all jobs that a job depends on are done. */
 export const isReady = (job: JobState): boolean => job.pendingDependencies.size === 0;
 
-/** Whether all tasks of a job are done and its final record is still to be written; a service never is. */
+/** Whether all tasks of a job are done and its final record is still to be written; never for a service. */
 export const isComplete = (job: JobState): boolean =>
   job.finalStage === null && job.spec.form !== 'service' && job.doneCount === job.spec.tasks;
 
@@ -25,28 +25,31 @@
   return job.spec.tasks - job.doneCount - job.claims.size;
 }
 
-/** Expected run time of a task in milliseconds: its owner's estimate, corrected by what its class has shown. */
+/**
+ * Expected run time of a task in milliseconds: the submitted estimate as adjusted by the policy, corrected by
+ * the ratio of run time to estimate observed in its class.
+ */
 export function expectedRun(state: CoreState, spec: JobSpec): number {
   return state.config.policy.expectedRunMs(spec) * (state.runTimeRatio.get(spec.jobClass) ?? 1);
 }
 
 /**
- * Milliseconds from a task's placement to its running: the write, the wait for the machine's next
- * heartbeat, and the start itself. An objective with less time left is lost already; were it
- * counted on, a queue under overload would serve every job just too late.
+ * Milliseconds from a task's placement until it runs: the write, the wait for the machine's next
+ * heartbeat, and the start itself. An objective with less time left counts as lost; otherwise a
+ * queue under overload would serve every job just too late.
  */
 export const startLatency = (state: CoreState): number =>
   START_HEARTBEATS * state.config.timing.maxHeartbeatIntervalMs;
 
-/** Brings the counts up to date after something of a job has changed. */
+/** Updates the task counts after a change to a job. */
 export function updateTaskCounts(state: CoreState, job: JobState): void {
   const waiting = waitingTasks(job);
   // No capacity is held or planned for the waiting tasks of a faulty job.
   const outstanding = job.claims.size + (isFaultyJob(job) ? 0 : waiting);
   if (outstanding !== job.outstanding) {
     const { jobClass } = job.spec;
-    const ofClass = state.outstandingByClass.get(jobClass) ?? 0;
-    state.outstandingByClass.set(jobClass, ofClass + outstanding - job.outstanding);
+    const classOutstanding = state.outstandingByClass.get(jobClass) ?? 0;
+    state.outstandingByClass.set(jobClass, classOutstanding + outstanding - job.outstanding);
     job.outstanding = outstanding;
   }
   if (waiting > 0 && job.waitingCount === 0) {
@@ -59,7 +62,7 @@
 /** Whether a task is neither done nor claimed. */
 const isPlaceable = (job: JobState, task: number): boolean => !isDone(job, task) && !job.claims.has(task);
 
-/** The next task of a job that waits for a machine, those to be retried first; null: there is none. */
+/** The next task of a job that waits for a machine, tasks to be retried first; null: there is none. */
 export function nextTask(job: JobState): number | null {
   for (;;) {
     const retry = job.retryTasks[0];
@@ -98,7 +101,7 @@
   if (claim.stage === 'running') job.runningCount -= 1;
   if (machine?.claims.delete(taskKey(spec.id, task)) === true) {
     allocate(machine.allocated, spec);
-    // Sums of fractions drift; an empty machine is empty.
+    // Sums of fractions accumulate rounding errors, so an empty machine is reset to exactly zero.
     if (machine.claims.size === 0) Object.assign(machine.allocated, noResources());
     state.changedMachines.add(machine);
   }
@@ -120,7 +123,7 @@
   const usage = usageByTeam.get(team);
   if (usage === undefined) return;
   usage.tasks -= 1;
-  // Sums of fractions drift here too: a team without tasks uses nothing.
+  // Rounding errors accumulate here too, so a team without tasks is removed from the map.
   if (usage.tasks === 0) usageByTeam.delete(team);
   else {
     usage.cpus -= cpus;
@@ -133,7 +136,8 @@
   if (isDone(job, task)) return;
   job.doneBits[task >> 3] = (job.doneBits[task >> 3] ?? 0) | (1 << (task & 7));
   job.doneCount += 1;
-  // Never started again, so its attempts need no memory: it follows what is out or was lost, not the job's size.
+  // A done task is never started again, so its attempt count is dropped: memory use follows the number of
+  // tasks that are on machines or were lost, not the job's size.
   job.attempts.delete(task);
   const claim = job.claims.get(task);
   if (claim !== undefined) needAttention(state, claim.machine);
--- a/src/core/jobs/objectives.ts
+++ b/src/core/jobs/objectives.ts
@@ -1,7 +1,7 @@
 /**
- * Service-level objectives of jobs, as the latest times at which their tasks can be placed for
- * each to be met. Each objective counts by itself, any number of them: one that is lost no
- * longer makes a job urgent, and the next one does in its time.
+ * Service-level objectives of jobs, expressed as the latest times at which their tasks can be placed
+ * so that each is met. A job may have any number of objectives, and each counts separately: a lost
+ * objective no longer makes the job urgent, but the next one does when its time approaches.
  */
 import { fits } from '../placement/resources.js';
 import type { ClassObjectives, JobState, Now } from '../model.js';
@@ -10,11 +10,11 @@
 import { expectedRun, startLatency } from './jobs.js';
 
 const NO_OBJECTIVES: ClassObjectives = { startTargetsMs: [], deadlineMultiples: [], finishTargetsMs: [] };
-/** What a deadline means to a class whose objectives do not speak of it. */
+/** Multiples of the deadline to be met by a class whose objectives define none: the deadline itself. */
 const DEFAULT_DEADLINE_MULTIPLES: readonly number[] = [1];
-/** Share of its run time below which the slack of a job that should be done by a time is at risk. */
+/** An objective to complete by some time is at risk if its slack is below this share of the run time. */
 const AT_RISK_RUN_SHARE = 0.5;
-/** Share of a job's longest wait after which machines are provisioned for one without any urgency. */
+/** Share of a job's maximum wait after which machines are provisioned for it even if it is not urgent. */
 const SCALE_OUT_WAIT_SHARE = 0.5;
 
 /** The objectives of a job's class; all lists are empty if it has none. */
@@ -25,13 +25,13 @@
 const strictestStartTarget = (state: CoreState, spec: JobSpec): number | undefined =>
   objectivesOf(state, spec).startTargetsMs[0];
 
-/** Whether there is a time by which a job should be done, for itself or for its dependents. */
+/** Whether a job has a deadline, either its own or one inherited from its dependents. */
 export const hasDeadline = (job: JobState): boolean =>
   job.spec.deadlineS !== null || job.inheritedDeadline < Infinity;
 
 /**
  * Milliseconds from now until `multiple` times the deadline has passed since the submission. The
- * deadline inherited from dependents counts for a multiple of 1 alone. Infinity: no deadline.
+ * deadline inherited from dependents counts only for a multiple of 1. Infinity: no deadline.
  */
 export function timeToDeadlineMs({ spec, inheritedDeadline }: JobState, multiple: number, now: Now): number {
   const own = spec.deadlineS === null ? Infinity : spec.submittedAt + spec.deadlineS * 1000 * multiple;
@@ -46,28 +46,29 @@
   readonly atRiskBelowMs: number;
 }
 
-/** Calls back with the slack of each objective of a job; without allocating a list, for it runs per job and tick. */
+/** Calls `callback` with the slack of each objective. Builds no list, because it runs per job and tick. */
 function forEachObjective(
   state: CoreState,
   job: JobState,
   now: Now,
-  call: (objective: ObjectiveSlack) => void,
+  callback: (objective: ObjectiveSlack) => void,
 ): void {
   const { startTargetsMs, deadlineMultiples, finishTargetsMs } = objectivesOf(state, job.spec);
   const latencyMs = startLatency(state);
   const ageMs = now.epochMs - job.readyAt;
   for (const targetMs of startTargetsMs) {
     const placeWithinMs = targetMs - Math.min(latencyMs, targetMs / 2);
-    call({ slackMs: placeWithinMs - ageMs, atRiskBelowMs: placeWithinMs / 2 });
+    callback({ slackMs: placeWithinMs - ageMs, atRiskBelowMs: placeWithinMs / 2 });
   }
   if (finishTargetsMs.length === 0 && !hasDeadline(job)) return;
   const runMs = expectedRun(state, job.spec);
   const completionMs = runMs + latencyMs;
   const atRiskBelowMs = AT_RISK_RUN_SHARE * runMs;
-  for (const targetMs of finishTargetsMs) call({ slackMs: targetMs - ageMs - completionMs, atRiskBelowMs });
+  for (const targetMs of finishTargetsMs)
+    callback({ slackMs: targetMs - ageMs - completionMs, atRiskBelowMs });
   if (!hasDeadline(job)) return;
   for (const multiple of deadlineMultiples.length > 0 ? deadlineMultiples : DEFAULT_DEADLINE_MULTIPLES)
-    call({ slackMs: timeToDeadlineMs(job, multiple, now) - completionMs, atRiskBelowMs });
+    callback({ slackMs: timeToDeadlineMs(job, multiple, now) - completionMs, atRiskBelowMs });
 }
 
 /** The number of a job's objectives, and of those that it can no longer meet. */
@@ -85,7 +86,7 @@
   return { lost, all };
 }
 
-/** Whether a job still can, but soon no longer will, meet one of its objectives. */
+/** Whether a job has an objective that it can still meet but will soon lose. */
 export function isDeadlineAtRisk(state: CoreState, job: JobState, now: Now): boolean {
   let isAtRisk = false;
   forEachObjective(state, job, now, ({ slackMs, atRiskBelowMs }) => {
@@ -94,7 +95,7 @@
   return isAtRisk;
 }
 
-/** Whether a job loses an objective that it could still meet if its tasks wait for `waitMs`. */
+/** Whether a job has an objective that it can still meet, but not if its tasks wait for `waitMs`. */
 export function losesObjectiveWithin(state: CoreState, job: JobState, waitMs: number, now: Now): boolean {
   let isLost = false;
   forEachObjective(state, job, now, ({ slackMs }) => {
@@ -103,7 +104,7 @@
   return isLost;
 }
 
-/** Whether a class's tasks are to start sooner than any suitable machine boots. */
+/** Whether a class has a start objective that leaves no time to boot any machine that fits its tasks. */
 export function isStartSensitive(state: CoreState, spec: JobSpec): boolean {
   const targetMs = strictestStartTarget(state, spec);
   if (targetMs === undefined) return false;
@@ -113,8 +114,8 @@
 }
 
 /**
- * Monotonic time in milliseconds by which a job's tasks are to start for its next start objective
- * that is not lost; Infinity: none.
+ * Monotonic time in milliseconds by which a job's tasks must start to meet its next start objective
+ * that is not lost; Infinity: there is none.
  */
 export function startDeadline(state: CoreState, job: JobState, now: Now): number {
   const ageMs = now.epochMs - job.readyAt;
@@ -123,7 +124,7 @@
   return Infinity;
 }
 
-/** Milliseconds that a job may wait to be done within `targetMs`: the configured share of its slack. */
+/** Milliseconds that a job may wait and still be done within `targetMs`: the configured share of its slack. */
 function spendableSlackMs(state: CoreState, spec: JobSpec, targetMs: number): number {
   return (targetMs - expectedRun(state, spec)) * state.config.policy.deadlineSlackShare(spec);
 }
@@ -135,8 +136,8 @@
   let waitMs = startTargetsMs[0] ?? Infinity;
   if (finishTargetMs !== undefined) waitMs = Math.min(waitMs, spendableSlackMs(state, spec, finishTargetMs));
   if (spec.deadlineS !== null) return Math.min(waitMs, spendableSlackMs(state, spec, spec.deadlineS * 1000));
-  const patienceMs = SCALE_OUT_WAIT_SHARE * state.config.policy.maxWaitMs(spec);
-  return Math.min(waitMs, expectedRun(state, spec), patienceMs);
+  const scaleOutWaitMs = SCALE_OUT_WAIT_SHARE * state.config.policy.maxWaitMs(spec);
+  return Math.min(waitMs, expectedRun(state, spec), scaleOutWaitMs);
 }
 
 /** Monotonic time in milliseconds of the latest start that a job's objectives still allow. */
@@ -144,13 +145,13 @@
   const { spec } = job;
   const { lost, all } = countLostObjectives(state, job, now);
   const timeLeftMs = timeToDeadlineMs(job, 1, now);
-  // Late whatever is provisioned now: not worth on-demand machines.
+  // The job will be late whatever is provisioned now, so it is not worth on-demand machines.
   if (spec.deadlineS !== null && lost >= all) {
     return now.monotonicMs + Math.max(0, spec.deadlineS * 1000 + Math.min(0, timeLeftMs));
   }
   const ownLatestStart = now.monotonicMs - (now.epochMs - job.readyAt) + allowedWait(state, spec);
   if (!hasDeadline(job) || spec.deadlineS !== null) return ownLatestStart;
-  // Dependents set the deadline: part of the slack beyond the job's own run is theirs.
+  // Dependents set the deadline: the job may use only a share of the slack beyond its own run.
   const slackShare = state.config.policy.deadlineSlackShare(spec);
   const slackMs = slackShare * (timeLeftMs - expectedRun(state, spec));
   return now.monotonicMs + Math.max(0, Math.min(slackMs, ownLatestStart - now.monotonicMs));
