--- a/test/dag-dependencies.test.ts
+++ b/test/dag-dependencies.test.ts
@@ -1,4 +1,4 @@
-/** Jobs with dependencies: kept traces, and a test for each guard. */
+/** Jobs with dependencies: recorded traces of typical graphs, and a test for each safeguard. */
 import { expect, test } from 'vitest';
 import type { Command, Effect } from '../src/core/effects.js';
 import { resolvedUntil } from '../src/core/jobs/index.js';
@@ -6,176 +6,176 @@
 import { CoreHarness, job, report, task } from './emulators/core-harness.js';
 
 const starts = (effects: readonly Effect[]): string[] => CoreHarness.starts(effects);
-const questions = (effects: readonly Effect[]): string[] =>
+const queriedIds = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'resolveDependencies' ? effect.ids : []));
 const ended = (stage: FinalStage): EndedRecord => ({ stage, tasks: 1, done: 1, at: 100_000 });
 const resolved = (id: string, answer: EndedRecord | 'live' | 'none' | 'unknown'): Command => ({
   kind: 'dependenciesResolved',
   found: new Map([[id, answer]]),
 });
-const piped = (id: string, awaits: string[], more: Partial<JobSpec> = {}): JobSpec =>
+const awaitingJob = (id: string, awaits: string[], more: Partial<JobSpec> = {}): JobSpec =>
   job(id, 1, 2, 50, { awaits, ...more });
 
-/** A machine that takes what it is given, task by task, until nothing more is started. */
-class Runner {
-  #seq = 1;
-  #on: ReturnType<typeof task>[] = [];
+/** Drives one machine, which reports each started task as running until `finish` ends it. */
+class MachineDriver {
+  #sequence = 1;
+  #reportedTasks: ReturnType<typeof task>[] = [];
 
-  constructor(readonly bench: CoreHarness) {}
+  constructor(readonly harness: CoreHarness) {}
 
-  hear(): string[] {
-    const effects = this.bench.hear(report('m', this.#seq++, this.#on));
+  heartbeat(): string[] {
+    const effects = this.harness.hear(report('m', this.#sequence++, this.#reportedTasks));
     const started = starts(effects);
-    for (const name of started) this.#on.push(task(name.replace(/#.*/, ''), 1, 'running'));
+    for (const name of started) this.#reportedTasks.push(task(name.replace(/#.*/, ''), 1, 'running'));
     return started;
   }
 
   finish(name: string): void {
-    this.bench.now += 10_000;
-    this.bench.do({ kind: 'viewConfirmed', sentAt: this.bench.now });
-    this.#on = this.#on.map((one) =>
+    this.harness.now += 10_000;
+    this.harness.do({ kind: 'viewConfirmed', sentAt: this.harness.now });
+    this.#reportedTasks = this.#reportedTasks.map((one) =>
       `${one.job}/${one.task}` === name ? { ...one, stage: 'exited', exit: 'done' } : one,
     );
-    this.hear();
-    this.#on = this.#on.filter(({ stage }) => stage !== 'exited');
-    this.bench.do({ kind: 'tick' });
+    this.heartbeat();
+    this.#reportedTasks = this.#reportedTasks.filter(({ stage }) => stage !== 'exited');
+    this.harness.do({ kind: 'tick' });
   }
 }
 
-function runner(): Runner {
-  const run = new Runner(new CoreHarness());
-  run.hear();
-  return run;
+function createDriver(): MachineDriver {
+  const driver = new MachineDriver(new CoreHarness());
+  driver.heartbeat();
+  return driver;
 }
 
 test('chain: each job starts as soon as its predecessor is committed as done', async () => {
-  const run = runner();
-  const { bench } = run;
-  bench.add(piped('req-1', []));
-  bench.add(piped('req-2', ['req-1']));
-  bench.add(piped('req-3', ['req-2']));
-  expect(run.hear()).toEqual(['req-1/0#1']);
-  run.finish('req-1/0');
-  expect(run.hear()).toEqual(['req-2/0#1']);
-  run.finish('req-2/0');
-  expect(run.hear()).toEqual(['req-3/0#1']);
-  await bench.expectTrace('chain');
+  const driver = createDriver();
+  const { harness } = driver;
+  harness.add(awaitingJob('req-1', []));
+  harness.add(awaitingJob('req-2', ['req-1']));
+  harness.add(awaitingJob('req-3', ['req-2']));
+  expect(driver.heartbeat()).toEqual(['req-1/0#1']);
+  driver.finish('req-1/0');
+  expect(driver.heartbeat()).toEqual(['req-2/0#1']);
+  driver.finish('req-2/0');
+  expect(driver.heartbeat()).toEqual(['req-3/0#1']);
+  await harness.expectTrace('chain');
 });
 
 test('diamond: the last job waits for both branches', async () => {
-  const run = runner();
-  const { bench } = run;
-  bench.add(piped('req-1', []));
-  for (const branch of ['req-2', 'req-3']) bench.add(piped(branch, ['req-1']));
-  bench.add(piped('req-4', ['req-2', 'req-3']));
-  expect(run.hear()).toEqual(['req-1/0#1']);
-  run.finish('req-1/0');
-  run.hear();
-  run.finish('req-2/0');
-  expect(bench.state.jobs.get('req-4')?.claims.size).toBe(0);
-  run.finish('req-3/0');
-  run.hear();
-  expect(bench.state.jobs.get('req-4')?.claims.size).toBe(1);
-  await bench.expectTrace('diamond');
+  const driver = createDriver();
+  const { harness } = driver;
+  harness.add(awaitingJob('req-1', []));
+  for (const branch of ['req-2', 'req-3']) harness.add(awaitingJob(branch, ['req-1']));
+  harness.add(awaitingJob('req-4', ['req-2', 'req-3']));
+  expect(driver.heartbeat()).toEqual(['req-1/0#1']);
+  driver.finish('req-1/0');
+  driver.heartbeat();
+  driver.finish('req-2/0');
+  expect(harness.state.jobs.get('req-4')?.claims.size).toBe(0);
+  driver.finish('req-3/0');
+  driver.heartbeat();
+  expect(harness.state.jobs.get('req-4')?.claims.size).toBe(1);
+  await harness.expectTrace('diamond');
 });
 
 test('fan-out: cancelling a job cancels all its dependents, in as many transactions as needed', async () => {
-  const run = runner();
-  const { bench } = run;
-  bench.add(piped('req-1', []));
-  for (let i = 0; i < 20; i += 1) bench.add(piped(`req-2${i}`, ['req-1']));
-  bench.add(piped('req-3', ['req-20', 'req-21']));
-  const effects = bench.do({ kind: 'jobRemoved', id: 'req-1' });
-  // Nothing is cancelled on suspicion: the committed record is read first.
-  expect(questions(effects)).toEqual(['req-1']);
-  expect(bench.state.cancelPending.size).toBe(0);
+  const driver = createDriver();
+  const { harness } = driver;
+  harness.add(awaitingJob('req-1', []));
+  for (let i = 0; i < 20; i += 1) harness.add(awaitingJob(`req-2${i}`, ['req-1']));
+  harness.add(awaitingJob('req-3', ['req-20', 'req-21']));
+  const effects = harness.do({ kind: 'jobRemoved', id: 'req-1' });
+  // No dependent is cancelled before the committed record of the job has been read.
+  expect(queriedIds(effects)).toEqual(['req-1']);
+  expect(harness.state.cancelPending.size).toBe(0);
   for (let i = 0; i < 12; i += 1) {
-    bench.do(i === 0 ? resolved('req-1', ended('withdrawn')) : { kind: 'tick' });
-    run.hear();
-    bench.now += 250;
+    harness.do(i === 0 ? resolved('req-1', ended('withdrawn')) : { kind: 'tick' });
+    driver.heartbeat();
+    harness.now += 250;
   }
-  expect([...bench.state.jobs.keys()]).toEqual([]);
-  await bench.expectTrace('fan-cancelled');
+  expect([...harness.state.jobs.keys()]).toEqual([]);
+  await harness.expectTrace('fan-cancelled');
 });
 
 test('a job whose last exit is reported but not committed is not done', () => {
-  const run = runner();
-  const { bench } = run;
-  bench.add(piped('req-1', []));
-  bench.add(piped('req-2', ['req-1']));
-  run.hear();
-  bench.hear(report('m', 20, [task('req-1/0', 1, 'running')]));
-  const exit = bench.raw({
+  const driver = createDriver();
+  const { harness } = driver;
+  harness.add(awaitingJob('req-1', []));
+  harness.add(awaitingJob('req-2', ['req-1']));
+  driver.heartbeat();
+  harness.hear(report('m', 20, [task('req-1/0', 1, 'running')]));
+  const exit = harness.raw({
     kind: 'heartbeat',
     reply: 90,
     heartbeat: report('m', 21, [task('req-1/0', 1, 'exited', 'done')]),
   });
   const commit = exit.find((effect) => effect.kind === 'commit');
-  expect(bench.state.jobs.get('req-2')?.claims.size).toBe(0);
-  if (commit?.kind !== 'commit') throw new Error('no commit');
-  bench.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'unknown' } });
-  expect(bench.state.jobs.get('req-2')?.claims.size).toBe(0);
+  expect(harness.state.jobs.get('req-2')?.claims.size).toBe(0);
+  if (commit?.kind !== 'commit') throw new Error('the step produced no commit effect');
+  harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'unknown' } });
+  expect(harness.state.jobs.get('req-2')?.claims.size).toBe(0);
 });
 
-test('an unknown dependency is looked up, and only a committed done satisfies it', () => {
-  const { bench } = runner();
-  expect(questions(bench.add(piped('req-2', ['req-1'])))).toEqual(['req-1']);
-  const claims = (): number => bench.state.jobs.get('req-2')?.claims.size ?? 0;
+test('an unknown dependency is looked up, and only its committed completion satisfies it', () => {
+  const { harness } = createDriver();
+  expect(queriedIds(harness.add(awaitingJob('req-2', ['req-1'])))).toEqual(['req-1']);
+  const claims = (): number => harness.state.jobs.get('req-2')?.claims.size ?? 0;
   for (const answer of ['unknown', 'live', 'none'] as const) {
-    bench.do(resolved('req-1', answer));
-    bench.now += 11_000;
-    bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
-    bench.hear(report('m', 2 + bench.now));
+    harness.do(resolved('req-1', answer));
+    harness.now += 11_000;
+    harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
+    harness.hear(report('m', 2 + harness.now));
     expect(claims()).toBe(0);
-    expect(questions(bench.do({ kind: 'tick' })).concat(bench.state.pendingDependencyQuery ?? [])).toContain(
-      'req-1',
-    );
+    expect(
+      queriedIds(harness.do({ kind: 'tick' })).concat(harness.state.pendingDependencyQuery ?? []),
+    ).toContain('req-1');
   }
-  bench.do(resolved('req-1', ended('done')));
+  harness.do(resolved('req-1', ended('done')));
   expect(claims()).toBe(1);
 });
 
-test('a job with open dependencies is neither head nor counted as waiting, and blocks no other', async () => {
-  const run = runner();
-  const { bench } = run;
-  bench.add(job('req-1', 1, 6, 100));
-  // Large, of high priority, first in arrival: ready it would be the head, and hold the machine.
-  bench.add(job('req-2', 1, 8, 100, { priority: 0, awaits: ['req-1'] }));
-  bench.add(job('req-3', 1, 2, 1000));
-  expect(run.hear().sort()).toEqual(['req-1/0#1', 'req-3/0#1']);
-  expect(bench.state.head).toBeNull();
-  await bench.expectTrace('open-dependency');
+test('a job with pending dependencies is neither head nor counted as waiting, and blocks no other', async () => {
+  const driver = createDriver();
+  const { harness } = driver;
+  harness.add(job('req-1', 1, 6, 100));
+  // If this large job of the highest priority were ready, it would be the head and reserve the machine.
+  harness.add(job('req-2', 1, 8, 100, { priority: 0, awaits: ['req-1'] }));
+  harness.add(job('req-3', 1, 2, 1000));
+  expect(driver.heartbeat().sort()).toEqual(['req-1/0#1', 'req-3/0#1']);
+  expect(harness.state.head).toBeNull();
+  await harness.expectTrace('open-dependency');
 });
 
 test('priority and deadline propagate to the dependencies of a job', () => {
-  const { bench } = runner();
-  bench.add(piped('req-1', [], { priority: 3 }));
-  bench.add(piped('req-2', ['req-1'], { priority: 3 }));
-  bench.add(piped('req-3', ['req-2'], { priority: 1, deadlineS: 200, submittedAt: bench.now }));
-  const [first, second] = ['req-1', 'req-2'].map((id) => bench.state.jobs.get(id));
+  const { harness } = createDriver();
+  harness.add(awaitingJob('req-1', [], { priority: 3 }));
+  harness.add(awaitingJob('req-2', ['req-1'], { priority: 3 }));
+  harness.add(awaitingJob('req-3', ['req-2'], { priority: 1, deadlineS: 200, submittedAt: harness.now }));
+  const [first, second] = ['req-1', 'req-2'].map((id) => harness.state.jobs.get(id));
   expect([first?.priority, second?.priority]).toEqual([1, 1]);
-  const last = bench.now + 200_000;
+  const last = harness.now + 200_000;
   expect(second?.inheritedDeadline).toBeLessThan(last - 50_000);
   expect(first?.inheritedDeadline).toBeLessThan((second?.inheritedDeadline ?? 0) - 50_000);
   expect(first?.inheritedDeadline).toBeGreaterThan(last - 160_000);
 });
 
 test('a leader confirms cancellations only up to those it has propagated to dependents', () => {
-  const { bench } = runner();
-  bench.add(piped('req-1', []));
-  bench.add(piped('req-2', ['req-1']));
-  bench.now += 1000;
-  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
-  const before = bench.now;
-  expect(resolvedUntil(bench.state)).toBe(before);
-  bench.do({ kind: 'jobRemoved', id: 'req-1' });
-  bench.now += 1000;
-  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
-  expect(resolvedUntil(bench.state)).toBe(before);
-  const effects = bench.raw(resolved('req-1', ended('withdrawn')));
-  expect(resolvedUntil(bench.state)).toBe(before);
+  const { harness } = createDriver();
+  harness.add(awaitingJob('req-1', []));
+  harness.add(awaitingJob('req-2', ['req-1']));
+  harness.now += 1000;
+  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
+  const before = harness.now;
+  expect(resolvedUntil(harness.state)).toBe(before);
+  harness.do({ kind: 'jobRemoved', id: 'req-1' });
+  harness.now += 1000;
+  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
+  expect(resolvedUntil(harness.state)).toBe(before);
+  const effects = harness.raw(resolved('req-1', ended('withdrawn')));
+  expect(resolvedUntil(harness.state)).toBe(before);
   const commit = effects.find((effect) => effect.kind === 'commit');
-  if (commit?.kind !== 'commit') throw new Error('no commit');
-  bench.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 900 } });
-  expect(resolvedUntil(bench.state)).toBe(bench.now);
+  if (commit?.kind !== 'commit') throw new Error('the step produced no commit effect');
+  harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 900 } });
+  expect(resolvedUntil(harness.state)).toBe(harness.now);
 });
--- a/test/planning-equivalence.test.ts
+++ b/test/planning-equivalence.test.ts
@@ -7,23 +7,28 @@
 import { getOrCreateMachine } from '../src/core/fleet/index.js';
 import { CoreHarness, EIGHT, job } from './emulators/core-harness.js';
 
-const room = fc.record({ cpus: fc.integer({ min: 1, max: 8 }), memoryGb: fc.integer({ min: 1, max: 64 }) });
-const need = room.map((amounts) => ({ ...amounts, gpus: 0 }));
+const cpusAndMemory = fc.record({
+  cpus: fc.integer({ min: 1, max: 8 }),
+  memoryGb: fc.integer({ min: 1, max: 64 }),
+});
+const request = cpusAndMemory.map((amounts) => ({ ...amounts, gpus: 0 }));
 const at = fc.integer({ min: 1, max: 40 }).map((s) => 102_000 + s * 1000);
 
-// An exhaustive search costs tasks x machines x ends, more than a leader's lease allows in a burst.
-test('planned openings select the same machine as an exhaustive search', () => {
-  const machine = fc.record({ ready: at, ends: fc.array(fc.record({ at, need }), { maxLength: 4 }) });
+// An exhaustive search costs tasks x machines x ends, which in a burst takes longer than the leader's lease.
+test('the queue of planned starts selects the same machine as an exhaustive search', () => {
+  const machine = fc.record({ ready: at, ends: fc.array(fc.record({ at, request }), { maxLength: 4 }) });
   fc.assert(
     fc.property(
       fc.array(machine, { maxLength: 8 }),
-      need,
+      request,
       fc.integer({ min: 1, max: 12 }),
-      (all, of, tasks) => {
-        const planned = all.map(({ ready, ends }, i): PlannedMachine => {
+      (generated, requested, tasks) => {
+        const planned = generated.map(({ ready, ends }, i): PlannedMachine => {
           const free = { cpus: 8, gpus: 0, memoryGb: 64 };
-          const kept = ends.filter(({ need: taken }) => fits(taken, free) && (free.cpus -= taken.cpus) >= 0);
-          for (const { need: taken } of kept) free.memoryGb -= taken.memoryGb;
+          const kept = ends.filter(
+            ({ request: taken }) => fits(taken, free) && (free.cpus -= taken.cpus) >= 0,
+          );
+          for (const { request: taken } of kept) free.memoryGb -= taken.memoryGb;
           kept.sort((a, b) => a.at - b.at);
           return {
             machine: `m${i}`,
@@ -32,21 +37,21 @@
             spot: true,
             readyAt: ready,
             free,
-            ends: kept.map((end) => ({ at: end.at, resources: end.need })),
+            ends: kept.map((end) => ({ at: end.at, resources: end.request })),
             isBusy: kept.length > 0,
             isUsed: false,
             version: 0,
           };
         });
-        const openings = new StartQueue([...planned], of);
+        const startQueue = new StartQueue([...planned], requested);
         for (let i = 0; i < tasks; i += 1) {
-          const starts = planned.map((one) => earliestStart(one, of));
+          const starts = planned.map((one) => earliestStart(one, requested));
           const soonest = Math.min(Infinity, ...starts);
-          const first = openings.first();
+          const first = startQueue.first();
           expect(first?.at ?? Infinity).toBe(soonest);
           if (first === null) break;
           expect(first.index).toBe(starts.indexOf(soonest));
-          openings.occupy(first.index, first.at, soonest + 5000);
+          startQueue.occupy(first.index, first.at, soonest + 5000);
         }
       },
     ),
@@ -55,25 +60,25 @@
 });
 
 test('the shadow time of a single task equals that of an exhaustive walk over all task ends', () => {
-  const machines = fc.array(fc.array(fc.record({ need, at }), { maxLength: 5 }), { maxLength: 8 });
+  const machines = fc.array(fc.array(fc.record({ request, at }), { maxLength: 5 }), { maxLength: 8 });
   fc.assert(
-    fc.property(machines, need, (all, of) => {
-      const bench = new CoreHarness();
-      const { state } = bench;
-      const now = bench.time();
-      const nodes = all.map((tasks, i) => {
+    fc.property(machines, request, (generated, requested) => {
+      const harness = new CoreHarness();
+      const { state } = harness;
+      const now = harness.time();
+      const nodes = generated.map((tasks, i) => {
         const machine = getOrCreateMachine(state, `m${i}`, now);
-        tasks.forEach(({ need: taken, at: end }, k) => {
+        tasks.forEach(({ request: taken, at: end }, k) => {
           if (!fits(taken, freeResources(machine, EIGHT))) return;
           const spec = job(`req-${i}-${k}`, 1, taken.cpus, 1, { memoryGb: taken.memoryGb });
           claimTask(state, addJob(state, { value: spec, modRevision: 1 }), 0, machine, now, end);
         });
         return state.capacityIndex.update(machine, EIGHT, (claim) => claim.expectedEnd);
       });
-      const found = earliestShadow(state, of, now, () => true);
-      const plain = reserveAcrossMachines(state, nodes, of, 1, now);
-      expect(found?.shadowTime).toBe(plain?.shadowTime);
-      expect([...(found?.capacity ?? [])]).toEqual([...(plain?.capacity ?? [])]);
+      const found = earliestShadow(state, requested, now, () => true);
+      const exhaustive = reserveAcrossMachines(state, nodes, requested, 1, now);
+      expect(found?.shadowTime).toBe(exhaustive?.shadowTime);
+      expect([...(found?.capacity ?? [])]).toEqual([...(exhaustive?.capacity ?? [])]);
     }),
     { seed: 4, numRuns: 300 },
   );
