--- a/src/membership/election.ts
+++ b/src/membership/election.ts
@@ -1,10 +1,10 @@
 /**
- * Leadership, as a state machine without I/O, clock or randomness. One transaction creates the leased
- * `leader` key and raises the lasting `term` key; the term is the token that workers see. Whatever a
- * leader writes is conditional on the revision of `term`, so nothing that an earlier leader sent takes
- * effect once a later one is elected. The lease protects no data: it only tells when to campaign. So a
- * leader that is known to be gone may be succeeded before it is over, on condition of its record's
- * revision, and so may one that names its successor.
+ * Leader election as a state machine without I/O, clock or randomness. One transaction creates the leased
+ * `leader` key and increments the persistent `term` key; the term is the fencing token that workers see. Every
+ * write of a leader is conditional on the revision of `term`, so no write of an earlier leader takes effect
+ * once a later one is elected. The lease protects no data: it only determines when other nodes campaign. A
+ * leader that is known to have crashed, or that names its successor, may therefore be replaced before its lease
+ * expires, on condition that its record still has the revision that was read.
  */
 import type { LeaderRecord } from '../core/persistence/index.js';
 import type { Timing } from '../core/timing.js';
@@ -13,27 +13,33 @@
 export interface ElectionResult {
   readonly term: number;
   readonly modRevision: number;
-  /** Steady time at which the winning transaction was sent. */
+  /** Steady time (ms) at which the winning transaction was sent. */
   readonly startedAt: number;
-  /** What is known of the leader before: it named this node, or has crashed; else nothing. */
+  /**
+   * `gone`: the previous leader named this node as its successor, has crashed, or was this node itself;
+   * `unknown`: it may still be running.
+   */
   readonly previousLeader: 'gone' | 'unknown';
 }
 
-/** A key as read; a revision of 0: it does not exist. */
+/** A key as read from the store; a `modRevision` of 0 means that it does not exist. */
 export interface KeyState<T> {
   readonly value: T | null;
   readonly modRevision: number;
 }
 
-/** The leader's record, and the revision as of which it stood so: a watch from there misses nothing. */
+/** The leader record, and the store revision at which it was read: a watch from that revision misses no change. */
 export interface LeaderKeyState extends KeyState<LeaderRecord> {
   readonly revision: number;
 }
 
-/** What became of a transaction; `unknown`: it got no answer, and may have been applied. */
+/** Outcome of a transaction; `unknown`: no answer arrived, and the transaction may have been applied. */
 export type TransactionOutcome = 'applied' | 'failed' | 'unknown';
 
-/** What happens to the machine. Answers carry the round they belong to; those of an earlier one are void. */
+/**
+ * Inputs of the state machine. An answer carries the round of its request. Answers to an earlier round are
+ * ignored, except that a lease granted for an earlier round is revoked.
+ */
 export type ElectionEvent =
   | { readonly kind: 'start' }
   | { readonly kind: 'timerFired'; readonly round: number }
@@ -67,12 +73,12 @@
     }
   /** The command loop has stepped down: the lease is revoked, and the node campaigns again. */
   | { readonly kind: 'resign' }
-  /** The leader of the record with this revision has crashed for all the evidence there is. */
+  /** All evidence shows that the leader whose record has this revision has crashed. */
   | { readonly kind: 'replaceCrashedLeader'; readonly modRevision: number }
   /** This leader names its successor in its record. */
   | { readonly kind: 'transferLeadership'; readonly to: string };
 
-/** What the machine asks for; answers come back as events of the same round. */
+/** What the state machine requests; each answer comes back as an event of the same round. */
 export type ElectionEffect =
   | { readonly kind: 'wait'; readonly round: number; readonly ms: number }
   | { readonly kind: 'readLeader'; readonly round: number }
@@ -98,45 +104,47 @@
       readonly termRevision: number;
     }
   | { readonly kind: 'elected'; readonly result: ElectionResult }
-  /** Another may lead. */
+  /** This node no longer leads; another node may. */
   | { readonly kind: 'lost' }
   | { readonly kind: 'leaderObserved'; readonly leader: LeaderRecord | null; readonly modRevision: number };
 
-/** What a node knows of the leadership that it holds. */
+/** State of the leadership that this node holds. */
 interface HeldLeadership {
   readonly lease: number;
   readonly result: ElectionResult;
-  /** Stamp of the leader record, which naming a successor moves on; 0: not known. */
+  /** Revision of the leader record, which changes when a successor is named; 0: unknown. */
   leaderRevision: number;
   namedSuccessor: string | null;
 }
 
-/** An attempt to be elected: the term it is for, and the steady time (ms) at which it was begun. */
+/** An attempt to be elected: its term, and the steady time (ms) at which it began. */
 interface Campaign {
   readonly term: number;
   readonly termRevision: number;
   readonly startedAt: number;
 }
 
-/** The state machine's state; it is changed in place. */
+/** The state machine's state, which `electionStep` changes in place. */
 export interface ElectionState {
   readonly node: string;
   readonly incarnation: string;
   readonly timing: Timing;
-  /** How long this node waits before it campaigns, in milliseconds, so that preferred ones come first. */
+  /** Delay before this node campaigns for a vacant leadership, in milliseconds, so that preferred nodes come first. */
   campaignDelayMs: number;
   phase: 'reading' | 'following' | 'granting' | 'campaigning' | 'verifying' | 'leading';
-  /** Every question has a round of its own; these are the ones awaited: of the main course, */
+  /** The last round issued: every request gets a round number of its own. */
   lastRound: number;
+  /** Round awaited in the present phase (a read, watch, lease, campaign or successor). */
   round: number;
-  /** of the renewals, and of the look at the record while leading. */
+  /** Round awaited by the lease renewals of this leader. */
   renewalRound: number;
+  /** Round awaited by the watch of this leader's own record. */
   leaderWatchRound: number;
-  /** It has waited out its handicap for the leadership that is free now. */
+  /** Whether this node has already waited `campaignDelayMs` for the present vacancy. */
   hasDeferred: boolean;
-  /** Stamp of the record that it follows. */
+  /** Revision of the leader record that this node follows. */
   followedRevision: number;
-  /** The leader before has named this node, or crashed. */
+  /** The previous leader named this node as its successor, has crashed, or was this node itself. */
   isPreviousLeaderGone: boolean;
   lease: number | null;
   leaderRevision: number;
@@ -144,18 +152,18 @@
   held: HeldLeadership | null;
 }
 
-/** The state of a node that has not begun yet: the event `start` begins. */
+/** The initial state of a node; the event `start` begins its first read. */
 export function createElection(
   node: string,
   incarnation: string,
   timing: Timing,
-  handicap = 0,
+  campaignDelayMs = 0,
 ): ElectionState {
   return {
     node,
     incarnation,
     timing,
-    campaignDelayMs: handicap,
+    campaignDelayMs,
     phase: 'reading',
     lastRound: 0,
     round: 0,
@@ -185,9 +193,13 @@
   return [{ kind: 'wait', round: nextRound(state), ms }];
 }
 
-function requestLease(state: ElectionState, leaderRevision: number, gone = false): ElectionEffect[] {
+function requestLease(
+  state: ElectionState,
+  leaderRevision: number,
+  isPreviousLeaderGone = false,
+): ElectionEffect[] {
   state.phase = 'granting';
-  state.isPreviousLeaderGone = gone;
+  state.isPreviousLeaderGone = isPreviousLeaderGone;
   state.leaderRevision = leaderRevision;
   return [{ kind: 'grantLease', round: nextRound(state) }];
 }
@@ -204,17 +216,17 @@
     state.hasDeferred = false;
     return requestLease(state, 0);
   }
-  // An earlier life of this very node is over.
+  // The record names this node, which is not leading: its earlier leadership is over.
   if (leader?.node === state.node) return requestLease(state, modRevision, true);
-  // The delay applies anew each time the leadership is free, or a node that is not preferred would be elected at
-  // every other change and transfer the leadership again.
+  // The delay applies to each vacancy: otherwise a node that is not preferred would be elected at every second
+  // change of leader, and would transfer the leadership again.
   state.hasDeferred = false;
-  const known: ElectionEffect = { kind: 'leaderObserved', leader, modRevision };
-  if (leader?.successor === state.node) return [known, ...requestLease(state, modRevision, true)];
+  const observed: ElectionEffect = { kind: 'leaderObserved', leader, modRevision };
+  if (leader?.successor === state.node) return [observed, ...requestLease(state, modRevision, true)];
   state.phase = 'following';
   state.followedRevision = modRevision;
   return [
-    known,
+    observed,
     { kind: 'watchLeader', round: nextRound(state), after: revision, ms: 4 * timing.leaderLeaseMs },
   ];
 }
@@ -228,16 +240,16 @@
       ...(lease === null ? [] : [{ kind: 'revokeLease', lease } as const]),
       ...readLeaderLater(state, state.timing.tickMs / 2),
     ];
-  const next = (term.value ?? 0) + 1;
+  const nextTerm = (term.value ?? 0) + 1;
   state.phase = 'campaigning';
   state.lease = lease;
-  state.campaign = { term: next, termRevision: term.modRevision, startedAt: now };
+  state.campaign = { term: nextTerm, termRevision: term.modRevision, startedAt: now };
   return [
     {
       kind: 'campaign',
       round: nextRound(state),
       lease,
-      record: { term: next, node: state.node, incarnation: state.incarnation },
+      record: { term: nextTerm, node: state.node, incarnation: state.incarnation },
       leaderRevision: state.leaderRevision,
       termRevision: term.modRevision,
     },
@@ -245,23 +257,23 @@
 }
 
 /**
- * This node leads. After an unanswered campaign part of the lease has already run, so it is renewed at once; else
- * the first renewal comes after the usual interval.
+ * Starts leading. If the campaign got no answer, part of the lease has already elapsed, so the lease is renewed
+ * immediately; otherwise the first renewal follows after the usual interval.
  */
 function becomeLeader(
   state: ElectionState,
   modRevision: number,
   leaderRevision: number,
-  unseen: boolean,
+  isUnanswered: boolean,
 ): ElectionEffect[] {
   const { lease, campaign, timing } = state;
   if (lease === null || campaign === null) return readLeader(state);
-  const before = state.isPreviousLeaderGone ? 'gone' : 'unknown';
+  const previousLeader = state.isPreviousLeaderGone ? 'gone' : 'unknown';
   const won: ElectionResult = {
     term: campaign.term,
     modRevision,
     startedAt: campaign.startedAt,
-    previousLeader: before,
+    previousLeader,
   };
   state.phase = 'leading';
   state.held = { lease, result: won, leaderRevision, namedSuccessor: null };
@@ -269,7 +281,7 @@
   nextRound(state);
   return [
     { kind: 'elected', result: won },
-    unseen
+    isUnanswered
       ? { kind: 'renewLease', round: nextRenewalRound(state), lease }
       : { kind: 'wait', round: nextRenewalRound(state), ms: timing.renewIntervalMs },
     ...watchOwnRecord(state, modRevision),
@@ -277,9 +289,9 @@
 }
 
 /**
- * Watches this leader's own record: another may replace it before the lease expires. The watch begins at the
+ * Watches this leader's own record: another node may replace it before the lease expires. The watch begins at the
  * revision of the last read, not of the write: the store keeps a bounded history of changes, and a watch from an
- * older revision would end at once, again and again.
+ * older revision would end immediately each time it is repeated.
  */
 function watchOwnRecord(state: ElectionState, after: number): ElectionEffect[] {
   return [
@@ -310,7 +322,7 @@
   ];
 }
 
-/** This leader's record as it was read: another one means that the leadership is lost. */
+/** Handles a read of the leader record: if it is not this leader's own, the leadership is lost. */
 function onOwnRecordRead(
   state: ElectionState,
   held: HeldLeadership,
@@ -326,18 +338,18 @@
   return watchOwnRecord(state, revision);
 }
 
-/** An event while this node leads. */
+/** Handles an event while this node leads. */
 function stepAsLeader(state: ElectionState, held: HeldLeadership, event: ElectionEvent): ElectionEffect[] {
   switch (event.kind) {
     case 'timerFired':
       if (event.round === state.renewalRound)
         return [{ kind: 'renewLease', round: state.renewalRound, lease: held.lease }];
-      // The successor that was named has not come: anybody may.
+      // The named successor has not taken over in time: this leader resigns, and any node may campaign.
       return event.round === state.round && held.namedSuccessor !== null ? loseLeadership(state, true) : [];
     case 'leaseRenewed': {
       if (event.round !== state.renewalRound) return [];
       if (event.alive === false) return loseLeadership(state, false);
-      // Without an answer so much of the lease is gone that there is no time to wait as long.
+      // An unanswered renewal has used up part of the lease, so the next one follows after at most one tick.
       const { renewIntervalMs, tickMs } = state.timing;
       const ms = event.alive === null ? Math.min(renewIntervalMs, tickMs) : renewIntervalMs;
       return [{ kind: 'wait', round: nextRenewalRound(state), ms }];
@@ -371,7 +383,7 @@
       ];
     case 'successorNamed':
       if (event.round !== state.round) return [];
-      // Whatever came of it, the successor or anybody has the lead before long.
+      // Whatever the outcome, this leader resigns if it still leads after the wait, and any node may campaign.
       if (event.outcome === 'applied') held.leaderRevision = event.revision;
       return [{ kind: 'wait', round: state.round, ms: 4 * state.timing.tickMs }];
     default:
@@ -379,7 +391,7 @@
   }
 }
 
-/** One event into the machine, and what follows from it. */
+/** Applies one event to the state and returns the effects that follow from it. */
 export function electionStep(state: ElectionState, event: ElectionEvent): ElectionEffect[] {
   if (event.kind === 'start') return readLeader(state);
   if (state.held !== null) {
@@ -414,15 +426,15 @@
     case 'campaignVerified': {
       if (event.round !== state.round || state.phase !== 'verifying') return [];
       const { leader, term } = event;
-      const sought = state.campaign;
-      // No answer to the transaction: it counts if our own record of this life stands there.
+      const attempt = state.campaign;
+      // The transaction got no answer: it was applied if the store holds the record and the term of this campaign.
       const won =
         leader !== 'unknown' &&
         term !== 'unknown' &&
-        sought !== null &&
+        attempt !== null &&
         leader.value?.incarnation === state.incarnation &&
-        leader.value.term === sought.term &&
-        term.value === sought.term;
+        leader.value.term === attempt.term &&
+        term.value === attempt.term;
       return won ? becomeLeader(state, term.modRevision, leader.modRevision, true) : abandonCampaign(state);
     }
     default:
