--- a/src/membership/evidence-rules.ts
+++ b/src/membership/evidence-rules.ts
@@ -1,54 +1,59 @@
 /**
- * Which evidence allows which action. Any one rule suffices for suspicion, which is reversible; a verdict needs
- * every rule of its list. docs/suspicion.md explains what each rule protects against, and
+ * Rules that decide which evidence allows which action. Any one rule suffices to suspect a peer, which is
+ * reversible, or to transfer the leadership; a leader counts as crashed, or a peer as an eligible successor, only
+ * if every rule of the list holds. docs/suspicion.md explains what each rule protects against, and
  * test/membership.test.ts removes each of them once.
  */
 import type { Timing } from '../core/timing.js';
 import type { InterArrivalTracker } from './inter-arrival-tracker.js';
 import type { HealthCounts, LinkState, ProbeRound, MemberStatus } from './status.js';
 
-/** What is known of another controller; times are steady, in milliseconds. */
+/** State kept of another controller; times are steady, in milliseconds. */
 export interface Peer {
   readonly node: string;
   status: MemberStatus | null;
   lastStatusAt: number | null;
-  /** Steady time since which this incarnation has been heard without a gap. */
+  /** Steady time since which statuses of its present incarnation have arrived without a gap. */
   contactSince: number;
   readonly arrivals: InterArrivalTracker;
   linkState: LinkState;
-  /** When it was last lost or refused after being up or heard, and refusals since. */
+  /**
+   * Steady time at which the link was lost or refused after the peer had sent a status; null: it was not, or has
+   * recovered since.
+   */
   linkLostAt: number | null;
+  /** Refusals of the link since it was lost or last up. */
   consecutiveRefusals: number;
-  /** Incarnations that another has followed, latest last. */
+  /** Earlier incarnations of the peer, latest last. */
   readonly previousIncarnations: string[];
 }
 
-/** What is known of this node itself. */
+/** State of this node itself. */
 export interface LocalState {
   readonly storeContactAgeMs: number;
   readonly timerLagMs: number;
-  /** Since when it has been behind without a break; null: it keeps up. */
+  /** Steady time since which its timers have been late; null: they fire in time. */
   readonly laggingSince: number | null;
-  /** Steady time from which it leads. */
+  /** Steady time since which it leads. */
   readonly leaderSince: number;
-  /** It computes far slower than it usually does. */
+  /** Whether it computes far more slowly than usual. */
   readonly isProcessorSlow: boolean;
-  /** It stood still, and has not caught up yet with what lay in its queues. */
+  /** Whether it was stalled and has not yet worked off the messages that were queued during the stall. */
   readonly isStalled: boolean;
   readonly unexpectedReports: number;
-  /** As a leader. */
+  /** Counts of the machines that report to it; null: it does not lead. */
   readonly health: HealthCounts | null;
   readonly probeRound: ProbeRound;
-  /** Machines that it knows of. */
+  /** Number of machines in its state. */
   readonly machineCount: number;
 }
 
-/** What a rule may look at beside the peer in question. */
+/** Inputs of a rule besides the peer that it assesses. */
 export interface EvidenceContext {
   readonly now: number;
   readonly timing: Timing;
   readonly local: LocalState;
-  /** The controllers that are heard, without the one in question. */
+  /** The other controllers, except the assessed one, that are in contact over an unbroken link. */
   readonly witnesses: readonly Peer[];
 }
 
@@ -58,17 +63,17 @@
   readonly holds: (peer: Peer, context: EvidenceContext) => boolean;
 }
 
-/** One silence in a thousand is as long. */
+/** A silence of at least this phi is unusual: one silence in 1000 lasts as long. */
 const SUSPICION_PHI = 3;
-/** So many refusals in a row are no chance. */
+/** Refusals needed as evidence of a crash: a single one may come from a host with a full socket table. */
 const MIN_REFUSALS = 2;
-/** So many unexpected reports are no coincidence. */
+/** Unexpected reports needed as evidence; fewer may be a coincidence. */
 export const MIN_UNEXPECTED_REPORTS = 3;
 /** Share of a round's probes that have to agree. */
 const MIN_PROBE_AGREEMENT_SHARE = 0.75;
 /** With fewer machines a few silent ones may be a coincidence. */
 const MIN_MACHINES_FOR_SHARE = 3;
-/** A leader that gets heartbeats from a larger share of its workers is connected. */
+/** A leader that receives heartbeats from at least this share of the expected machines counts as connected. */
 const MIN_REPORTING_SHARE = 0.5;
 /** With fewer machines a short silence of all of them is normal. */
 const MIN_MACHINES_FOR_SILENCE = 8;
@@ -76,7 +81,7 @@
 /** How often controllers send their status and the leader its snapshots, in milliseconds. */
 export const snapshotIntervalMs = (timing: Timing): number => 2 * timing.tickMs;
 
-/** Whether a round is young enough to go by. */
+/** Whether a probe round is recent enough to count as evidence. */
 const isRecent = ({ requested, startedAt }: ProbeRound, { now, timing }: EvidenceContext): boolean =>
   requested > 0 && now - startedAt < 2 * timing.maxHeartbeatIntervalMs;
 
@@ -85,17 +90,17 @@
   isRecent(round, context) && round.unreachable >= MIN_PROBE_AGREEMENT_SHARE * round.requested;
 
 /** Whether a peer's probes reached nearly all machines of this node's latest round. */
-const reachesMachines = (view: MemberStatus | null, round: ProbeRound, context: EvidenceContext): boolean =>
+const reachesMachines = (status: MemberStatus | null, round: ProbeRound, context: EvidenceContext): boolean =>
   isRecent(round, context) &&
-  view?.probeRound === round.round &&
-  view.reachable >= MIN_PROBE_AGREEMENT_SHARE * round.requested;
+  status?.probeRound === round.round &&
+  status.reachable >= MIN_PROBE_AGREEMENT_SHARE * round.requested;
 
-/** Whether a leader hears far fewer of its workers than should speak. */
+/** Whether a leader receives heartbeats from far fewer of its workers than expected. */
 export function isMissingHeartbeats(
   { health, laggingSince, timerLagMs }: LocalState,
   timing: Timing,
 ): boolean {
-  // One that is behind hears late what was said in time.
+  // A node whose timers are late also processes heartbeats late that arrived in time.
   if (health === null || laggingSince !== null || timerLagMs > timing.tickMs / 4) return false;
   const { reporting, expected, silentMs } = health;
   return (
@@ -104,7 +109,7 @@
   );
 }
 
-/** Suspected: any one of these. */
+/** A peer is suspected if any one of these rules holds. */
 const SUSPICION_RULES: readonly EvidenceRule[] = [
   { name: 'unusually silent', holds: ({ arrivals }, { now }) => arrivals.phi(now) >= SUSPICION_PHI },
   { name: 'link lost', holds: ({ linkLostAt }) => linkLostAt !== null },
@@ -120,15 +125,17 @@
   },
 ];
 
-/** A leader has crashed, and may be succeeded before its lease is over: all of these. */
+/** A leader counts as crashed, and may be replaced before its lease expires, if all of these rules hold. */
 const CRASH_RULES: readonly EvidenceRule[] = [
-  // A cut is silent; what is refused has a host that is there, and no such process on it.
+  // A network partition leaves connections unanswered; a refusal comes from a reachable host on which no controller
+  // listens.
   {
     name: 'refused since its last word',
     holds: ({ linkLostAt, consecutiveRefusals }) =>
       linkLostAt !== null && consecutiveRefusals >= MIN_REFUSALS,
   },
-  // Something between the nodes that refuses for long says nothing of who is alive now.
+  // A packet filter between the nodes also refuses connections, for as long as it is in place: refusals that began
+  // long ago do not show that the leader is down now.
   {
     name: 'refused of late',
     holds: ({ linkLostAt }, { now, timing }) =>
@@ -139,8 +146,10 @@
     holds: ({ node, linkLostAt }, { witnesses }) =>
       witnesses.every(({ status, lastStatusAt }) =>
         status?.observations.some(
-          (seen) =>
-            seen.node === node && seen.linkState === 'refused' && (lastStatusAt ?? 0) >= (linkLostAt ?? 0),
+          (observation) =>
+            observation.node === node &&
+            observation.linkState === 'refused' &&
+            (lastStatusAt ?? 0) >= (linkLostAt ?? 0),
         ),
       ),
   },
@@ -161,10 +170,10 @@
   },
 ];
 
-/** A peer that a leader may hand over to: all of these. */
+/** A leader may transfer its leadership to a peer for which all of these rules hold. */
 const SUCCESSOR_RULES: readonly EvidenceRule[] = [
   {
-    name: 'heard',
+    name: 'responsive',
     holds: ({ arrivals, linkLostAt }, { now }) => linkLostAt === null && arrivals.phi(now) < SUSPICION_PHI,
   },
   {
@@ -172,7 +181,7 @@
     holds: ({ status }, { timing }) =>
       status !== null && status.storeContactAgeMs < 2 * timing.storeTimeoutMs,
   },
-  // Contact between controllers says nothing of a peer's connection to the workers.
+  // Contact between controllers says nothing about a peer's connection to the workers.
   {
     name: 'reaches the machines',
     holds: ({ status }, context) =>
@@ -189,7 +198,7 @@
 /** The reason of a transfer after which the node does not campaign until a worker has reported to it. */
 export const MACHINES_UNREACHABLE = 'this node cannot reach its machines';
 
-/** A leader hands over to a fit peer: any one of these. */
+/** A leader transfers its leadership to an eligible peer if any one of these rules holds. */
 const TRANSFER_RULES: readonly EvidenceRule[] = [
   {
     name: MACHINES_UNREACHABLE,
@@ -197,15 +206,15 @@
       isMissingHeartbeats(context.local, context.timing) &&
       cannotReachMachines(context.local.probeRound, context),
   },
-  // A leader that is only busy would make its successor as busy, and a failover adds work: the leadership would
-  // go round among overloaded nodes.
+  // If a leader is merely overloaded, its successor would be as well, and a failover adds work: the leadership
+  // would circulate among overloaded nodes.
   {
     name: 'this node cannot keep up, and computes slower than it did',
     holds: (_, { local, now, timing }) =>
       local.isProcessorSlow &&
       local.laggingSince !== null &&
       now - local.laggingSince > 2 * timing.maxHeartbeatIntervalMs &&
-      // Whoever comes to lead has much to do at first, and may have it from one that was slow for its load.
+      // A new leader has much work at first, and may have taken over from one that was slow because of its load.
       now - local.leaderSince > 2 * timing.workerLeaseMs,
   },
 ];
@@ -218,7 +227,7 @@
   readonly transfer: readonly EvidenceRule[];
 }
 
-/** The rules that are in force. */
+/** The rules in force. */
 export const EVIDENCE_RULES: EvidenceRules = {
   suspected: SUSPICION_RULES,
   crashed: CRASH_RULES,
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -18,7 +18,7 @@
 } from './evidence-rules.js';
 import type { HealthCounts, LinkState, ProbeRound, Observation, MemberStatus } from './status.js';
 
-/** How far a peer is trusted; only its own status takes `given up` back. */
+/** How far a peer is trusted; one that is `given up` is trusted again only once no suspicion rule holds. */
 export type SuspicionLevel = 'trusted' | 'suspected' | 'given up';
 
 /** A peer's level of suspicion, since when, and on what evidence. */
@@ -30,16 +30,16 @@
   readonly evidence: string;
 }
 
-/** A leader's transfer of its leadership: to whom, and why. */
+/** A leader's transfer of its leadership: the successor, and the reason. */
 export interface Resignation {
   readonly to: string;
   readonly reason: string;
 }
 
-/** A peer that was suspected has to be stable for longer before it may lead: at most this many times as long. */
+/** Limit of the factor by which recent suspicions lengthen the time that a peer must be stable before it may lead. */
 const MAX_SETTLING_FACTOR = 8;
 
-/** So many punctual timers in a row, and the process has caught up. */
+/** Consecutive timers that must fire in time before this process counts as caught up. */
 const MIN_PUNCTUAL_TIMERS = 3;
 
 /** Previous incarnations of a peer that are remembered. */
@@ -67,7 +67,7 @@
   constructor(
     others: readonly string[],
     private readonly timing: Timing,
-    private readonly table: EvidenceRules = EVIDENCE_RULES,
+    private readonly rules: EvidenceRules = EVIDENCE_RULES,
     /** This node's share of a processor. */
     share = 1,
   ) {
@@ -88,77 +88,82 @@
     }
   }
 
-  /** Whether a word is not one of a life that another has followed: such may have been held back. */
+  /** Whether a message is not from an earlier incarnation of its sender: such a message was delayed. */
   isCurrentIncarnation({ node, incarnation }: Pick<MemberStatus, 'node' | 'incarnation'>): boolean {
     return this.#peers.get(node)?.previousIncarnations.includes(incarnation) !== true;
   }
 
-  /** Whether a peer is heard, its link is up, and it is not behind its timers. */
+  /** Whether a peer is in contact, its link is up, and its timers are less than two ticks late. */
   isKeepingUp(node: string, now: number): boolean {
     const peer = this.#peers.get(node);
     if (peer?.status == null || peer.linkState !== 'up') return false;
     return this.hasContact(node, now) && peer.status.timerLagMs < 2 * this.timing.tickMs;
   }
 
-  /** A peer's own word refutes at once what was suspected of it. */
-  receiveStatus(view: MemberStatus, now: number): void {
-    const peer = this.#peers.get(view.node);
-    if (peer === undefined || !this.isCurrentIncarnation(view)) return;
-    const former = peer.status?.incarnation;
-    if (former !== undefined && former !== view.incarnation) peer.previousIncarnations.push(former);
+  /**
+   * Records a status of a peer. It immediately refutes a suspicion of silence, and one of a lost link unless the
+   * link is still lost or refused.
+   */
+  receiveStatus(status: MemberStatus, now: number): void {
+    const peer = this.#peers.get(status.node);
+    if (peer === undefined || !this.isCurrentIncarnation(status)) return;
+    const earlierIncarnation = peer.status?.incarnation;
+    if (earlierIncarnation !== undefined && earlierIncarnation !== status.incarnation)
+      peer.previousIncarnations.push(earlierIncarnation);
     if (peer.previousIncarnations.length > MAX_PREVIOUS_INCARNATIONS) peer.previousIncarnations.shift();
-    const gap =
+    const hadGap =
       peer.lastStatusAt === null || now - peer.lastStatusAt > 2 * this.timing.maxHeartbeatIntervalMs;
-    if (gap || peer.status?.incarnation !== view.incarnation) {
+    if (hadGap || peer.status?.incarnation !== status.incarnation) {
       peer.contactSince = now;
       peer.arrivals.restart(now);
     } else peer.arrivals.record(now);
-    peer.status = view;
+    peer.status = status;
     peer.lastStatusAt = now;
-    // A word may have been on its way when the link broke; the link itself has to come back.
+    // The status may have been in transit when the link broke: a broken link must itself come up again.
     if (peer.linkState !== 'refused' && peer.linkState !== 'lost') peer.linkLostAt = null;
   }
 
-  /** The connection to a peer has changed its state. */
-  setLinkState(node: string, link: LinkState, now: number): void {
+  /** Records a change of state of the connection to a peer. */
+  setLinkState(node: string, linkState: LinkState, now: number): void {
     const peer = this.#peers.get(node);
     if (peer === undefined) return;
-    if (link === 'refused') peer.consecutiveRefusals += 1;
-    if (link === 'up') {
+    if (linkState === 'refused') peer.consecutiveRefusals += 1;
+    if (linkState === 'up') {
       peer.linkLostAt = null;
       peer.consecutiveRefusals = 0;
-    } else if (link !== 'silent' && peer.linkLostAt === null && peer.lastStatusAt !== null) {
-      // One that was never heard may only not have started yet.
+    } else if (linkState !== 'silent' && peer.linkLostAt === null && peer.lastStatusAt !== null) {
+      // A peer that has never sent a status may not have started yet.
       peer.linkLostAt = now;
-      peer.consecutiveRefusals = link === 'refused' ? 1 : 0;
+      peer.consecutiveRefusals = linkState === 'refused' ? 1 : 0;
     }
-    peer.linkState = link;
+    peer.linkState = linkState;
   }
 
-  /** How late this node's own timer fired. */
+  /** Records by how many milliseconds a timer of this node was late. */
   recordTimerLag(timerLagMs: number, now: number): void {
     const { tickMs, maxHeartbeatIntervalMs } = this.timing;
-    // The worst of late, fading: one timer that fires in time does not make a slow process fast.
-    const faded = this.#timerLagMs * Math.exp(-(now - this.#timerLagAt) / maxHeartbeatIntervalMs);
-    this.#timerLagMs = Math.max(timerLagMs, Number.isFinite(faded) ? faded : 0);
+    // The largest recent lag, decaying exponentially: one timer that fires in time does not show that a slow process has
+    // recovered.
+    const decayedLagMs = this.#timerLagMs * Math.exp(-(now - this.#timerLagAt) / maxHeartbeatIntervalMs);
+    this.#timerLagMs = Math.max(timerLagMs, Number.isFinite(decayedLagMs) ? decayedLagMs : 0);
     this.#timerLagAt = now;
     this.#punctualTimers = timerLagMs > tickMs / 2 ? 0 : this.#punctualTimers + 1;
-    // A single stall makes nobody slow.
+    // A single stall does not make a node slow: a few timers that fire in time end the lag.
     if (this.#punctualTimers >= MIN_PUNCTUAL_TIMERS) this.#laggingSince = null;
     else if (timerLagMs > tickMs / 2) this.#laggingSince ??= now;
-    // What came meanwhile lies in queues: nobody is judged before it is worked off.
+    // Messages that arrived during the stall are still queued: no peer is assessed before they are worked off.
     if (timerLagMs > 2 * tickMs) this.#stalledUntil = now + maxHeartbeatIntervalMs;
     else if (timerLagMs > tickMs) this.#stalledUntil = Math.max(this.#stalledUntil, now + 2 * tickMs);
   }
 
-  /** A worker of the present leader has reported here without having been redirected. */
+  /** Records that a worker of the present leader has reported here without having been redirected. */
   recordUnexpectedReport(machine: string, now: number): void {
-    // Latest last, so that what grows old is found at the front.
+    // The entry moves to the end, so that the oldest entries are at the front.
     this.#unexpectedReports.delete(machine);
     this.#unexpectedReports.set(machine, now);
   }
 
-  /** Workers that have recently reported here without having been redirected. */
+  /** The number of workers that have recently reported here without having been redirected. */
   unexpectedReports(now: number): number {
     for (const [machine, at] of this.#unexpectedReports) {
       if (now - at <= this.timing.maxHeartbeatIntervalMs) break;
@@ -167,15 +172,18 @@
     return this.#unexpectedReports.size;
   }
 
-  /** Another leads: what reports said of its predecessor is void. */
+  /** Discards the unexpected reports: after a change of leader they are no evidence about the new one. */
   clearUnexpectedReports(): void {
     this.#unexpectedReports.clear();
   }
 
-  /** How this node hears its workers as a leader; null: it does not lead. */
-  setWorkerHealth(hearing: HealthCounts | null, machines = 0, ledFrom = Infinity): void {
-    this.#health = hearing;
-    this.#leaderSince = ledFrom;
+  /**
+   * Sets the counts of the machines that report to this leader (null: this node does not lead), the number of
+   * machines, and the steady time since which this node leads.
+   */
+  setWorkerHealth(health: HealthCounts | null, machines = 0, leaderSince = Infinity): void {
+    this.#health = health;
+    this.#leaderSince = leaderSince;
     this.#machineCount = machines;
   }
 
@@ -187,14 +195,14 @@
     return this.#probeRound;
   }
 
-  /** How late this node's timers are, in milliseconds; it fades. */
+  /** The largest recent lag of this node's timers, in milliseconds, decaying with time. */
   timerLagMs(now: number): number {
     return Math.round(
       this.#timerLagMs * Math.exp(-Math.max(0, now - this.#timerLagAt) / this.timing.maxHeartbeatIntervalMs),
     );
   }
 
-  /** Whether this node has stood still and not caught up: it suspects nobody meanwhile. */
+  /** Whether this node was stalled and has not caught up yet: until then it changes no suspicion level. */
   isStalled(now: number): boolean {
     return now < this.#stalledUntil;
   }
@@ -208,12 +216,12 @@
     }));
   }
 
-  /** The last status of a peer; null: none yet. */
+  /** The last status of a peer; null: none has arrived yet. */
   statusOf(node: string): MemberStatus | null {
     return this.#peers.get(node)?.status ?? null;
   }
 
-  /** When the link to a node broke or was refused, with no word of it since; null: it is not so. */
+  /** Steady time at which the link to a peer was lost or refused; null: it was not, or has recovered since. */
   linkLostAt(node: string): number | null {
     return this.#peers.get(node)?.linkLostAt ?? null;
   }
@@ -223,13 +231,13 @@
     return this.#peers.get(node)?.consecutiveRefusals ?? 0;
   }
 
-  /** Whether a peer has been heard within the longest report. */
+  /** Whether a status of a peer has arrived within the longest heartbeat interval. */
   hasContact(node: string, now: number): boolean {
     const lastStatusAt = this.#peers.get(node)?.lastStatusAt ?? null;
     return lastStatusAt !== null && now - lastStatusAt < this.timing.maxHeartbeatIntervalMs;
   }
 
-  /** Whether another controller than one is heard. */
+  /** Whether a controller other than the given one is in contact, over an unbroken link. */
   hasOtherContact(node: string | null, now: number): boolean {
     return [...this.#peers.values()].some(
       (peer) => peer.node !== node && peer.linkLostAt === null && this.hasContact(peer.node, now),
@@ -258,31 +266,31 @@
     return { now, timing: this.timing, local: this.#localState(now, storeContactAgeMs), witnesses };
   }
 
-  /** Brings the levels up to date; those that changed. */
+  /** Updates the suspicion level of every peer, and returns the levels that changed. */
   assess(now: number, storeContactAgeMs: number): SuspicionState[] {
     const changed: SuspicionState[] = [];
     for (const peer of this.#peers.values()) {
       if (peer.lastStatusAt === null) continue;
       const context = this.#evidenceContext(peer, now, storeContactAgeMs);
-      // While this node itself was standing still, everybody seemed silent.
+      // To a node that was stalled itself, every peer seems silent.
       if (context.local.isStalled) continue;
-      const suspicion = this.table.suspected.find((row) => row.holds(peer, context));
-      // Of others than a leader no verdict is needed: none would allow anything.
+      const suspicion = this.rules.suspected.find((rule) => rule.holds(peer, context));
+      // Only a leader is given up: no action depends on whether another peer has crashed.
       const crashed =
         suspicion !== undefined &&
         peer.status?.isLeader === true &&
-        this.table.crashed.every((row) => row.holds(peer, context));
+        this.rules.crashed.every((rule) => rule.holds(peer, context));
       const level: SuspicionLevel = crashed ? 'given up' : suspicion === undefined ? 'trusted' : 'suspected';
-      const before = this.#suspicions.get(peer.node);
-      // What was given up is taken back by its own word only.
-      if (before?.level === level || (before?.level === 'given up' && level === 'suspected')) continue;
+      const previous = this.#suspicions.get(peer.node);
+      // A peer that was given up does not become suspected again: it is trusted once no suspicion rule holds.
+      if (previous?.level === level || (previous?.level === 'given up' && level === 'suspected')) continue;
       const evidence = crashed
-        ? this.table.crashed.map(({ name }) => name).join(', ')
+        ? this.rules.crashed.map(({ name }) => name).join(', ')
         : (suspicion?.name ?? 'it speaks');
       const state: SuspicionState = { node: peer.node, level, since: now, evidence };
       this.#suspicions.set(peer.node, state);
       changed.push(state);
-      if (level === 'suspected' && before?.level === 'trusted') this.#recordSuspicion(peer.node, now);
+      if (level === 'suspected' && previous?.level === 'trusted') this.#recordSuspicion(peer.node, now);
     }
     return changed;
   }
@@ -292,7 +300,7 @@
     this.#recentSuspicions.set(node, { times: times + 1, at: now });
   }
 
-  /** Suspicions are forgotten one by one, each in eight leases of a worker. */
+  /** The number of suspicions of a peer that still count: one of them expires every eight worker leases. */
   #suspicionCount(node: string, now: number): number {
     const recent = this.#recentSuspicions.get(node);
     if (recent === undefined) return 0;
@@ -310,18 +318,18 @@
   }
 
   /**
-   * Whether a peer has been heard and trusted without a gap for so long, and longer the more often it
-   * was recently suspected: the leadership is not transferred to one that flaps.
+   * Whether a peer has been in contact and trusted without a gap for `settleMs`. Each recent suspicion doubles that
+   * time, up to a limit, so that leadership is not transferred to a peer that flaps.
    */
-  isStable(node: string, settled: number, now: number): boolean {
+  isStable(node: string, settleMs: number, now: number): boolean {
     const peer = this.#peers.get(node);
     const suspicion = this.#suspicions.get(node);
     if (peer === undefined || suspicion === undefined || suspicion.level !== 'trusted') return false;
-    const wait = settled * Math.min(MAX_SETTLING_FACTOR, 2 ** this.#suspicionCount(node, now));
-    return now - Math.max(peer.contactSince, suspicion.since) > wait;
+    const requiredMs = settleMs * Math.min(MAX_SETTLING_FACTOR, 2 ** this.#suspicionCount(node, now));
+    return now - Math.max(peer.contactSince, suspicion.since) > requiredMs;
   }
 
-  /** Whether a leader may hand over to a peer as it is now. */
+  /** Whether a leader may transfer its leadership to a peer now. */
   isEligibleSuccessor(node: string, now: number, storeContactAgeMs: number): boolean {
     const peer = this.#peers.get(node);
     return peer !== undefined && this.#isEligible(peer, now, storeContactAgeMs);
@@ -329,24 +337,24 @@
 
   #isEligible(peer: Peer, now: number, storeContactAgeMs: number): boolean {
     const context = this.#evidenceContext(peer, now, storeContactAgeMs);
-    return this.table.eligibleSuccessor.every((row) => row.holds(peer, context));
+    return this.rules.eligibleSuccessor.every((rule) => rule.holds(peer, context));
   }
 
-  /** Whether the leader that this node follows may be succeeded before its lease is over. */
+  /** Whether the leader that this node follows may be replaced before its lease expires. */
   mayReplaceEarly(leader: string, now: number, storeContactAgeMs: number): boolean {
     const peer = this.#peers.get(leader);
     if (peer === undefined) return false;
     const context = this.#evidenceContext(peer, now, storeContactAgeMs);
-    return this.table.crashed.every((row: EvidenceRule) => row.holds(peer, context));
+    return this.rules.crashed.every((rule: EvidenceRule) => rule.holds(peer, context));
   }
 
-  /** Whether this node, as a leader, should ask what the others meet at machines that it does not hear. */
+  /** Whether this node, as a leader, misses so many heartbeats that the others should probe its silent machines. */
   isMissingHeartbeats(now: number, storeContactAgeMs: number): boolean {
-    const own = this.#localState(now, storeContactAgeMs);
-    return !own.isStalled && isMissingHeartbeats(own, this.timing);
+    const local = this.#localState(now, storeContactAgeMs);
+    return !local.isStalled && isMissingHeartbeats(local, this.timing);
   }
 
-  /** Whether this node is slow, and behind its timers, and has been for a while. */
+  /** Whether this node computes slowly and its timers have been late for longer than the longest heartbeat interval. */
   isLagging(now: number): boolean {
     return (
       this.processingRate.isSlow &&
@@ -356,8 +364,8 @@
   }
 
   /**
-   * To whom this node, as a leader, should hand over, and why; null: it leads on. Of several the one that
-   * hears most, then one that is to lead rather than others.
+   * The peer to which this node, as a leader, should transfer its leadership, and the reason; null: it goes on
+   * leading. Of several eligible peers, preferred leaders come first, then those that reach the most machines.
    */
   chooseSuccessor(
     now: number,
@@ -365,27 +373,30 @@
     preferred: ReadonlySet<string> = new Set(),
   ): Resignation | null {
     if (this.isStalled(now) && this.#laggingSince === null) return null;
-    const best: { peer: Peer; why: string }[] = [];
+    const candidates: { peer: Peer; why: string }[] = [];
     for (const peer of this.#peers.values()) {
       if (!this.#isEligible(peer, now, storeContactAgeMs)) continue;
       const context = this.#evidenceContext(peer, now, storeContactAgeMs);
-      const row = this.table.transfer.find(({ holds }) => holds(peer, context));
-      if (row !== undefined) best.push({ peer, why: row.name });
+      const rule = this.rules.transfer.find(({ holds }) => holds(peer, context));
+      if (rule !== undefined) candidates.push({ peer, why: rule.name });
     }
-    // All of them are eligible. One that is not preferred would transfer the leadership again.
+    // All candidates are eligible. A successor that is not preferred would transfer the leadership again.
     const rank = ({ peer: { node } }: { peer: Peer }): number => (preferred.has(node) ? 1 : 0);
     const reach = ({ peer: { status } }: { peer: Peer }): number =>
       (status?.reachable ?? 0) + (status?.unexpectedReports ?? 0);
-    best.sort((a, b) => rank(b) - rank(a) || reach(b) - reach(a) || (a.peer.node < b.peer.node ? -1 : 1));
-    const first = best[0];
-    if (first === undefined) return null;
-    // A preferred peer that has not answered the probe round yet is waited for: another would transfer again.
-    const awaited = (node: string): boolean =>
+    candidates.sort(
+      (a, b) => rank(b) - rank(a) || reach(b) - reach(a) || (a.peer.node < b.peer.node ? -1 : 1),
+    );
+    const best = candidates[0];
+    if (best === undefined) return null;
+    // For one tick a preferred peer that has not answered the probe round yet is waited for: any other successor
+    // would transfer the leadership again.
+    const isAwaited = (node: string): boolean =>
       preferred.has(node) &&
       this.hasContact(node, now) &&
       this.#peers.get(node)?.status?.probeRound !== this.probeRound.round;
-    const early = now - this.probeRound.startedAt < this.timing.tickMs;
-    if (early && rank(first) === 0 && [...this.#peers.keys()].some(awaited)) return null;
-    return { to: first.peer.node, reason: first.why };
+    const isRoundNew = now - this.probeRound.startedAt < this.timing.tickMs;
+    if (isRoundNew && rank(best) === 0 && [...this.#peers.keys()].some(isAwaited)) return null;
+    return { to: best.peer.node, reason: best.why };
   }
 }
--- a/src/membership/status.ts
+++ b/src/membership/status.ts
@@ -6,9 +6,9 @@
   | 'up'
   /** It was up and broke. */
   | 'lost'
-  /** The other host refuses it: nobody listens there, or something between does not let it through. */
+  /** The connection is refused: no process listens on the other host, or a packet filter in between rejects it. */
   | 'refused'
-  /** Nobody answers at all: a cut, or a host without power. */
+  /** No answer at all: a network partition, or a host that is down. */
   | 'silent';
 
 /** All link states, in the order of their numbers on the wire. */
@@ -36,27 +36,27 @@
   readonly startedAt: number;
 }
 
-/** What a controller tells the others of itself and of what it sees. */
+/** What a controller reports to the others about itself and its observations. */
 export interface MemberStatus {
   readonly node: string;
-  /** Unique to one run of the process; messages of an earlier incarnation are void. */
+  /** Unique to one run of the process; messages of an earlier incarnation are ignored. */
   readonly incarnation: string;
   readonly term: number;
   readonly isLeader: boolean;
   /** Milliseconds since the state service last answered it. */
   readonly storeContactAgeMs: number;
-  /** How far behind its own timers are, in milliseconds. */
+  /** How late its timers fire, in milliseconds. */
   readonly timerLagMs: number;
   readonly observations: readonly Observation[];
   /** Workers of the present leader that have recently reported to it without having been redirected. */
   readonly unexpectedReports: number;
-  /** As a leader: machines that report, and that should. */
+  /** As a leader: the number of machines that report, and of those that are expected to. */
   readonly reporting: number;
   readonly expected: number;
-  /** As a leader: addresses of the machines that the others are to probe in this round. */
+  /** As a leader: addresses of the machines that the others should probe in this round. */
   readonly probeRequests: readonly string[];
   readonly probeRound: number;
-  /** How many machines its own probes have reached, and have not, in that round. */
+  /** Number of machines that its own probes reached, and failed to reach, in that round. */
   readonly reachable: number;
   readonly unreachable: number;
 }
