--- a/src/membership/heartbeat-sharing.ts
+++ b/src/membership/heartbeat-sharing.ts
@@ -1,9 +1,10 @@
 /**
- * Which controllers take workers' reports. A leader of few machines hears all of them by itself; one of many
- * leaves them to its followers, in portions, so that the loss of one costs each other a share. Pure.
+ * Decides which controllers receive the workers' heartbeats. A leader of few machines receives all of them itself;
+ * a leader of many distributes its workers over its followers, so that when a follower fails, each of the others
+ * takes over a share of its workers. Pure functions.
  */
 
-/** What a leader knows of a follower that may take reports. */
+/** A follower that may receive heartbeats, and its load. */
 export interface FollowerLoad {
   readonly node: string;
   readonly zone: string;
@@ -11,21 +12,21 @@
   readonly workers: number;
 }
 
-/** Below this share of the number at which sharing begins it ends again. */
+/** Sharing ends when the number of machines falls below this share of the number at which it begins. */
 const STOP_SHARE = 0.8;
-/** Of all workers, so many are moved at most between two snapshots. */
+/** Largest share of all workers that may be moved between two snapshots. */
 const MAX_MOVED_SHARE = 0.1;
-/** A follower of the worker's own zone is preferred up to so many times the mean load. */
+/** A follower in the worker's own zone is preferred while its load is at most this many times the mean load. */
 const MAX_ZONE_LOAD_FACTOR = 1.25;
-/** Followers whose loads differ by more than this share of the mean are evened out. */
+/** Workers are moved if the largest and the smallest load differ by more than this share of the mean load. */
 const MIN_IMBALANCE_SHARE = 0.25;
 
-/** Whether reports are shared, by the number of machines; it does not flap at the threshold. */
-export function shouldShare(machines: number, from: number, wasShared: boolean): boolean {
-  return machines >= (wasShared ? STOP_SHARE * from : from);
+/** Whether heartbeats are shared at this number of machines; hysteresis prevents flapping at the threshold. */
+export function shouldShare(machines: number, minMachines: number, wasShared: boolean): boolean {
+  return machines >= (wasShared ? STOP_SHARE * minMachines : minMachines);
 }
 
-/** Workers that may be moved before the next snapshot. */
+/** Largest number of workers that may be moved before the next snapshot. */
 export const maxMoves = (machines: number): number => Math.ceil(MAX_MOVED_SHARE * machines);
 
 const meanLoad = (followers: readonly FollowerLoad[]): number =>
@@ -34,27 +35,27 @@
 const leastLoaded = (followers: readonly FollowerLoad[]): FollowerLoad | undefined =>
   [...followers].sort((one, other) => one.workers - other.workers)[0];
 
-/** The follower that a worker of this zone is sent to; null: there is none. */
+/** The follower to which a worker of this zone is redirected; null: there are no followers. */
 export function chooseFollower(followers: readonly FollowerLoad[], zone: string): string | null {
-  const most = MAX_ZONE_LOAD_FACTOR * meanLoad(followers);
-  const near = followers.filter((follower) => follower.zone === zone && follower.workers <= most);
-  return leastLoaded(near.length > 0 ? near : followers)?.node ?? null;
+  const maxLoad = MAX_ZONE_LOAD_FACTOR * meanLoad(followers);
+  const nearby = followers.filter((follower) => follower.zone === zone && follower.workers <= maxLoad);
+  return leastLoaded(nearby.length > 0 ? nearby : followers)?.node ?? null;
 }
 
-/** Workers that a follower with too many is to send to one with too few. */
+/** The number of workers that the most loaded follower should redirect to the least loaded one. */
 export interface Rebalancing {
   readonly from: string;
   readonly to: string;
   readonly count: number;
 }
 
-/** How loads that have come apart, as after a restart, are evened out; null: they are even. */
-export function chooseRebalancing(followers: readonly FollowerLoad[], moves: number): Rebalancing | null {
+/** The move that evens out unequal loads, for example after a restart; null: they are even enough. */
+export function chooseRebalancing(followers: readonly FollowerLoad[], movesLeft: number): Rebalancing | null {
   const sorted = [...followers].sort((one, other) => one.workers - other.workers);
   const [least] = sorted;
   const most = sorted.at(-1);
   if (least === undefined || most === undefined) return null;
   const gap = most.workers - least.workers;
   if (gap <= Math.max(2, MIN_IMBALANCE_SHARE * meanLoad(followers))) return null;
-  return { from: most.node, to: least.node, count: Math.min(moves, Math.floor(gap / 2)) };
+  return { from: most.node, to: least.node, count: Math.min(movesLeft, Math.floor(gap / 2)) };
 }
--- a/src/membership/inter-arrival-tracker.ts
+++ b/src/membership/inter-arrival-tracker.ts
@@ -1,48 +1,52 @@
 /**
- * How unusual a silence is, as an accrual detector tells it (Hayashibara, Défago, Yared and Katayama,
- * "The phi accrual failure detector", SRDS 2004): not whether a peer is down, but minus the logarithm
- * of the chance that its next word is still to come, given the gaps between its words so far.
+ * Accrual failure detection (Hayashibara, Défago, Yared and Katayama, "The phi accrual failure detector",
+ * SRDS 2004). The detector does not decide whether a peer is down, but yields phi: minus the decimal logarithm
+ * of the probability that the peer's next message is still to come, given the intervals between its messages
+ * so far.
  */
 import { errorFunction, mean, sampleStandardDeviation } from 'simple-statistics';
 
 const MAX_SAMPLES = 24;
-/** Fewer gaps than this say little of their spread. */
+/** Fewer intervals give no reliable mean or deviation, and are not used. */
 const MIN_SAMPLES = 4;
-/** The spread is taken for at least this part of the usual gap. */
+/** Lower bound of the deviation, as a share of the expected interval. */
 const MIN_DEVIATION_SHARE = 0.25;
-/** What the approximation of the normal distribution's tail still tells apart. */
+/** Smallest tail probability that the approximation of the normal distribution resolves. */
 const MIN_PROBABILITY = 1e-6;
 
 /** The intervals between a peer's messages, and how unusual the present silence is. */
 export class InterArrivalTracker {
-  readonly #gaps: number[] = [];
-  #last: number | null = null;
+  readonly #intervals: number[] = [];
+  #lastArrivalAt: number | null = null;
 
-  /** `usual`: the gap between two words that nothing has held up, in milliseconds. */
-  constructor(private readonly usual: number) {}
+  /** `usualIntervalMs`: the interval between two messages that are not delayed, in milliseconds. */
+  constructor(private readonly usualIntervalMs: number) {}
 
-  /** A message has arrived at this steady time. */
+  /** Records a message that arrived at this steady time (ms). */
   record(at: number): void {
-    if (this.#last !== null) this.#gaps.push(Math.max(0, at - this.#last));
-    if (this.#gaps.length > MAX_SAMPLES) this.#gaps.shift();
-    this.#last = at;
+    if (this.#lastArrivalAt !== null) this.#intervals.push(Math.max(0, at - this.#lastArrivalAt));
+    if (this.#intervals.length > MAX_SAMPLES) this.#intervals.shift();
+    this.#lastArrivalAt = at;
   }
 
-  /** Another life, or one that was away: what its gaps were before says nothing. */
+  /** Starts over for a peer that has restarted or was out of contact: its earlier intervals no longer apply. */
   restart(at: number): void {
-    this.#gaps.length = 0;
-    this.#last = at;
+    this.#intervals.length = 0;
+    this.#lastArrivalAt = at;
   }
 
-  /** 1: one silence in ten is as long; 3: one in a thousand; 0 before the first word. */
+  /** 1: one silence in 10 lasts as long; 3: one in 1000; 0 before the first message. */
   phi(now: number): number {
-    if (this.#last === null) return 0;
-    // Words that are sent early, on a change, make no later one due sooner.
-    const centre = Math.max(this.usual, this.#gaps.length < MIN_SAMPLES ? 0 : mean(this.#gaps));
-    const seen = this.#gaps.length < MIN_SAMPLES ? 0 : sampleStandardDeviation(this.#gaps);
-    const spread = Math.max(MIN_DEVIATION_SHARE * centre, seen);
-    const z = (now - this.#last - centre) / spread;
-    const chance = 0.5 * (1 - errorFunction(z / Math.SQRT2));
-    return -Math.log10(Math.max(MIN_PROBABILITY, Math.min(1, chance)));
+    if (this.#lastArrivalAt === null) return 0;
+    // Messages that are sent early, on a change, do not make the next one due sooner.
+    const expected = Math.max(
+      this.usualIntervalMs,
+      this.#intervals.length < MIN_SAMPLES ? 0 : mean(this.#intervals),
+    );
+    const deviation = this.#intervals.length < MIN_SAMPLES ? 0 : sampleStandardDeviation(this.#intervals);
+    const spread = Math.max(MIN_DEVIATION_SHARE * expected, deviation);
+    const z = (now - this.#lastArrivalAt - expected) / spread;
+    const probability = 0.5 * (1 - errorFunction(z / Math.SQRT2));
+    return -Math.log10(Math.max(MIN_PROBABILITY, Math.min(1, probability)));
   }
 }
--- a/src/membership/processing-rate.ts
+++ b/src/membership/processing-rate.ts
@@ -1,64 +1,66 @@
 /**
- * How fast this node computes: steady time over processor time of its own work. It is the same for a
- * little load and for much, and rises when the processor is taken away or runs slower; so it tells a
- * slow node from a busy one, which another would be in its place as well.
+ * How slowly this node computes: the ratio of steady time to processor time of its own work. The ratio does not
+ * depend on the load, and rises when the processor is taken away or runs slower. So it distinguishes a slow node
+ * from a busy one, in whose place any other node would be busy as well.
  */
 import { median } from 'simple-statistics';
 import type { Timing } from '../core/timing.js';
 
-/** Windows that are remembered, and needed before anything is judged by them. */
+/** Earlier windows that are kept to derive the usual ratio. */
 const MAX_WINDOWS = 64;
+/** Earlier windows that are needed before the latest one is compared with them. */
 const MIN_WINDOWS = 8;
-/** A window holds at least this part of the longest report as processor time. */
+/** Processor time that a window must contain, as a share of the longest heartbeat interval. */
 const MIN_PROCESSOR_SHARE = 0.002;
-/** So many times the usual is slow, and so many windows in a row are no chance. */
+/** A window is slow if its ratio is at least this many times the usual one. */
 const SLOWDOWN_THRESHOLD = 1.5;
+/** Consecutive slow windows after which the node counts as slow; fewer may be a coincidence. */
 const MIN_SLOW_WINDOWS = 3;
 
 /** Compares the present processing rate with the usual one. */
 export class ProcessingRateMonitor {
-  readonly #windows: number[] = [];
+  readonly #earlierRatios: number[] = [];
   #steadyMs = 0;
   #processorMs = 0;
-  #from = -Infinity;
-  #latest: number | null = null;
+  #windowStart = -Infinity;
+  #latestRatio: number | null = null;
 
-  #slowFor = 0;
+  #slowWindows = 0;
 
   constructor(
     private readonly timing: Timing,
-    /** Of one processor: whoever uses up its share is that slow, and no slower for it. */
+    /** This node's share of one processor. Using up the share gives a ratio of 1 / share, which is not a slowdown. */
     private readonly share: number,
   ) {}
 
-  /** A batch of work: its steady time and its processor time, in milliseconds. */
+  /** Records the steady time and the processor time of a batch of work, in milliseconds. */
   record(steadyMs: number, processorMs: number, now: number): void {
     const { maxHeartbeatIntervalMs } = this.timing;
-    if (this.#from === -Infinity) this.#from = now;
+    if (this.#windowStart === -Infinity) this.#windowStart = now;
     this.#steadyMs += steadyMs;
     this.#processorMs += processorMs;
     if (
-      now - this.#from < maxHeartbeatIntervalMs ||
+      now - this.#windowStart < maxHeartbeatIntervalMs ||
       this.#processorMs < MIN_PROCESSOR_SHARE * maxHeartbeatIntervalMs
     )
       return;
-    if (this.#latest !== null) this.#windows.push(this.#latest);
-    if (this.#windows.length > MAX_WINDOWS) this.#windows.shift();
-    this.#latest = this.#steadyMs / this.#processorMs;
-    this.#slowFor = this.slowness >= SLOWDOWN_THRESHOLD ? this.#slowFor + 1 : 0;
+    if (this.#latestRatio !== null) this.#earlierRatios.push(this.#latestRatio);
+    if (this.#earlierRatios.length > MAX_WINDOWS) this.#earlierRatios.shift();
+    this.#latestRatio = this.#steadyMs / this.#processorMs;
+    this.#slowWindows = this.slowness >= SLOWDOWN_THRESHOLD ? this.#slowWindows + 1 : 0;
     this.#steadyMs = 0;
     this.#processorMs = 0;
-    this.#from = now;
+    this.#windowStart = now;
   }
 
-  /** How many times the usual a piece of work takes now; 1 while little is known. */
+  /** The latest ratio as a multiple of the usual one; 1 until enough windows are recorded. */
   get slowness(): number {
-    if (this.#latest === null || this.#windows.length < MIN_WINDOWS) return 1;
-    return this.#latest / Math.max(1 / this.share, median(this.#windows));
+    if (this.#latestRatio === null || this.#earlierRatios.length < MIN_WINDOWS) return 1;
+    return this.#latestRatio / Math.max(1 / this.share, median(this.#earlierRatios));
   }
 
   /** Whether this node has computed far slower than usual for several windows. */
   get isSlow(): boolean {
-    return this.#slowFor >= MIN_SLOW_WINDOWS;
+    return this.#slowWindows >= MIN_SLOW_WINDOWS;
   }
 }
--- a/src/membership/worker-router.ts
+++ b/src/membership/worker-router.ts
@@ -1,40 +1,41 @@
 /**
- * Where a follower sends the workers that come to it: always on to the leader while that may be
- * reached, and kept only on evidence that it is not, for as long as the evidence is fresh.
+ * Decides where a follower sends the workers that report to it: to the leader as long as the leader may be
+ * reachable. The follower answers a worker itself only on evidence that the leader is not reachable, and only
+ * while that evidence is fresh.
  */
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Timing } from '../core/timing.js';
 
 /** Where a worker's heartbeat is answered. */
 export type WorkerRoute =
-  /** To the leader. */
+  /** Redirected to the leader. */
   | 'on'
-  /** To the next controller: nobody here knows better. */
+  /** Sent on without a target: the worker tries the next controller. */
   | 'away'
-  /** Answered here, in the leader's place. */
+  /** Answered by this follower, in the leader's place. */
   | 'here';
 
-/** What is known of the leader's reach. */
+/** What this follower knows about whether the leader is reachable. */
 export interface LeaderReachability {
-  /** The leader, if it is known and another node. */
+  /** The leader; null: it is unknown, or this node itself. */
   readonly leader: string | null;
-  /** It has been heard of late. */
+  /** Whether a status of the leader has arrived within the longest heartbeat interval. */
   readonly hasContact: boolean;
-  /** Since when its link is lost or refused with no word of it; null: it is not so. */
+  /** Steady time at which the link to the leader was lost or refused; null: it was not, or has recovered since. */
   readonly linkLostAt: number | null;
-  /** The state service has told of late that its record stands. */
+  /** Whether the state service has answered recently, so that the leader record is known to be still valid. */
   readonly isRecordConfirmed: boolean;
-  /** The leader hears nobody of the worker's zone. */
+  /** Whether the leader receives no heartbeats from the worker's zone. */
   readonly isZoneSilent: boolean;
-  /** Another controller than the leader is heard. */
+  /** Whether there is contact with a controller other than the leader. */
   readonly hasOtherContact: boolean;
-  /** Highest token known here. */
+  /** Highest fencing token known to this node. */
   readonly token: number;
 }
 
-/** Decides where a worker that reports to a follower goes, and remembers whom it has redirected. */
+/** Decides where a worker that reports to a follower is sent, and remembers which workers were redirected. */
 export class WorkerRouter {
-  /** When workers were sent on; the oldest are forgotten first. */
+  /** Steady time at which each worker was redirected to the leader or answered here; the oldest is dropped first. */
   readonly #redirectedAt = new Map<string, number>();
 
   constructor(private readonly timing: Timing) {}
@@ -48,7 +49,7 @@
     }
   }
 
-  /** Whether a worker with this token left its leader by itself, sent by nobody. */
+  /** Whether a worker with this token has left the present leader on its own, without a recent redirect. */
   isUnexpected(machine: string, token: number, reach: LeaderReachability, now: number): boolean {
     const redirectedAt = this.#redirectedAt.get(machine);
     const { maxHeartbeatIntervalMs, workerLeaseMs } = this.timing;
@@ -65,22 +66,24 @@
     const { leader, linkLostAt } = reach;
     if (leader === null || reach.token === 0 || token > reach.token) return 'away';
     const redirectedAt = this.#redirectedAt.get(machine);
-    // It takes a worker some seconds to try a node that does not answer: back after so long, it
-    // has tried the leader in vain, even if this node hears it; as have others of its zone if
-    // the leader calls that silent. It is answered once and then redirected again: kept here
-    // for longer, it would be silent to a leader that may reach it again, and be terminated alive.
-    const inVain =
+    // A worker needs some seconds to try a node that does not answer. One that comes back so long after its
+    // redirect has tried the leader in vain, even if this node has contact with the leader; so have other workers
+    // of its zone if the leader reports the zone as silent. Such a worker is answered once and then redirected
+    // again: if it stayed here for longer, a leader that has become reachable again would get no heartbeats from it
+    // and would terminate a machine that is alive.
+    const hasTriedInVain =
       redirectedAt === undefined
         ? reach.isZoneSilent
         : now - redirectedAt < workerLeaseMs && now - redirectedAt > 1.5 * maxHeartbeatIntervalMs;
-    // Nobody listens there: it is followed within a moment, and the next controller may be its
-    // successor already. Workers that are sent back would try a dead leader by turns. Where no
-    // other controller is left, this node will lead: sent away, workers might come back too late for their lease.
-    const falling = linkLostAt !== null && now - linkLostAt < leaderLeaseMs;
-    if (falling && reach.hasOtherContact) return 'away';
-    // Links that are refused between controllers say nothing of the workers' connections to the leader.
+    // The link was lost or refused recently: the leader has probably crashed and is replaced soon, and the next
+    // controller may already be its successor. Workers that are redirected to the crashed leader would alternate
+    // between it and the followers. If no other controller is left, this node will lead: workers that are sent away
+    // might come back only after their lease has expired.
+    const isLinkLostRecently = linkLostAt !== null && now - linkLostAt < leaderLeaseMs;
+    if (isLinkLostRecently && reach.hasOtherContact) return 'away';
+    // Refused links between controllers say nothing about the workers' connections to the leader.
     const reachable = reach.hasContact || (linkLostAt !== null && reach.isRecordConfirmed);
-    if (reachable && !inVain && !falling) {
+    if (reachable && !hasTriedInVain && !isLinkLostRecently) {
       if (redirectedAt === undefined || now - redirectedAt > 1.5 * maxHeartbeatIntervalMs)
         this.#recordRedirect(machine, now);
       return 'on';
