--- a/test/election-model.test.ts
+++ b/test/election-model.test.ts
@@ -1,4 +1,4 @@
-/** Model checking of the election: every interleaving up to a depth, and a mutant for each guard. */
+/** Model checking of the election: every interleaving up to a depth, and a mutant without each guard. */
 import { expect, test } from 'vitest';
 import { explore, type Bounds, type Mutant } from './emulators/election-explorer.js';
 
--- a/test/failure-suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -1,4 +1,4 @@
-/** Faults between controllers: suspicion, failover, and when starts continue. Traces are in test/traces/. */
+/** Faults between controllers: suspicion, failover, and how soon tasks start again. Traces are in test/traces/. */
 import { expect, test } from 'vitest';
 import { timing } from '../src/config/settings.js';
 import { seeded, testSettings, Simulation, type LogLine } from './emulators/simulation.js';
@@ -6,15 +6,15 @@
 const TIMES = timing(testSettings(0));
 const FROM = 20_000;
 
-/** A service at work: a stream of small jobs, so that something starts many times a second. */
-async function atWork(seed = 5): Promise<{ world: Simulation; leader: number }> {
+/** Starts a service with a stream of small jobs, so that tasks start many times a second. */
+async function startBusyService(seed = 5): Promise<{ world: Simulation; leader: number }> {
   const world = new Simulation(seeded(seed), { keepLog: true });
   world.cloud.capacity = 40;
-  const wish = { team: 'crew', tasks: 8, cpus: 2, memoryGb: 1, spot: true };
+  const jobSpec = { team: 'crew', tasks: 8, cpus: 2, memoryGb: 1, spot: true };
   for (let i = 0; i < 220; i += 1) {
     const id = `req-${String(i).padStart(6, '0')}`;
     world.clock.in(2000 + 300 * i, () => {
-      void world.user({ ...wish, id, zone: null, oneZone: false, spread: false }, null);
+      void world.user({ ...jobSpec, id, zone: null, oneZone: false, spread: false }, null);
     });
   }
   await world.clock.runUntil(FROM);
@@ -25,8 +25,8 @@
 
 const others = (leader: number): number[] => [0, 1, 2].filter((node) => node !== leader);
 
-/** Lets time pass; the longest time without a start, from a moment on. */
-async function pauseIn(world: Simulation, from: number, to: number): Promise<number> {
+/** Runs the simulation until `to`; returns the longest time (ms) without the start of a task since `from`. */
+async function longestPause(world: Simulation, from: number, to: number): Promise<number> {
   let longest = 0;
   let last = from;
   let started = world.checker.started;
@@ -39,7 +39,7 @@
   return longest;
 }
 
-const TOLD = new Set([
+const TRACED_EVENTS = new Set([
   'peer suspected',
   'peer failed',
   'peer trusted',
@@ -51,9 +51,9 @@
   'leader stepped down',
 ]);
 
-function told({ at, node, msg, ...more }: LogLine): string {
-  const { peer, evidence, to, why, reason, term, leader, jobs } = more;
-  const about = [
+function traceLine({ at, node, msg, ...fields }: LogLine): string {
+  const { peer, evidence, to, why, reason, term, leader, jobs } = fields;
+  const details = [
     peer,
     evidence,
     to,
@@ -62,18 +62,18 @@
     leader,
     term === undefined ? undefined : `term ${String(term)}`,
   ];
-  const rest = about.filter((one) => one !== undefined).map(String);
+  const rest = details.filter((one) => one !== undefined).map(String);
   const loaded = jobs === undefined || msg !== 'leader state loaded' ? [] : [`${String(jobs)} jobs`];
   return `${((at - FROM) / 1000).toFixed(1).padStart(5)} s  ${node}  ${[msg, ...rest, ...loaded].join(': ')}`;
 }
 
 const trace = (world: Simulation): string =>
   `${world.logged
-    .filter(({ at, msg }) => at >= FROM && TOLD.has(msg))
-    .map(told)
+    .filter(({ at, msg }) => at >= FROM && TRACED_EVENTS.has(msg))
+    .map(traceLine)
     .join('\n')}\n`;
 
-async function endsWell(world: Simulation, name: string): Promise<void> {
+async function expectTraceAndRecovery(world: Simulation, name: string): Promise<void> {
   await expect(trace(world)).toMatchFileSnapshot(`traces/failover-${name}.txt`);
   await world.clock.runUntil(FROM + 160_000);
   expect(world.checker.violations).toEqual([]);
@@ -81,43 +81,43 @@
   expect([...world.cloud.workers.values()].filter(({ session }) => session > 1)).toEqual([]);
 }
 
-const changes = (world: Simulation): number =>
+const elections = (world: Simulation): number =>
   world.logged.filter(({ at, msg }) => at >= FROM && msg === 'leader elected').length;
-const givenBack = (world: Simulation): LogLine[] =>
+const terminations = (world: Simulation): LogLine[] =>
   world.logged.filter(
     ({ at, msg, reason }) => at >= FROM && msg === 'machine terminated' && reason !== 'idle',
   );
 
 // The evidence of all peers allows an election before the lease expires.
-test('a crashed leader is replaced before its lease expires, and starts continue', async () => {
-  const { world, leader } = await atWork();
+test('a crashed leader is replaced before its lease expires, and task starts continue', async () => {
+  const { world, leader } = await startBusyService();
   world.crash(leader, 60_000);
-  expect(await pauseIn(world, FROM, FROM + 15_000)).toBeLessThan(
+  expect(await longestPause(world, FROM, FROM + 15_000)).toBeLessThan(
     TIMES.leaderLeaseMs + 2 * TIMES.maxHeartbeatIntervalMs,
   );
   const elected = world.logged.find(({ at, msg }) => at > FROM && msg === 'leader elected');
   expect((elected?.at ?? Infinity) - FROM).toBeLessThan(TIMES.leaderLeaseMs);
   expect(world.logged.some(({ msg }) => msg === 'leader failure detected')).toBe(true);
-  expect(changes(world)).toBe(1);
-  await endsWell(world, 'crash');
+  expect(elections(world)).toBe(1);
+  await expectTraceAndRecovery(world, 'crash');
 });
 
-// A leader that renews its lease but reaches no worker starts nothing.
+// A leader that renews its lease but reaches no worker starts no tasks.
 test('a leader without heartbeats transfers leadership to a node that reaches the workers', async () => {
-  const { world, leader } = await atWork();
+  const { world, leader } = await startBusyService();
   for (const name of world.cloud.workers.keys()) world.network.partition(`n-${leader}`, name, 40_000);
-  expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(
+  expect(await longestPause(world, FROM, FROM + 30_000)).toBeLessThan(
     4000 + 1000 + 2 * TIMES.maxHeartbeatIntervalMs,
   );
   expect(world.leaders()).not.toEqual([`n-${leader}`]);
-  expect([changes(world), givenBack(world)]).toEqual([1, []]);
-  await endsWell(world, 'no-workers');
+  expect([elections(world), terminations(world)]).toEqual([1, []]);
+  await expectTraceAndRecovery(world, 'no-workers');
 });
 
-// Re-elected, it would hear no worker, and their leases would expire.
+// If it were re-elected, it would receive no heartbeats, and the leases of the workers would expire.
 test('a node that reaches no machine is not re-elected while another candidate is left', async () => {
-  const { world, leader } = await atWork();
-  // No new machine, which could reach it.
+  const { world, leader } = await startBusyService();
+  // No new machines are provisioned: they could reach the partitioned node.
   world.cloud.capacity = 0;
   await world.clock.runUntil(FROM + 8000);
   for (const name of world.cloud.workers.keys()) world.network.partition(`n-${leader}`, name, 30_000);
@@ -125,121 +125,121 @@
   const [second] = world.leaders();
   expect(second).not.toBe(`n-${leader}`);
   world.pause(Number(second?.slice(2)), 3 * TIMES.leaderLeaseMs);
-  await pauseIn(world, world.clock.now, FROM + 25_000);
+  await longestPause(world, world.clock.now, FROM + 25_000);
   const elected = world.logged
     .filter(({ at, msg }) => at > FROM && msg === 'leader elected')
     .map(({ node }) => node);
   expect(elected).toHaveLength(2);
   expect(elected).not.toContain(`n-${leader}`);
   world.cloud.capacity = 40;
-  await endsWell(world, 'cut-off-twice');
+  await expectTraceAndRecovery(world, 'cut-off-twice');
 });
 
-// Without peer links the old leader does not learn of its successor and goes on answering workers.
+// Without peer links the old leader does not learn of its successor and keeps answering workers.
 test('when peer links are refused, a new leader takes over the workers and terminates none', async () => {
-  const { world, leader } = await atWork();
+  const { world, leader } = await startBusyService();
   world.refusePeers(45_000);
   await world.clock.runUntil(FROM + 3000);
   world.state.refuse(`n-${leader}`, 30_000);
-  const pause = await pauseIn(world, FROM + 3000, FROM + 40_000);
+  const pause = await longestPause(world, FROM + 3000, FROM + 40_000);
   expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 1000 + 4 * TIMES.maxHeartbeatIntervalMs);
-  expect([changes(world), givenBack(world)]).toEqual([1, []]);
-  await endsWell(world, 'refused-peers');
+  expect([elections(world), terminations(world)]).toEqual([1, []]);
+  await expectTraceAndRecovery(world, 'refused-peers');
 });
 
 test('refused peer links alone cause no election, no suspicion and no lost worker', async () => {
-  const { world, leader } = await atWork();
+  const { world, leader } = await startBusyService();
   world.refusePeers(30_000);
-  expect(await pauseIn(world, FROM, FROM + 30_000)).toBeLessThan(2 * TIMES.maxHeartbeatIntervalMs);
-  expect([world.leaders(), changes(world), givenBack(world)]).toEqual([[`n-${leader}`], 0, []]);
-  await endsWell(world, 'only-refused');
+  expect(await longestPause(world, FROM, FROM + 30_000)).toBeLessThan(2 * TIMES.maxHeartbeatIntervalMs);
+  expect([world.leaders(), elections(world), terminations(world)]).toEqual([[`n-${leader}`], 0, []]);
+  await expectTraceAndRecovery(world, 'only-refused');
 });
 
 test('a pause of half a lease changes nothing; one of two leases changes the leader once', async () => {
-  const short = await atWork();
+  const short = await startBusyService();
   short.world.pause(short.leader, 0.5 * TIMES.leaderLeaseMs);
-  await pauseIn(short.world, FROM, FROM + 10_000);
-  expect([short.world.leaders(), changes(short.world), givenBack(short.world)]).toEqual([
+  await longestPause(short.world, FROM, FROM + 10_000);
+  expect([short.world.leaders(), elections(short.world), terminations(short.world)]).toEqual([
     [`n-${short.leader}`],
     0,
     [],
   ]);
-  const long = await atWork();
+  const long = await startBusyService();
   long.world.pause(long.leader, 2 * TIMES.leaderLeaseMs);
-  await pauseIn(long.world, FROM, FROM + 20_000);
-  expect([changes(long.world), givenBack(long.world)]).toEqual([1, []]);
-  await endsWell(long.world, 'stall');
+  await longestPause(long.world, FROM, FROM + 20_000);
+  expect([elections(long.world), terminations(long.world)]).toEqual([1, []]);
+  await expectTraceAndRecovery(long.world, 'stall');
 });
 
-// A leader that computes more slowly than before can be replaced by a node that keeps up.
+// A leader that computes more slowly than before can be replaced by a node whose timers fire in time.
 test('an overloaded leader transfers leadership exactly once', async () => {
-  const { world, leader } = await atWork();
+  const { world, leader } = await startBusyService();
   world.slowDown(leader, 2 * TIMES.tickMs);
-  await pauseIn(world, FROM, FROM + 15_000);
+  await longestPause(world, FROM, FROM + 15_000);
   expect(world.leaders()).not.toEqual([`n-${leader}`]);
   world.slowDown(leader, 0);
-  await pauseIn(world, world.clock.now, FROM + 25_000);
-  expect(changes(world)).toBe(1);
-  await endsWell(world, 'slow');
+  await longestPause(world, world.clock.now, FROM + 25_000);
+  expect(elections(world)).toBe(1);
+  await expectTraceAndRecovery(world, 'slow');
 });
 
-// A node that returns is likely to fail again soon.
-test('leadership is not transferred back at once to a flapping node', async () => {
-  const { world, leader } = await atWork();
+// A node that has failed repeatedly is likely to fail again soon.
+test('leadership is not transferred back immediately to a flapping node', async () => {
+  const { world, leader } = await startBusyService();
   for (const at of [0, 9000, 18_000])
     world.clock.in(at, () => world.pause(leader, 1.5 * TIMES.leaderLeaseMs));
-  await pauseIn(world, FROM, FROM + 30_000);
-  expect(changes(world)).toBeLessThanOrEqual(2);
-  await endsWell(world, 'flaps');
+  await longestPause(world, FROM, FROM + 30_000);
+  expect(elections(world)).toBeLessThanOrEqual(2);
+  await expectTraceAndRecovery(world, 'flaps');
 });
 
-// The store retains a bounded number of changes: a watch from the revision of the record would be compacted
-// at once, again and again.
+// The store retains a bounded number of changes: a watch from the revision of the record would fail as compacted
+// immediately, each time it is repeated.
 test('the rate of leader record watches is bounded, whatever the number of revisions', async () => {
-  const { world } = await atWork();
+  const { world } = await startBusyService();
   while (world.state.revision < 500) await world.clock.runUntil(world.clock.now + 1000);
-  let asked = 0;
+  let watches = 0;
   const watch = world.state.watch.bind(world.state);
-  world.state.watch = (...given) => {
-    asked += 1;
-    watch(...given);
+  world.state.watch = (...args) => {
+    watches += 1;
+    watch(...args);
   };
   await world.clock.runUntil(world.clock.now + 5000);
-  expect(asked).toBeLessThan(150);
+  expect(watches).toBeLessThan(150);
 });
 
-test('when two of three controllers crash at once, the third leads and starts continue', async () => {
-  const { world, leader } = await atWork();
+test('when two of three controllers crash at the same time, the third leads and task starts continue', async () => {
+  const { world, leader } = await startBusyService();
   world.crash(leader, 8000);
   world.crash(others(leader)[0] as number, 8000);
-  const pause = await pauseIn(world, FROM, FROM + 12_000);
+  const pause = await longestPause(world, FROM, FROM + 12_000);
   expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 2 * TIMES.maxHeartbeatIntervalMs + 2000);
-  await endsWell(world, 'two-crash');
+  await expectTraceAndRecovery(world, 'two-crash');
 });
 
-// While it keeps its workers nothing starts: it cannot commit.
+// The partitioned leader cannot commit: no task starts on its workers until it releases them.
 test('a leader partitioned with its workers releases them to its successor, which terminates none', async () => {
-  const { world, leader } = await atWork();
-  const alone = `n-${leader}`;
-  world.state.refuse(alone, 30_000);
+  const { world, leader } = await startBusyService();
+  const leaderHost = `n-${leader}`;
+  world.state.refuse(leaderHost, 30_000);
   for (const host of ['cloud', ...others(leader).map((node) => `n-${node}`)])
-    world.network.partition(alone, host, 30_000);
-  const pause = await pauseIn(world, FROM, FROM + 25_000);
+    world.network.partition(leaderHost, host, 30_000);
+  const pause = await longestPause(world, FROM, FROM + 25_000);
   expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 1000 + 4 * TIMES.maxHeartbeatIntervalMs);
-  expect([changes(world), givenBack(world)]).toEqual([1, []]);
-  expect(world.leaders()).not.toContain(alone);
+  expect([elections(world), terminations(world)]).toEqual([1, []]);
+  expect(world.leaders()).not.toContain(leaderHost);
   expect(world.ready()[leader]).toBe(false);
-  await endsWell(world, 'alone');
+  await expectTraceAndRecovery(world, 'alone');
 });
 
 test('a leader that restarts within 100 ms, repeatedly during the election, delays nothing', async () => {
-  const { world, leader } = await atWork();
+  const { world, leader } = await startBusyService();
   for (const at of [0, 150, 400, 900]) world.clock.in(at, () => world.crash(leader, 60));
   world.clock.in(500, () => world.crash(others(leader)[0] as number, 60));
-  expect(await pauseIn(world, FROM, FROM + 15_000)).toBeLessThan(
+  expect(await longestPause(world, FROM, FROM + 15_000)).toBeLessThan(
     TIMES.leaderLeaseMs + 3 * TIMES.maxHeartbeatIntervalMs,
   );
   expect(world.leaders()).toHaveLength(1);
-  expect(givenBack(world)).toEqual([]);
-  await endsWell(world, 'back-at-once');
+  expect(terminations(world)).toEqual([]);
+  await expectTraceAndRecovery(world, 'back-at-once');
 });
