--- a/src/membership/evidence-rules.ts
+++ b/src/membership/evidence-rules.ts
@@ -190,7 +190,7 @@
       (status?.unexpectedReports ?? 0) >= MIN_UNEXPECTED_REPORTS,
   },
   {
-    name: 'keeps up',
+    name: 'its timers fire in time',
     holds: ({ status }, { timing }) => status !== null && status.timerLagMs < timing.tickMs,
   },
 ];
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -142,8 +142,8 @@
   /** Records by how many milliseconds a timer of this node was late. */
   recordTimerLag(timerLagMs: number, now: number): void {
     const { tickMs, maxHeartbeatIntervalMs } = this.timing;
-    // The largest recent lag, decaying exponentially: one timer that fires in time does not show that a slow process has
-    // recovered.
+    // The largest recent lag, decaying exponentially: one timer that fires in time does not show that a slow process
+    // has recovered.
     const decayedLagMs = this.#timerLagMs * Math.exp(-(now - this.#timerLagAt) / maxHeartbeatIntervalMs);
     this.#timerLagMs = Math.max(timerLagMs, Number.isFinite(decayedLagMs) ? decayedLagMs : 0);
     this.#timerLagAt = now;
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -147,7 +147,7 @@
     (s) => failProbes(s).receiveStatus('c', { ...ALL_PROBES_REACHED, storeContactAgeMs: 60_000 }).successor,
     null,
   ],
-  'keeps up': [
+  'its timers fire in time': [
     (s) =>
       failProbes(s).receiveStatus('c', { ...ALL_PROBES_REACHED, timerLagMs: 4 * TIMES.tickMs }).successor,
     null,
