--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,4 +1,4 @@
-/** What goes into `step`, the commands, and what comes out of it, the effects. */
+/** The inputs of `step`, the commands, and its outputs, the effects. */
 import type { Keepalive } from './fleet/keepalives.js';
 import type { ChunkName, ClassDemandRecord } from './persistence/records.js';
 import type { RecordLayout } from './model.js';
@@ -14,7 +14,7 @@
   Transaction,
 } from './types.js';
 
-/** A chunk record as a new leader has read it. */
+/** A chunk record that a new leader has read from the key-value store. */
 export interface LoadedChunk {
   /** Id of its job. */
   readonly job: string;
@@ -24,35 +24,38 @@
 
 /** The outcome of a transaction. */
 export type CommitOutcome =
-  /** All of it is stored, at this revision. */
+  /** All mutations are stored, at this revision. */
   | { readonly kind: 'applied'; readonly revision: number }
-  /** Nothing of it is stored: the preconditions on these keys did not hold. */
+  /** Nothing is stored: the preconditions on these keys did not hold. */
   | { readonly kind: 'failed'; readonly keys: readonly string[] }
-  /** Nothing of it is stored: the key-value store, or a limit kept to, did not admit it now. */
+  /** Nothing is stored: the key-value store, or this controller's own rate limit, did not admit it now. */
   | { readonly kind: 'refused' }
-  /** Nothing of it is stored, nor would be if sent again: it is too large, malformed, or names an expired lease. */
+  /** Nothing is stored, and a retry would fail too: it is too large, malformed, or names an expired lease. */
   | { readonly kind: 'rejected' }
-  /** There was no answer: it may be stored, or be stored later. */
+  /** No answer was received: the transaction may have been applied, or may still be. */
   | { readonly kind: 'unknown' };
 
-/** What a reconciliation has read. */
+/** The records that a reconciliation has read. */
 export interface ReconciledRecords {
-  /** By job id: whether its record is there, and how it ended. */
+  /** By job id: whether the record of the live job exists, and the record of its end; null: none was found. */
   readonly jobs: ReadonlyMap<string, { readonly live: boolean; readonly ended: EndedRecord | null }>;
   /** Revisions by key; a key that does not exist is left out. */
   readonly chunks: ReadonlyMap<string, number>;
 }
 
-/** An input of `step`. Times named `…At` and `since` are in steady milliseconds. */
+/** An input of `step`. Times named `…At` and `since` are in milliseconds of the monotonic clock. */
 export type Command =
   /**
-   * A tick of the clock. `isStalled`: this node has stood still and not caught up, so no failure is inferred.
-   * `isOverloaded`: it is behind its timers, so what can wait is left out.
+   * A periodic timer tick. `isStalled`: this process was paused and has not caught up, so no failure is inferred.
+   * `isOverloaded`: its timers run late, so work that can wait is skipped.
    */
   | { readonly kind: 'tick'; readonly isStalled?: boolean; readonly isOverloaded?: boolean }
-  /** The leadership is being transferred: nothing new is begun. */
+  /** The leadership is being transferred: placement, scaling and failure detection stop. */
   | { readonly kind: 'transferLeadership' }
-  /** A heartbeat that waits for the reply of this id. `ageMs`: since its arrival at the follower that forwards it. */
+  /**
+   * A heartbeat whose sender waits for the reply with the id `reply`. `ageMs`: milliseconds since its arrival at the
+   * follower that forwarded it; absent: 0.
+   */
   | {
       readonly kind: 'heartbeat';
       readonly reply: number;
@@ -61,59 +64,65 @@
     }
   /** The heartbeat with which a worker answered a direct call. */
   | { readonly kind: 'directAnswer'; readonly heartbeat: Heartbeat }
-  /** Whether a probe reached a machine; null: it was not carried out. */
+  /** Whether a probe reached a machine; null: the probe could not tell. */
   | { readonly kind: 'probed'; readonly machine: string; readonly isReachable: boolean | null }
-  /** This controller has been elected, and has read what the key-value store holds. */
+  /** This controller has been elected and has read the committed records. */
   | {
       readonly kind: 'becomeLeader';
       readonly term: number;
-      /** Of the term's record. */
+      /** Revision of the term record. */
       readonly modRevision: number;
-      /** When the read of the jobs was sent. */
+      /** Time at which the read of the jobs was sent. */
       readonly viewConfirmedAt: number;
       readonly layout: RecordLayout;
-      /** Tasks of a chunk whose key tells no width. */
+      /** Number of tasks in a chunk whose key does not contain the chunk width. */
       readonly legacyChunkTasks: number;
       readonly jobs: readonly Versioned<JobSpec>[];
       readonly chunks: readonly LoadedChunk[];
       readonly demandHistory: readonly ClassDemandRecord[];
-      /** Zones of which earlier leaders had contact with no machine, and since when. */
+      /** Zones in which earlier leaders had no contact with any machine, and since when. */
       readonly silentZones?: ReadonlyMap<string, number>;
-      /** The leader before may be alive, partitioned from the key-value store and still answering workers. */
+      /** The previous leader may be alive, partitioned from the key-value store and still answering workers. */
       readonly previousLeaderMayBeAlive?: boolean;
     }
-  /** Followers have answered these heartbeats, which brought no news. */
+  /** Followers have answered these heartbeats in the leader's place, since they reported no change. */
   | { readonly kind: 'keepalives'; readonly keepalives: readonly Keepalive[] }
-  /** A follower that answers workers for an unreachable leader had contact with these machines, so long ago. */
+  /**
+   * A follower that answers workers for an unreachable leader had contact with these machines, `ageMs` milliseconds
+   * ago.
+   */
   | { readonly kind: 'machinesRelayed'; readonly machines: readonly string[]; readonly ageMs: number }
-  /** Leads no more, for this reason. */
+  /** Ends this controller's leadership, for this reason. */
   | { readonly kind: 'resign'; readonly reason: string }
-  /** A peer has seen this fencing token. */
+  /** A peer has reported this fencing token; a leader with a lower one resigns. */
   | { readonly kind: 'higherTokenSeen'; readonly token: number }
-  /** A read sent at this time has proved the leader's view of the jobs. */
+  /** A read sent at this time has confirmed that the leader's view of the jobs is current. */
   | { readonly kind: 'viewConfirmed'; readonly sentAt: number }
   /** A job has been accepted. */
   | { readonly kind: 'jobAdded'; readonly job: Versioned<JobSpec> }
-  /** The record of a live job is gone: it has ended. */
+  /** The record of a live job has been removed: the job has ended. */
   | { readonly kind: 'jobRemoved'; readonly id: string }
-  /** The live jobs read anew, complete as of the revision. */
+  /** The complete list of live jobs as of the revision; it replaces the earlier view. */
   | { readonly kind: 'jobsReplaced'; readonly jobs: readonly Versioned<JobSpec>[]; readonly revision: number }
-  /** How dependencies stand: their committed end, still live, never accepted, or no answer. */
+  /**
+   * The states of dependencies, by job id: the record of the end, `live`, `none` (no such job was accepted), or
+   * `unknown` (no answer, or an unreadable record).
+   */
   | {
       readonly kind: 'dependenciesResolved';
       readonly found: ReadonlyMap<string, EndedRecord | 'live' | 'none' | 'unknown'>;
     }
-  /** Every controller reads what this version writes: the record layout changes to this one. */
+  /** Every controller can read the records of this version: changes to its record layout. */
   | { readonly kind: 'adoptLayout'; readonly layout: RecordLayout }
-  /** The outcome of the commit of this id. */
+  /** The outcome of the commit with this id. */
   | { readonly kind: 'committed'; readonly id: number; readonly outcome: CommitOutcome }
-  /** What a reconciliation has read; null: there was no answer. */
+  /** The records that a reconciliation has read; null: the key-value store did not answer. */
   | { readonly kind: 'reconciled'; readonly found: ReconciledRecords | null }
   /** The cloud's machine types. */
   | { readonly kind: 'catalog'; readonly types: readonly MachineType[] }
-  /** The cloud's list of machines, asked for at `askedAt`. */
+  /** The cloud's list of machines, requested at `askedAt`. */
   | { readonly kind: 'machinesListed'; readonly askedAt: number; readonly machines: readonly ListedMachine[] }
-  /** The outcome of a request for machines: the names of those that come, or why there are none. */
+  /** The outcome of a provisioning request: the names of the new machines, or why there are none. */
   | {
       readonly kind: 'provisioned';
       readonly requestId: string;
@@ -122,27 +131,27 @@
   /** The outcome of a request to terminate machines. */
   | { readonly kind: 'terminated'; readonly machines: readonly string[]; readonly ok: boolean };
 
-/** The command of a kind. */
+/** The type of the commands of one kind. */
 export type CommandOf<Kind extends Command['kind']> = Extract<Command, { readonly kind: Kind }>;
 
 /** The answer to a heartbeat. */
 export type Reply =
-  /** The leader's fencing token, and what the worker is to do. */
+  /** The leader's fencing token, and the commands for the worker. */
   | { readonly kind: 'commands'; readonly token: number; readonly commands: readonly WorkerCommand[] }
-  /** This controller may not answer: the worker asks another. */
+  /** This controller may not answer: the worker has to try another controller. */
   | { readonly kind: 'unable' };
 
-/** What is to be carried out after a step, in order. */
+/** An action to be carried out after a step; the effects of a step are carried out in order. */
 export type Effect =
-  /** Answers the heartbeat that waits for the reply of this id. */
+  /** Answers the heartbeat whose sender waits for the reply with this id. */
   | { readonly kind: 'reply'; readonly reply: number; readonly body: Reply }
   /** Sends a transaction; answered by `committed`. */
   | { readonly kind: 'commit'; readonly id: number; readonly transaction: Transaction }
-  /** Reads these jobs, by id, and chunks, by key; answered by `reconciled`. */
+  /** Reads the records of these jobs (ids) and chunks (keys); answered by `reconciled`. */
   | { readonly kind: 'reconcile'; readonly jobs: readonly string[]; readonly chunks: readonly string[] }
-  /** Looks up how these jobs stand; answered by `dependenciesResolved`. */
+  /** Looks up the states of these jobs; answered by `dependenciesResolved`. */
   | { readonly kind: 'resolveDependencies'; readonly ids: readonly string[] }
-  /** Calls a worker directly; answered by `directAnswer`, if at all. */
+  /** Calls a worker directly; answered by `directAnswer` if the worker answers with a heartbeat. */
   | {
       readonly kind: 'sendCommands';
       readonly machine: string;
@@ -164,9 +173,9 @@
     }
   /** Asks the cloud to terminate machines; answered by `terminated`. */
   | { readonly kind: 'terminate'; readonly machines: readonly string[] }
-  /** Saves the demand for the next leader; its outcome does not matter. */
+  /** Saves the demand history for the next leader. A failed write is not retried: the next save replaces it. */
   | { readonly kind: 'saveDemandHistory'; readonly transaction: Transaction }
-  /** Followers are to forward the next heartbeats of these machines: their answers have to carry commands. */
+  /** Requests followers to forward the next heartbeats of these machines: the answers have to carry commands. */
   | { readonly kind: 'attention'; readonly machines: readonly string[] }
   /** The leadership has ended. */
   | { readonly kind: 'steppedDown'; readonly reason: string }
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -1,32 +1,32 @@
-/** The service's time constants. */
+/** Timeouts and intervals of the service. */
 
-/** All in milliseconds, each a ratio to a figure of the settings. */
+/** Timeouts and intervals in milliseconds, each derived as a ratio of a value in the settings. */
 export interface Timing {
   /** Time to live of the leader's lease in the key-value store. */
   readonly leaderLeaseMs: number;
   /** Time between two renewals of that lease. */
   readonly renewIntervalMs: number;
-  /** How long a read that proves the leader's view lets it answer workers. */
+  /** How long a leader may answer workers after a read that confirms its view of the jobs. */
   readonly authorityWindowMs: number;
-  /** How long a worker runs on without an answer to its heartbeats. */
+  /** How long a worker keeps its tasks running without an answer to its heartbeats. */
   readonly workerLeaseMs: number;
   /** Longest time between two heartbeats of a worker. */
   readonly maxHeartbeatIntervalMs: number;
-  /** A machine silent for longer is terminated in any case. */
+  /** A machine that has reported before and is silent for longer is terminated, unless its zone is partitioned. */
   readonly silenceTimeoutMs: number;
-  /** One silent for longer is terminated while most others report. */
+  /** Such a machine is terminated after this shorter silence while most others report. */
   readonly shortSilenceTimeoutMs: number;
-  /** How long tasks of a cancelled job may run on, by the settings. */
+  /** How long tasks of a cancelled job may keep running, as set in the settings. */
   readonly cancelTimeoutMs: number;
-  /** Longest wait of one request that watches the key-value store. */
+  /** Maximum duration of one watch request to the key-value store. */
   readonly watchTimeoutMs: number;
   /** Timeout of any other request to the key-value store. */
   readonly storeTimeoutMs: number;
   /** Time between two ticks, at which due work is done. */
   readonly tickMs: number;
-  /** How long a machine has to accept a probe's connection. */
+  /** Time within which a machine has to accept a probe's connection. */
   readonly probeTimeoutMs: number;
-  /** How long an exit may wait to be written together with others of its job. */
+  /** How long a task exit may wait to be written together with others of its job. */
   readonly exitBatchDelayMs: number;
   /** How long a follower collects heartbeats before it forwards them. */
   readonly forwardBatchDelayMs: number;
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -1,13 +1,16 @@
-/** The terms the whole service speaks in. The wire's names stay in `wire/`. */
+/** Types that the whole service shares. Names that differ on the wire are only used in `wire/`. */
 
-/** Production, high, normal, low. */
+/** 0: production, 1: high, 2: normal, 3: low. */
 export type Priority = 0 | 1 | 2 | 3;
 
-/** An array's tasks are placed one by one, a gang's all at once or none; a service's run until it is cancelled. */
+/**
+ * Tasks of an array are placed one by one; those of a gang all together or not at all. Tasks of a service run until the
+ * job is cancelled.
+ */
 export type JobForm = 'array' | 'gang' | 'service';
 
 /**
- * A job as its user submitted it. It is stored as it stands, so the names of its fields are stored names.
+ * A job as its user submitted it. It is stored in this form, so the names of its fields are names of stored data.
  * `…S`: seconds, `…Gb`: gigabytes.
  */
 export interface JobSpec {
@@ -33,7 +36,7 @@
   readonly deadlineS: number | null;
   /** Epoch milliseconds of its submission. */
   readonly submittedAt: number;
-  /** Ids of the jobs that it depends on: they have to be done before any of its tasks starts; absent: none. */
+  /** Ids of the jobs that it depends on, which have to be done before any of its tasks starts; absent: none. */
   readonly awaits?: readonly string[];
 }
 
@@ -51,19 +54,19 @@
   readonly zones: readonly string[];
 }
 
-/** Amounts of a machine: free, taken or asked for. */
+/** Amounts of resources: free, allocated or requested. */
 export interface Resources {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** Amounts that are not changed. */
+/** Amounts of resources that are only read. */
 export type ResourceRequest = Readonly<Resources>;
 
-/** What a worker does with a task. */
+/** Stage of a task on its worker. */
 export type TaskStage = 'fetching' | 'running' | 'saving' | 'exited';
-/** Why a task has exited, as its worker tells. */
+/** Why a task has exited, as reported by its worker. */
 export type ExitReason = 'done' | 'stopped' | 'error' | 'no_room' | 'busy' | 'unknown';
 
 /** The status of a task in a heartbeat. */
@@ -83,9 +86,9 @@
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Grows whenever the worker begins anew, with none of the tasks of the epoch before. */
+  /** Increases whenever the worker starts over, without any task of the previous epoch. */
   readonly agentEpoch: number;
-  /** Grows with each heartbeat of the epoch. */
+  /** Increases with each heartbeat of the epoch. */
   readonly sequence: number;
   /** The highest fencing token that the worker has seen. */
   readonly token: number;
@@ -94,7 +97,7 @@
   readonly tasks: readonly ReportedTask[];
 }
 
-/** What a worker is to do with a task. */
+/** A command to a worker about one task. */
 export type WorkerCommand =
   | { readonly op: 'start'; readonly job: string; readonly task: number; readonly attempt: number }
   | {
@@ -118,7 +121,7 @@
   readonly ageS: number;
 }
 
-/** Where a task has been put: one attempt, on one machine, in one of its agent epochs. */
+/** The placement of a task: one attempt, on one machine, in one agent epoch of its worker. */
 export interface Claim {
   readonly attempt: number;
   readonly machine: string;
@@ -127,7 +130,7 @@
   readonly createdAt: number;
 }
 
-/** What the key-value store holds of a run of consecutive tasks of one job. */
+/** The stored record of a run of consecutive tasks of one job. */
 export interface ChunkRecord {
   readonly team: string;
   readonly cpus: number;
@@ -135,16 +138,16 @@
   readonly memoryGb: number;
   /** Tasks done, one bit each, base64. */
   readonly done: string;
-  /** Highest attempt made, by task, for tasks without a claim. */
+  /** Number of the latest attempt, by task, for tasks without a claim. */
   readonly attempts: Readonly<Record<string, number>>;
   /** By task. */
   readonly claims: Readonly<Record<string, Claim>>;
 }
 
-/** How a job ended; the names are those stored. */
+/** How a job ended; the values are stored under these names. */
 export type FinalStage = 'done' | 'withdrawn';
 
-/** The record of a job's end; the names are those stored. */
+/** The record of a job's end; its fields are stored under these names. */
 export interface EndedRecord {
   readonly stage: FinalStage;
   readonly tasks: number;
@@ -159,14 +162,14 @@
   readonly modRevision: number;
 }
 
-/** That a key has not changed since this revision. */
+/** The condition that a key has not changed since this revision. */
 export interface Precondition {
   readonly key: string;
   /** 0: the key must not exist. */
   readonly modRevision: number;
 }
 
-/** A change of a key; a key put with a `lease`, by its id, goes with that. */
+/** A change of a key. A key put with a `lease`, the id of one, is deleted when that lease ends. */
 export type Mutation =
   { readonly put: string; readonly value: unknown; readonly lease?: number } | { readonly remove: string };
 
--- a/src/core/values.ts
+++ b/src/core/values.ts
@@ -1,6 +1,6 @@
-/** Reads JSON that others wrote: typed accessors that never trust a shape. */
+/** Parsing and type guards for JSON that other processes have written, whose shape is never trusted. */
 
-/** A JSON object of which no field is known. */
+/** A JSON object whose fields are not validated yet. */
 export type Json = Readonly<Record<string, unknown>>;
 
 /** The value as a JSON object; null if it is not one. */
@@ -8,7 +8,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value) ? (value as Json) : null;
 }
 
-/** The value that a text stands for; undefined if it is not JSON. */
+/** Parses a JSON text; undefined if it is not valid JSON. */
 export function parseJson(source: string): unknown {
   try {
     return JSON.parse(source) as unknown;
@@ -17,14 +17,14 @@
   }
 }
 
-/** Whether a value is a text that is not empty. */
+/** Whether a value is a non-empty string. */
 export const isText = (value: unknown): value is string => typeof value === 'string' && value.length > 0;
 
-/** Whether a value is a whole number, 0 or more. */
+/** Whether a value is a non-negative safe integer. */
 export const isCount = (value: unknown): value is number =>
   typeof value === 'number' && Number.isSafeInteger(value) && value >= 0;
 
-/** Whether a value is a finite number, 0 or more. */
+/** Whether a value is a finite, non-negative number. */
 export const isAmount = (value: unknown): value is number =>
   typeof value === 'number' && Number.isFinite(value) && value >= 0;
 
