--- a/src/core/attention.ts
+++ b/src/core/attention.ts
@@ -1,7 +1,7 @@
 /**
  * Machines that need the leader's attention: the answer to their next heartbeat has to carry a command. Followers
  * may answer heartbeats in the leader's place only for other machines, so every change that could make an answer
- * carry a command is noted here when it happens. A machine leaves the set with the answer to its heartbeat.
+ * carry a command is recorded here when it happens. A machine leaves the set with the answer to its heartbeat.
  */
 import { isDone, type LiveClaim, type Machine } from './model.js';
 import type { CoreState } from './state.js';
@@ -12,12 +12,12 @@
   return !startSent || job.finalStage !== null || stopRequested || isDone(job, task);
 }
 
-/** Notes that the next heartbeat of this machine has to reach the leader; nothing if the machine is not known. */
+/** Marks that the next heartbeat of this machine has to reach the leader; does nothing for an unknown machine. */
 export function needAttention(state: CoreState, machineName: string): void {
   const machine = state.machines.get(machineName);
   if (machine === undefined || state.attention.has(machine)) return;
   state.attention.add(machine);
-  state.newAttention.push(machine.name);
+  state.newAttentionNames.push(machine.name);
 }
 
 /** Brings the set up to date after an answer. Returns whether the machine's next heartbeat has to reach the leader. */
--- a/src/core/command-handlers.ts
+++ b/src/core/command-handlers.ts
@@ -1,4 +1,4 @@
-/** What each kind of command does to the state; what follows from a whole batch is done in `step`. */
+/** Applies each kind of command to the state. Work that follows from a whole batch of commands is done in `step`. */
 import { settleProvisioning } from './autoscaling/provisioning.js';
 import type { Command, CommandOf, Effect } from './effects.js';
 import { applyKeepalive } from './fleet/keepalives.js';
@@ -6,7 +6,7 @@
 import { applyListing, removeTerminated } from './fleet/cloud-listing.js';
 import { detectFailures } from './fleet/failure-detection.js';
 import { settleProbe } from './fleet/probes.js';
-import { reconsiderAwaitingCommit } from './heartbeat-answers.js';
+import { recheckAwaitingCommit } from './heartbeat-answers.js';
 import { receiveDirectAnswer, receiveHeartbeat } from './heartbeat-intake.js';
 import { settleDependencyQuery } from './jobs/dependencies.js';
 import { becomeLeader, confirmView, resign, resignIfSuperseded } from './leadership.js';
@@ -33,10 +33,11 @@
 
 function replaceJobs(state: CoreState, { jobs, revision }: CommandOf<'jobsReplaced'>): void {
   if (state.leadership === null) return;
-  const live = new Set(jobs.map((job) => job.value.id));
+  const liveIds = new Set(jobs.map((job) => job.value.id));
   for (const job of jobs) addJob(state, job);
-  // A job accepted after the read is not in it.
-  for (const [id, job] of state.jobs) if (job.modRevision <= revision && !live.has(id)) removeJob(state, id);
+  // A job accepted after the read is missing from the list, but its revision is higher.
+  for (const [id, job] of state.jobs)
+    if (job.modRevision <= revision && !liveIds.has(id)) removeJob(state, id);
 }
 
 function applyCommitOutcome(
@@ -45,12 +46,12 @@
   now: Now,
   effects: Effect[],
 ): void {
-  reconsiderAwaitingCommit(state);
+  recheckAwaitingCommit(state);
   if (settleCommit(state, id, outcome, now, effects) === 'deposed')
     resign(state, 'the term has been raised', effects);
 }
 
-function noteRelayedMachines(
+function recordRelayedMachines(
   state: CoreState,
   { machines, ageMs }: CommandOf<'machinesRelayed'>,
   now: Now,
@@ -104,7 +105,7 @@
   jobsReplaced: replaceJobs,
   committed: applyCommitOutcome,
   reconciled: (state, { found }, now, effects) => settleReconciliation(state, found, now, effects),
-  machinesRelayed: noteRelayedMachines,
+  machinesRelayed: recordRelayedMachines,
   keepalives: (state, { keepalives }, now) => {
     for (const keepalive of keepalives) applyKeepalive(state, keepalive, now);
   },
@@ -120,9 +121,9 @@
   terminated: (state, command, _now, effects) => settleTermination(state, command, effects),
 };
 
-/** Applies one command to the state, and adds what follows from it at once to `effects`. */
+/** Applies one command to the state and appends its immediate effects to `effects`. */
 export function applyCommand(state: CoreState, command: Command, now: Now, effects: Effect[]): void {
-  // The table gives each kind its own handler; which one it is, the type of `command` does not show.
+  // TypeScript cannot relate `command.kind` to its handler here; the type of the table ensures that they match.
   const handle = HANDLERS[command.kind] as Handler<Command['kind']>;
   handle(state, command, now, effects);
 }
--- a/src/core/create-state.ts
+++ b/src/core/create-state.ts
@@ -1,4 +1,4 @@
-/** The scheduling state of a controller as it begins, and as it is after leading. */
+/** Creates the scheduling state of a controller, and clears it when a leadership begins or ends. */
 import { CapacityIndex } from './placement/capacity-index.js';
 import type { CoreState } from './state.js';
 import type { Priority } from './types.js';
@@ -6,7 +6,7 @@
 
 const PRIORITIES: readonly Priority[] = [0, 1, 2, 3];
 
-/** The state of a controller that knows nothing yet. `node`: the name of its node. */
+/** The initial state of a controller. `node`: the name of its node. */
 export const createState = (node: string, config: CoreConfig): CoreState => ({
   node,
   config,
@@ -21,7 +21,7 @@
   pendingHeartbeats: new Set(),
   answerable: [],
   attention: new Set(),
-  newAttention: [],
+  newAttentionNames: [],
   unexpected: [],
   silentZones: new Map(),
   isOverloaded: false,
@@ -68,8 +68,8 @@
 });
 
 /**
- * Drops everything a leader knew. Kept is what does not depend on who leads: machine types, how jobs ended,
- * run-time ratios, and counters that must not go back.
+ * Drops the state of a leadership. State that does not depend on which controller leads is kept: machine types,
+ * outcomes of jobs, run-time ratios, and counters that must not decrease.
  */
 export function forgetLeadership(state: CoreState): void {
   state.leadership = null;
@@ -79,7 +79,7 @@
   state.pendingHeartbeats.clear();
   state.answerable.length = 0;
   state.attention.clear();
-  state.newAttention.length = 0;
+  state.newAttentionNames.length = 0;
   state.unexpected.length = 0;
   state.silentZones.clear();
   state.health = null;
--- a/src/core/heartbeat-answers.ts
+++ b/src/core/heartbeat-answers.ts
@@ -1,9 +1,9 @@
 /**
- * Answers the heartbeats that workers, or followers in their place, wait for.
+ * Answers pending heartbeats, which workers have sent or followers have forwarded.
  *
- * A heartbeat of which the answer would carry a start waits for the commit of that start's claim. It is considered
- * again when a commit of its machine's tasks is settled, at a tick, and once it has waited the longest time
- * allowed; so the cost follows what has happened, not how many wait.
+ * A heartbeat whose answer would carry a start waits for the commit of that start's claim. It is checked again when
+ * a commit of its machine's tasks is settled, at a tick, after a reconciliation, and once it has waited for the
+ * maximum reply delay. Between ticks the cost thus depends on the number of changes, not of pending heartbeats.
  */
 import type { Effect } from './effects.js';
 import { answerHeartbeat, awaitsCommit } from './fleet/worker-commands.js';
@@ -12,33 +12,36 @@
 import { chunkRange } from './persistence/chunks.js';
 import { hasAuthority, type CoreState } from './state.js';
 
-/** Answers the heartbeat that a machine waits with, if any, by "unable": the worker asks another controller. */
+/** Answers a machine's pending heartbeat, if any, with `unable`: the worker has to try another controller. */
 export function refuseHeartbeat(state: CoreState, machine: Machine, effects: Effect[]): void {
   const pending = takePendingHeartbeat(state, machine);
   if (pending !== null) effects.push({ kind: 'reply', reply: pending.reply, body: { kind: 'unable' } });
 }
 
-/** Has the pending heartbeat of a claim's machine considered again in this step. */
-function reconsider(state: CoreState, claim: LiveClaim | undefined): void {
+/** Schedules the pending heartbeat of a claim's machine to be checked again in this step. */
+function scheduleRecheck(state: CoreState, claim: LiveClaim | undefined): void {
   const machine = claim && state.machines.get(claim.machine);
   if (machine !== undefined && machine.pendingHeartbeat !== null) state.answerable.push(machine);
 }
 
 /**
- * Has the heartbeats considered again that may wait for the commit under way: those of machines with tasks that it
- * tells of. Considering all that wait at every commit would cost commits times machines.
+ * Schedules a check of the heartbeats that may wait for the commit in flight: those of machines with tasks that the
+ * commit covers. Checking every pending heartbeat at every commit would cost commits times machines.
  */
-export function reconsiderAwaitingCommit(state: CoreState): void {
+export function recheckAwaitingCommit(state: CoreState): void {
   const { chunks = [], completing = [], cancelling = [] } = state.commit ?? {};
   for (const { job, chunk } of chunks) {
     const [first, end] = chunkRange(state, job, chunk);
-    for (let task = first; task < end; task += 1) reconsider(state, job.claims.get(task));
+    for (let task = first; task < end; task += 1) scheduleRecheck(state, job.claims.get(task));
   }
   for (const job of [...completing, ...cancelling])
-    for (const claim of job.claims.values()) reconsider(state, claim);
+    for (const claim of job.claims.values()) scheduleRecheck(state, claim);
 }
 
-/** Answers a machine's pending heartbeat unless it is better to wait for a commit. `isOverdue`: waits no longer. */
+/**
+ * Answers a machine's pending heartbeat unless it should wait for a commit. `isOverdue`: it has waited for the maximum
+ * reply delay, and is answered in any case.
+ */
 function answerIfReady(
   state: CoreState,
   machine: Machine,
@@ -51,12 +54,15 @@
   else if (isOverdue || !awaitsCommit(state, machine)) answerHeartbeat(state, machine, effects);
 }
 
-/** Answers the heartbeats that nothing holds up any more. `all`: every one that waits is considered. */
-export function answerHeartbeats(state: CoreState, now: Now, all: boolean, effects: Effect[]): void {
+/**
+ * Answers the pending heartbeats that need not wait any longer. `checkAll`: all of them are checked, not only those
+ * scheduled for this step.
+ */
+export function answerHeartbeats(state: CoreState, now: Now, checkAll: boolean, effects: Effect[]): void {
   const toConsider = state.answerable.splice(0);
-  for (const machine of all ? [...state.pendingHeartbeats] : toConsider)
+  for (const machine of checkAll ? [...state.pendingHeartbeats] : toConsider)
     answerIfReady(state, machine, false, now, effects);
-  // Pending heartbeats stand in the order of arrival: the first that may wait on ends the pass.
+  // Pending heartbeats are in the order of arrival: the loop ends at the first that may wait longer.
   for (const machine of state.pendingHeartbeats) {
     const { pendingHeartbeat } = machine;
     const waitedMs = pendingHeartbeat === null ? Infinity : now.monotonicMs - pendingHeartbeat.since;
--- a/src/core/heartbeat-intake.ts
+++ b/src/core/heartbeat-intake.ts
@@ -1,4 +1,4 @@
-/** Takes in heartbeats, whether a worker sent them of itself or as the answer to a direct call. */
+/** Receives heartbeats, both those that workers send by themselves and those that answer a direct call. */
 import type { CommandOf, Effect } from './effects.js';
 import { getOrCreateMachine } from './fleet/machines.js';
 import { applyHeartbeat } from './fleet/heartbeats.js';
@@ -8,13 +8,16 @@
 import type { Now } from './model.js';
 import { hasAuthority, type CoreState } from './state.js';
 
-/** A heartbeat counts from its arrival at a controller, not from when the leader takes it in. */
+/** Dates a forwarded heartbeat from its arrival at the follower, not from its processing by the leader. */
 function accountForDelay(state: CoreState, machineName: string, ageMs: number): void {
   const machine = state.machines.get(machineName);
   if (machine?.lastHeartbeatAt != null) machine.lastHeartbeatAt -= ageMs;
 }
 
-/** Takes in a heartbeat that waits for an answer; it is refused at once or held until the end of the step. */
+/**
+ * Processes a heartbeat whose sender waits for an answer. It is either refused immediately or held as pending, to be
+ * answered at the end of this step or later.
+ */
 export function receiveHeartbeat(
   state: CoreState,
   command: CommandOf<'heartbeat'>,
@@ -23,21 +26,21 @@
 ): void {
   const { heartbeat, reply, ageMs = 0 } = command;
   resignIfSuperseded(state, `worker ${heartbeat.machine}`, heartbeat.token, effects);
-  // Its status is true whether or not this leader has the authority to answer. It is taken in also through an
-  // outage of the key-value store, at whose end the whole fleet would seem silent otherwise.
-  const isNews = state.leadership !== null && applyHeartbeat(state, heartbeat, now, effects, false);
-  if (isNews) accountForDelay(state, heartbeat.machine, ageMs);
-  if (!isNews || !hasAuthority(state, now)) {
+  // Its status is valid whether or not this leader has the authority to answer. It is also applied during an outage
+  // of the key-value store: otherwise the whole fleet would seem silent when the outage ends.
+  const isNew = state.leadership !== null && applyHeartbeat(state, heartbeat, now, effects, false);
+  if (isNew) accountForDelay(state, heartbeat.machine, ageMs);
+  if (!isNew || !hasAuthority(state, now)) {
     effects.push({ kind: 'reply', reply, body: { kind: 'unable' } });
     return;
   }
   const machine = getOrCreateMachine(state, heartbeat.machine, now);
-  // The worker has given up on its earlier heartbeat, and drops what would answer it.
+  // The worker has abandoned its previous heartbeat, and discards an answer to it.
   refuseHeartbeat(state, machine, effects);
   holdHeartbeat(state, machine, reply, now);
 }
 
-/** Takes in the heartbeat with which a worker answered a direct call. */
+/** Processes the heartbeat with which a worker answered a direct call. */
 export function receiveDirectAnswer(
   state: CoreState,
   { heartbeat }: CommandOf<'directAnswer'>,
--- a/src/core/leadership.ts
+++ b/src/core/leadership.ts
@@ -1,4 +1,4 @@
-/** Begin, proof and end of this controller's leadership, as far as its scheduling state goes. */
+/** Begins, confirms and ends this controller's leadership in its scheduling state. */
 import { restoreDemandHistory } from './autoscaling/demand-history.js';
 import { forgetLeadership } from './create-state.js';
 import type { CommandOf, Effect } from './effects.js';
@@ -23,15 +23,15 @@
 }
 
 /**
- * Steady milliseconds from which a new leader may provision: the cloud's list may not show yet what the leader
- * before has provisioned. The very first leader has none before it.
+ * Monotonic time, in milliseconds, from which a new leader may provision: the cloud's list may not show yet the
+ * machines that the previous leader has provisioned. The leader of term 1 has no predecessor, so it need not wait.
  */
 function firstProvisioningAt(state: CoreState, term: number, now: Now): number {
   const waitMs = term === 1 ? 0 : 2 * state.config.timing.maxHeartbeatIntervalMs;
   return now.monotonicMs + waitMs;
 }
 
-/** Begins to lead with what the key-value store holds; whatever was known before is dropped. */
+/** Begins a leadership with the records of the key-value store; the state of any earlier leadership is dropped. */
 export function becomeLeader(
   state: CoreState,
   command: CommandOf<'becomeLeader'>,
@@ -46,7 +46,7 @@
   state.writeBudget.at = now.monotonicMs;
   state.nextRequest = 1;
   state.provisionNotBefore = firstProvisioningAt(state, command.term, now);
-  // In the order of arrival, so that a job comes after those that it depends on.
+  // Jobs are added in the order of arrival, so that each comes after the jobs that it depends on.
   const byArrival = [...command.jobs].sort((a, b) => a.modRevision - b.modRevision);
   for (const job of byArrival) addJob(state, job);
   loadChunks(state, command.chunks, now, (name) => getOrCreateMachine(state, name, now));
@@ -59,7 +59,7 @@
   });
 }
 
-/** Takes in a read, sent at `sentAt` (steady milliseconds), that proved the leader's view of the jobs. */
+/** Applies a read, sent at `sentAt` (monotonic time in milliseconds), that confirmed the leader's view of the jobs. */
 export function confirmView(state: CoreState, sentAt: number): void {
   const { leadership } = state;
   if (leadership === null) return;
@@ -68,7 +68,7 @@
   leadership.viewConfirmedAt = Math.max(leadership.viewConfirmedAt, sentAt);
 }
 
-/** Ends the leadership, if there is one: pending heartbeats are refused, and what the leader knew is dropped. */
+/** Ends the leadership, if there is one: pending heartbeats are refused, and the leader's state is dropped. */
 export function resign(state: CoreState, reason: string, effects: Effect[]): void {
   if (state.leadership === null) return;
   for (const machine of [...state.pendingHeartbeats]) refuseHeartbeat(state, machine, effects);
@@ -76,13 +76,13 @@
   effects.push({ kind: 'steppedDown', reason });
 }
 
-/** Resigns if somebody (`witness`) has seen a higher fencing token than this leader's: there is a later one. */
+/** Resigns if `observer` has seen a higher fencing token than this leader's: a later leader has been elected. */
 export function resignIfSuperseded(
   state: CoreState,
-  witness: string,
+  observer: string,
   token: number,
   effects: Effect[],
 ): void {
   if (state.leadership !== null && token > state.leadership.term)
-    resign(state, `${witness} has seen token ${token}`, effects);
+    resign(state, `${observer} has seen token ${token}`, effects);
 }
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -1,4 +1,4 @@
-/** The scheduling state of a controller. It has one owner, and only `step` changes it. */
+/** The scheduling state of a controller. It has a single owner, and only `step` changes it. */
 import type { CapacityIndex } from './placement/capacity-index.js';
 import type { MachineType, Priority } from './types.js';
 import type {
@@ -21,32 +21,35 @@
 } from './model.js';
 
 /**
- * Whether a leader's view is fresh enough to act on. What a leader that is cut off asks of the cloud may be carried
- * out much later, on machines that its successor uses; and what it would start may have been cancelled.
+ * Whether a leader's view is fresh enough to act on. The cloud may carry out a request of a partitioned leader much
+ * later, on machines that its successor uses; and a task that it would start may have been cancelled.
  */
 export function hasFreshView({ leadership, monotonicMs, config }: CoreState): boolean {
   return leadership !== null && monotonicMs - leadership.viewConfirmedAt < config.timing.leaderLeaseMs;
 }
 
-/** Whether a leader may answer workers: a recent read has proved its view, see `Timing.authorityWindowMs`. */
+/** Whether a leader may answer workers: a recent read has confirmed its view, see `Timing.authorityWindowMs`. */
 export function hasAuthority({ leadership }: CoreState, now: Now): boolean {
   return leadership !== null && now.monotonicMs < leadership.authorityUntil;
 }
 
-/** All that a controller knows as leader. Times named `…At`, `…Until` and `…NotBefore` are in steady milliseconds. */
+/**
+ * The state that a controller holds as the leader. Times named `…At`, `…Until` and `…NotBefore`, and those of `at`,
+ * `since` and `notBefore`, are in milliseconds of the monotonic clock.
+ */
 export interface CoreState {
   /** Name of this controller's node. */
   readonly node: string;
   readonly config: CoreConfig;
-  /** Steady milliseconds of this step. */
+  /** Monotonic time of this step, in milliseconds. */
   monotonicMs: number;
   /** Null: this controller does not lead. */
   leadership: Leadership | null;
 
-  // What there is.
+  // Jobs and machines.
   /** By name, as of the latest catalog. */
   machineTypes: ReadonlyMap<string, MachineType>;
-  /** Live jobs, and ended ones of which records are left; by id. */
+  /** By id: live jobs, and ended jobs that still have claims or chunk records. */
   readonly jobs: Map<string, JobState>;
   /** By name. */
   readonly machines: Map<string, Machine>;
@@ -54,112 +57,118 @@
   nextMachine: number;
   /** Names of terminated machines, oldest first; bounded. */
   readonly terminatedMachines: Set<string>;
-  /** How jobs ended, as read from or written to the key-value store; bounded. */
+  /** By id: how jobs ended, as read from or written to the key-value store; bounded. */
   readonly finalOutcomes: Map<string, FinalOutcome>;
 
   // Heartbeats.
   /** Machines whose heartbeat waits for an answer, in the order of arrival. */
   readonly pendingHeartbeats: Set<Machine>;
-  /** Of these, those to be considered in this step: the heartbeat is new, or what it waits for may be settled. */
+  /**
+   * Machines whose pending heartbeat is to be checked in this step: it is new, or the commit that it waits for may be
+   * settled.
+   */
   readonly answerable: Machine[];
-  /** Machines whose next answer may have to carry a command. */
+  /** Machines whose next heartbeat answer may have to carry a command. */
   readonly attention: Set<Machine>;
-  /** Names of those that came to be so in this step. */
-  readonly newAttention: string[];
-  /** Machines that have reported since the latest tick without being known. */
+  /** Names of the machines that `needAttention` added to them in this step. */
+  readonly newAttentionNames: string[];
+  /** Names of the machines that have reported since the latest tick and were unknown before. */
   readonly unexpected: string[];
 
   // Health.
-  /** Zones of which no machine reports, and since when, as far as known. */
+  /** Zones in which no machine reports, and since when, as far as known. */
   readonly silentZones: Map<string, number>;
-  /** This controller is behind its timers, as of the latest tick. */
+  /** The timers of this controller run late, as of the latest tick. */
   isOverloaded: boolean;
-  /** How many machines report, as of the latest tick; null: not counted yet. */
+  /** Counts of running and reporting machines, as of the latest tick; null: not counted yet. */
   health: HealthCounts | null;
 
-  // Writing back.
-  /** Follows what every controller can read. */
+  // Commits to the key-value store.
+  /** The record layout in use; a new one is adopted once every controller can read it. */
   layout: RecordLayout;
-  /** Tasks of a chunk whose key tells no width. */
+  /** Number of tasks in a chunk whose key does not contain the chunk width. */
   legacyChunkTasks: number;
-  /** The layout to change to, once no write is under way; null: none. */
+  /** The layout to adopt once no commit is in flight; null: none. */
   pendingLayout: RecordLayout | null;
-  /** Jobs of which something may have to be written, by what for; those waiting longest first. */
+  /** Jobs with changes that may have to be written, by write reason; those that have waited longest come first. */
   readonly dirtyJobs: Readonly<Record<WriteReason, Set<JobState>>>;
-  /** The commit under way; null: none. */
+  /** The commit in flight; null: none. */
   commit: CommitInFlight | null;
   /** Id of the next commit. */
   nextCommit: number;
   commitNotBefore: number;
-  /** Jobs that are being reconciled, by id; null: none, and commits may be made. */
+  /** Ids of the jobs that are being reconciled, during which no commit is made; null: no reconciliation. */
   pendingReconciliation: readonly string[] | null;
-  /** Each job's changes are written by themselves: some of them were rejected. */
+  /** Each transaction holds the changes of one job: even one of the minimum size was rejected. */
   writesJobsSingly: boolean;
-  /** Mutations that may be written now (`level`), as of `at`. */
+  /** Number of mutations that may be written (`level`), as of the time `at`. */
   readonly writeBudget: { level: number; at: number };
 
   // Dependencies.
-  /** Jobs that wait, by the id of each job that they depend on. */
+  /** By job id: the jobs that wait for this job to be done. */
   readonly dependents: Map<string, Set<JobState>>;
-  /** Dependencies whose end has to be read: since when that is so, and when to ask (again). */
+  /**
+   * By job id: dependencies whose outcome has to be read, the time since which that is so (`since`), and the earliest
+   * time of the next query (`notBefore`).
+   */
   readonly unresolvedDependencies: Map<string, { readonly since: number; notBefore: number }>;
-  /** Dependencies that are being looked up, by id; null: none. */
+  /** Ids of the dependencies in the query in flight; null: no query. */
   pendingDependencyQuery: readonly string[] | null;
-  /** Jobs to be withdrawn because a dependency was, and since when. */
+  /** Jobs to be cancelled because a dependency was cancelled, and since when. */
   readonly cancelPending: Map<JobState, number>;
 
   // The queue.
   /** Jobs with tasks that wait for a machine. */
   readonly waitingJobs: Set<JobState>;
-  /** Those that came to have some since the queue was last gone through. */
+  /** Jobs that have got waiting tasks since `queue` was last updated, and are not in it. */
   readonly newlyWaitingJobs: JobState[];
-  /** The order in which waiting jobs are served, as of the latest tick, with those that joined since. */
+  /** Waiting jobs in the order in which they are served: sorted at a tick, with later jobs inserted. */
   queue: QueuePosition[];
   /** Jobs with a starvation reservation, as of the latest tick. */
   reservedJobs: readonly JobState[];
   /** Jobs within their team's guarantee, as of the latest tick. */
   readonly guaranteedJobs: Set<JobState>;
-  /** The reservation of the head of the queue; null: nothing waits for one. */
+  /** The reservation of the head job, the first job of the queue that does not fit; null: there is none. */
   head: HeadReservation | null;
 
   // Placement.
-  /** Something has changed that a pass over the queue may go by. */
+  /** Some change since the latest pass over the queue may allow tasks to be placed. */
   isPlacementDue: boolean;
-  /** When the queue was last gone through. */
+  /** Time of the latest pass over the queue. */
   lastPlacementAt: number;
-  /** Tasks that may be placed before the next tick though they could wait. */
+  /** Number of deferrable tasks (those that may not use headroom) that may still be placed before the next tick. */
   deferrablePlacements: number;
   /** Claims by the priority that their jobs were submitted with. */
   readonly claimsByPriority: ReadonlyMap<Priority, Set<LiveClaim>>;
   /** Claims that are being preempted. */
   readonly preemptedClaims: Set<LiveClaim>;
-  /** Tasks on machines or waiting, by class. */
+  /** Number of tasks that are on machines or wait, by job class. */
   readonly outstandingByClass: Map<string, number>;
-  /** What every team's tasks use that are not proven gone. */
+  /** Usage by team: of the tasks that are not proven gone from their machines. */
   readonly usageByTeam: Map<string, TeamUsage>;
   /** Machines that are believed to hold an image, by image. */
   readonly machinesByImage: Map<string, Set<Machine>>;
-  /** Machines of which something has changed that placing goes by. */
+  /** Machines with a change that affects placement, since the latest pass over the queue. */
   readonly changedMachines: Set<Machine>;
   readonly capacityIndex: CapacityIndex;
 
   // Autoscaling.
-  /** Requests for machines under way, by request id. */
+  /** Provisioning requests in flight, by request id. */
   readonly provisioningRequests: Map<string, ProvisioningRequest>;
-  /** Number of the next such request. */
+  /** Number of the next provisioning request. */
   nextRequest: number;
   provisionNotBefore: number;
-  /** Until when a kind of machine is not asked for again, by `type/zone/spot`. */
+  /** By kind of machine (type, zone, and spot or on-demand): the time until which none is requested. */
   readonly provisioningBlockedUntil: Map<string, number>;
   /** When the next plan is due. */
   nextPlanAt: number;
-  /** Names of machines that the latest plan puts waiting tasks, or headroom, on. */
+  /** Names of the machines on which the latest plan places waiting tasks or headroom. */
   readonly plannedMachines: Set<string>;
 
   // Demand.
-  /** By class. */
+  /** Demand by job class. */
   readonly demand: Map<string, Demand>;
-  /** Run time over estimate, by class, as completed tasks show it. */
+  /** Ratio of actual run time to estimate, by job class, from completed tasks. */
   readonly runTimeRatio: Map<string, number>;
   /** When the demand is to be saved next. */
   nextDemandSaveAt: number;
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -1,4 +1,4 @@
-/** One batch of commands into the state, and the effects that follow. */
+/** Applies a batch of commands to the scheduling state and returns the resulting effects. */
 import { saveDemandHistory } from './autoscaling/demand-history.js';
 import { scaleIn } from './autoscaling/scale-in.js';
 import { scaleOut } from './autoscaling/scale-out.js';
@@ -16,16 +16,16 @@
 import { chooseReserved } from './placement/starvation.js';
 import { hasFreshView, type CoreState } from './state.js';
 
-/** Of the machines that should be up, the share that has to have reported before a new leader places. */
+/** Share of the machines that should be up which must have reported before a new leader places tasks. */
 const MIN_REPORTING_SHARE = 0.5;
 
-/** Machines named in the log of unexpected reports. */
+/** Maximum number of machines named in the log line about unexpected reports. */
 const MAX_LOGGED_MACHINES = 5;
 
 /**
- * Whether enough machines have reported to a new leader for it to place on them. By the first few alone, what waits
- * would go where neither its image nor the resources for it are, and each placement holds up the heartbeats that
- * are still to come. It places in any case once `maxPlacementDelayMs` have passed.
+ * Whether enough machines have reported to a new leader for it to place tasks. If it used the first few alone, waiting
+ * tasks would be placed on machines that neither hold their images nor suit their requests, and each pass delays the
+ * heartbeats still to be received. It places tasks in any case once `maxPlacementDelayMs` have passed.
  */
 function hasEnoughReports(state: CoreState, { since }: Leadership, now: Now): boolean {
   if (now.monotonicMs >= since + state.config.policy.maxPlacementDelayMs) return true;
@@ -38,7 +38,7 @@
   );
 }
 
-/** Whether the queue is gone through in this step. Each pass holds up heartbeats, so an overloaded leader makes few. */
+/** Whether this step makes a pass over the queue. Each pass delays heartbeats, so an overloaded leader makes fewer. */
 function isPassDue(state: CoreState, isTick: boolean, now: Now): boolean {
   if (isTick) return true;
   if (!state.isPlacementDue) return false;
@@ -56,7 +56,7 @@
   place(state, now, isTick);
 }
 
-/** Adds the next transaction and the next look-up of dependencies, if they are due. */
+/** Adds the next transaction and the next dependency query, if they are due. */
 function requestStoreAccess(state: CoreState, now: Now, effects: Effect[]): void {
   const commit = nextCommit(state, now);
   if (commit !== null) effects.push(commit);
@@ -64,10 +64,10 @@
   if (ids !== null) effects.push({ kind: 'resolveDependencies', ids });
 }
 
-/** Tells followers of the machines that have come to need a command and have not been sent it in this step. */
+/** Announces to followers the machines that have come to need a command and were not sent it in this step. */
 function announceAttention(state: CoreState, effects: Effect[]): void {
-  if (state.newAttention.length === 0) return;
-  const machines = state.newAttention.splice(0).filter((name) => {
+  if (state.newAttentionNames.length === 0) return;
+  const machines = state.newAttentionNames.splice(0).filter((name) => {
     const machine = state.machines.get(name);
     return machine !== undefined && state.attention.has(machine);
   });
@@ -93,9 +93,9 @@
 }
 
 /**
- * Applies a batch of commands, then does what has become due: placing, committing, answering heartbeats and, at a
- * tick, scaling. Changes `state` in place and returns the effects to be carried out, in order. Throws only on a
- * fault of the program; the state is to be dropped then, by the command `resign`.
+ * Applies a batch of commands, then does the work that is due: placing tasks, committing, answering heartbeats and, at
+ * a tick, scaling. Changes `state` in place and returns the effects to be carried out, in order. Throws only on a bug
+ * in the program; the caller then has to drop the state with the command `resign`.
  */
 export function step(state: CoreState, commands: readonly Command[], now: Now): Effect[] {
   const effects: Effect[] = [];
@@ -112,8 +112,8 @@
   announceAttention(state, effects);
   if (!isTick) return effects;
   if (!state.isOverloaded) announceToken(state, now, effects);
-  // Placing goes by each machine as it reports. A plan waits until every machine had the time to: by half of
-  // them it would provision the rest anew.
+  // Placement uses each machine as soon as it reports. A plan waits until every machine has had time to report: if
+  // only half of them had, it would provision replacements for the others.
   const hadTimeToReport = now.monotonicMs >= leadership.since + state.config.timing.maxHeartbeatIntervalMs;
   scale(state, mayPlace && hadTimeToReport, now, effects);
   saveDemandHistory(state, now, effects);
