--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,4 @@
-/** Fleets of 8,000 machines: every limit of messages and memory is above what they need. */
+/** Fleets of 8,000 machines stay within every limit on messages, caches and memory. */
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs';
 import { createServer, Agent, request, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -38,10 +38,10 @@
 
 const FLEET = 8000;
 const NAMES = Array.from({ length: FLEET }, (_, i) => `machine-zone-a-${i + 100_000}`);
-const TIMES = timing(testSettings(0));
-/** What a version before portions takes from a peer. */
-const EARLIER_FRAME_BYTES = 64 * 1024;
-const EARLIER_NAMES = 2000;
+const TIMING = timing(testSettings(0));
+/** Limits that versions before portioned messages set to a peer: bytes of a frame, and names in a list. */
+const EARLIER_MAX_FRAME_BYTES = 64 * 1024;
+const EARLIER_MAX_NAMES = 2000;
 
 const STATUS: PeerStatus = {
   node: 'n-0',
@@ -58,8 +58,8 @@
   ...NO_OBSERVATIONS,
 };
 
-/** The parts of a version before portions that read lists; what it does not know it skips. */
-const EARLIER = protobuf.Root.fromJSON({
+/** The list fields as declared by versions before portioned messages, whose decoder skips fields that it lacks. */
+const EARLIER_TYPE = protobuf.Root.fromJSON({
   nested: {
     JobCount: { fields: { id: { type: 'string', id: 1 } } },
     Heartbeat: { fields: { machine: { type: 'string', id: 1 } } },
@@ -70,15 +70,15 @@
         attention: { rule: 'repeated', type: 'string', id: 10 },
         isSnapshot: { type: 'bool', id: 11 },
         isSharing: { type: 'bool', id: 12 },
-        provenAt: { type: 'double', id: 13 },
+        viewConfirmedAt: { type: 'double', id: 13 },
       },
     },
     PeerStatus: {
       fields: {
         node: { type: 'string', id: 1 },
         counts: { rule: 'repeated', type: 'JobCount', id: 6 },
-        hears: { rule: 'repeated', type: 'string', id: 10 },
-        provenAt: { type: 'double', id: 11 },
+        relayedMachines: { rule: 'repeated', type: 'string', id: 10 },
+        viewConfirmedAt: { type: 'double', id: 11 },
         intake: { type: 'Intake', id: 22 },
       },
     },
@@ -88,26 +88,26 @@
 interface EarlierMessage {
   readonly node: string;
   readonly counts: readonly unknown[];
-  readonly hears: readonly string[];
-  readonly provenAt: number;
+  readonly relayedMachines: readonly string[];
+  readonly viewConfirmedAt: number;
   readonly intake: {
     readonly heartbeats: readonly unknown[];
     readonly attention: readonly string[];
     readonly isSnapshot: boolean;
     readonly isSharing: boolean;
-    readonly provenAt: number;
+    readonly viewConfirmedAt: number;
   } | null;
 }
 
-/** Frames as a version before portions takes them: none may be larger than it allows. */
+/** Decodes frames as a version before portioned messages does, and asserts that none exceeds its frame limit. */
 function readAsEarlier(bytes: Uint8Array): EarlierMessage[] {
   const reader = protobuf.Reader.create(bytes);
   const found: EarlierMessage[] = [];
   while (reader.pos < reader.len) {
-    const from = reader.pos;
-    const message = EARLIER.decodeDelimited(reader);
-    expect(reader.pos - from).toBeLessThanOrEqual(EARLIER_FRAME_BYTES);
-    found.push(EARLIER.toObject(message, { defaults: true, arrays: true }) as EarlierMessage);
+    const start = reader.pos;
+    const message = EARLIER_TYPE.decodeDelimited(reader);
+    expect(reader.pos - start).toBeLessThanOrEqual(EARLIER_MAX_FRAME_BYTES);
+    found.push(EARLIER_TYPE.toObject(message, { defaults: true, arrays: true }) as EarlierMessage);
   }
   return found;
 }
@@ -141,23 +141,24 @@
     const bytes = encodeStatus(status);
     expect(readStatus(bytes)).toEqual([status]);
     const [first, ...others] = readAsEarlier(bytes);
-    expect(first?.hears.length).toBeGreaterThan(EARLIER_NAMES / 2);
-    expect(first?.hears.length).toBeLessThanOrEqual(EARLIER_NAMES);
+    expect(first?.relayedMachines.length).toBeGreaterThan(EARLIER_MAX_NAMES / 2);
+    expect(first?.relayedMachines.length).toBeLessThanOrEqual(EARLIER_MAX_NAMES);
     for (const { node, intake } of others) expect([node, intake]).toEqual(['', null]);
   });
 
-  const fitting: [string, string[]][] = [
+  const nameLists: [string, string[]][] = [
     ['more short names than a frame may have', Array.from({ length: FLEET }, (_, i) => `${i}`)],
     ['fewer long names than a frame may have', Array.from({ length: 1900 }, (_, i) => 'm'.repeat(40) + i)],
   ];
-  test.each(fitting)('%s', (_what, hears) => {
-    const bytes = encodeStatus({ ...STATUS, relayedMachines: hears });
-    expect(readStatus(bytes)).toEqual([{ ...STATUS, relayedMachines: hears }]);
-    for (const one of readAsEarlier(bytes)) expect(one.hears.length).toBeLessThanOrEqual(EARLIER_NAMES);
-    const snapshot = encodeIntake({ ...SNAPSHOT, attention: hears });
-    expect(readIntake(snapshot)).toEqual([{ ...SNAPSHOT, attention: hears }]);
+  test.each(nameLists)('%s', (_title, names) => {
+    const bytes = encodeStatus({ ...STATUS, relayedMachines: names });
+    expect(readStatus(bytes)).toEqual([{ ...STATUS, relayedMachines: names }]);
+    for (const one of readAsEarlier(bytes))
+      expect(one.relayedMachines.length).toBeLessThanOrEqual(EARLIER_MAX_NAMES);
+    const snapshot = encodeIntake({ ...SNAPSHOT, attention: names });
+    expect(readIntake(snapshot)).toEqual([{ ...SNAPSHOT, attention: names }]);
     for (const { intake } of readAsEarlier(snapshot))
-      expect(intake?.attention.length ?? 0).toBeLessThanOrEqual(EARLIER_NAMES);
+      expect(intake?.attention.length ?? 0).toBeLessThanOrEqual(EARLIER_MAX_NAMES);
   });
 
   test('carries the counts of 8,000 jobs, confirmed only once complete', () => {
@@ -166,25 +167,25 @@
     const bytes = encodeStatus(status);
     expect(readStatus(bytes)).toEqual([status]);
     const [first] = readAsEarlier(bytes);
-    expect(first?.provenAt).toBe(0);
+    expect(first?.viewConfirmedAt).toBe(0);
     expect(first?.counts.length).toBeGreaterThan(700);
   });
 
-  test('is decoded from a stream split anywhere, and from one that ends within a message', () => {
+  test('is decoded from a stream split at any point, but not from one that ends within the message', () => {
     const status = { ...STATUS, relayedMachines: NAMES };
     const bytes = Buffer.concat([encodeStatus(status), encodeStatus({ ...STATUS, term: 8 })]);
     const reader = new StatusReader();
     const found: PeerStatus[] = [];
     for (let at = 0; at < bytes.length; at += 5000) found.push(...reader.push(bytes.subarray(at, at + 5000)));
     expect(found).toEqual([status, { ...STATUS, term: 8 }]);
-    expect(readStatus(bytes.subarray(0, EARLIER_FRAME_BYTES))).toEqual([]);
+    expect(readStatus(bytes.subarray(0, EARLIER_MAX_FRAME_BYTES))).toEqual([]);
   });
 
-  test('lists the machines that need attention; an earlier version answers from no partial list', () => {
+  test('lists the machines that need attention; an earlier version never answers from a partial list', () => {
     const bytes = encodeIntake(SNAPSHOT);
     expect(readIntake(bytes)).toEqual([SNAPSHOT]);
     const [first, ...others] = readAsEarlier(bytes);
-    expect(first?.intake).toMatchObject({ isSnapshot: true, isSharing: true, provenAt: 0 });
+    expect(first?.intake).toMatchObject({ isSnapshot: true, isSharing: true, viewConfirmedAt: 0 });
     for (const { node, intake } of others) expect([node, intake]).toEqual(['', null]);
   });
 
@@ -225,109 +226,113 @@
   });
 });
 
-/** A node's surroundings, with a core that leads 8,000 machines. */
-function leaderOf(bench: CoreHarness): ControllerContext {
+/** The context of a controller whose core is that of the harness. */
+function contextOf(harness: CoreHarness): ControllerContext {
   const clock = new ProcessClock(new VirtualClock(), 1, 0);
   return {
     settings: testSettings(0),
-    timing: TIMES,
+    timing: TIMING,
     ports: {
       clock,
       log: { info: () => undefined },
       state: { lastContactAt: () => null },
       incarnation: 'x',
     },
-    commands: { state: bench.state, push: () => undefined },
+    commands: { state: harness.state, push: () => undefined },
     leadershipView: { leader: null, leaderRevision: 0, highestTerm: TERM, leadingTerm: TERM },
   } as unknown as ControllerContext;
 }
 
 describe('the status of 8,000 machines is complete', () => {
   test('a leader sends the counts of 8,000 jobs with their confirmation', () => {
-    const bench = new CoreHarness();
+    const harness = new CoreHarness();
     for (const name of NAMES)
-      bench.state.jobs.set(name, {
+      harness.state.jobs.set(name, {
         finalStage: null,
         doneCount: 1,
         runningCount: 0,
         waitingCount: 0,
       } satisfies Partial<JobState> as never);
-    const peering = new PeerExchange(
-      leaderOf(bench),
+    const peerExchange = new PeerExchange(
+      contextOf(harness),
       () => [],
       () => false,
       () => undefined,
       () => NO_OBSERVATIONS,
     );
-    const { counts, viewConfirmedAt } = peering.status();
+    const { counts, viewConfirmedAt } = peerExchange.status();
     expect(counts).toHaveLength(FLEET);
     expect(viewConfirmedAt).not.toBe(0);
   });
 
   test('a follower lists the 8,000 machines that it answers', () => {
-    const bench = new CoreHarness();
-    bench.state.leadership = null;
-    const peering = new PeerExchange(
-      leaderOf(bench),
+    const harness = new CoreHarness();
+    harness.state.leadership = null;
+    const peerExchange = new PeerExchange(
+      contextOf(harness),
       () => NAMES,
       () => false,
       () => undefined,
       () => NO_OBSERVATIONS,
     );
-    expect(peering.status().relayedMachines).toEqual(NAMES);
+    expect(peerExchange.status().relayedMachines).toEqual(NAMES);
   });
 
-  test('a leader shares reports though 8,000 machines need attention', () => {
-    const bench = new CoreHarness();
+  test('a leader shares heartbeats although 8,000 machines need attention', () => {
+    const harness = new CoreHarness();
     for (const name of NAMES) {
-      const machine = getOrCreateMachine(bench.state, name, bench.time());
-      bench.state.attention.add(machine);
+      const machine = getOrCreateMachine(harness.state, name, harness.time());
+      harness.state.attention.add(machine);
     }
-    const common = leaderOf(bench);
+    const context = contextOf(harness);
     const sent: AnswersMessage[] = [];
-    const policy = { ...bench.state.config.policy, sharedHeartbeatsMinMachines: 1 };
-    Object.assign(bench.state, { config: { ...bench.state.config, policy } } satisfies Partial<CoreState>);
-    const shared = new SharedHeartbeats(common, {
+    const policy = { ...harness.state.config.policy, sharedHeartbeatsMinMachines: 1 };
+    Object.assign(harness.state, {
+      config: { ...harness.state.config, policy },
+    } satisfies Partial<CoreState>);
+    const sharedHeartbeats = new SharedHeartbeats(context, {
       candidates: () => [{ node: 'n-1', zone: 'b' }],
       isAccepting: () => true,
       send: (_to, message) => message.kind === 'answers' && sent.push(message) > 0,
       push: () => undefined,
     });
-    shared.sendSnapshots();
+    sharedHeartbeats.sendSnapshots();
     expect(sent.at(-1)).toMatchObject({ isSnapshot: true, isSharing: true, attention: NAMES });
     expect(sent.at(-1)?.viewConfirmedAt).not.toBe(0);
   });
 
   test('additions to a follower’s list are sent in a form that an earlier version accepts', () => {
-    const bench = new CoreHarness();
-    for (const name of NAMES) getOrCreateMachine(bench.state, name, bench.time());
-    const common = leaderOf(bench);
+    const harness = new CoreHarness();
+    for (const name of NAMES) getOrCreateMachine(harness.state, name, harness.time());
+    const context = contextOf(harness);
     const sent: AnswersMessage[] = [];
-    const policy = { ...bench.state.config.policy, sharedHeartbeatsMinMachines: 1 };
-    Object.assign(bench.state, { config: { ...bench.state.config, policy } } satisfies Partial<CoreState>);
-    Object.assign(common.ports.clock, { defer: (run: () => void) => run() });
-    const shared = new SharedHeartbeats(common, {
+    const policy = { ...harness.state.config.policy, sharedHeartbeatsMinMachines: 1 };
+    Object.assign(harness.state, {
+      config: { ...harness.state.config, policy },
+    } satisfies Partial<CoreState>);
+    Object.assign(context.ports.clock, { defer: (run: () => void) => run() });
+    const sharedHeartbeats = new SharedHeartbeats(context, {
       candidates: () => [{ node: 'n-1', zone: 'b' }],
       isAccepting: () => true,
       send: (_to, message) => message.kind === 'answers' && sent.push(message) > 0,
       push: () => undefined,
     });
-    shared.sendSnapshots();
+    sharedHeartbeats.sendSnapshots();
     const heartbeats = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 1, ageMs: 0 }));
-    shared.receive({
+    sharedHeartbeats.receive({
       kind: 'heartbeats',
       node: 'n-1',
       incarnation: 'y',
       term: TERM,
-      sentAt: common.ports.clock.epochMs(),
+      sentAt: context.ports.clock.epochMs(),
       heartbeats: [],
       keepalives: heartbeats,
     });
-    shared.announceAttention(NAMES);
+    sharedHeartbeats.announceAttention(NAMES);
     const added = sent.filter(({ isSnapshot }) => !isSnapshot);
     expect(added.flatMap(({ attention }) => attention)).toEqual(NAMES);
     for (const message of added) {
-      expect(message.attention.length).toBeLessThanOrEqual(EARLIER_NAMES);
+      expect(message.attention.length).toBeLessThanOrEqual(EARLIER_MAX_NAMES);
       expect(readAsEarlier(encodeIntake(message))).toHaveLength(1);
     }
   });
@@ -335,8 +340,8 @@
 
 describe('caches hold 8,000 machines', () => {
   test('a follower recognises a worker that it redirected', () => {
-    const routing = new WorkerRouter(TIMES);
-    const reach: LeaderReachability = {
+    const router = new WorkerRouter(TIMING);
+    const reachability: LeaderReachability = {
       leader: 'n-0',
       hasContact: true,
       linkLostAt: null,
@@ -345,25 +350,25 @@
       hasOtherContact: true,
       token: TERM,
     };
-    for (const name of NAMES) expect(routing.route(name, TERM, reach, 1000)).toBe('on');
-    expect(NAMES.filter((name) => routing.isUnexpected(name, TERM, reach, 1000))).toEqual([]);
+    for (const name of NAMES) expect(router.route(name, TERM, reachability, 1000)).toBe('on');
+    expect(NAMES.filter((name) => router.isUnexpected(name, TERM, reachability, 1000))).toEqual([]);
   });
 
   test('a follower that answers workers for the leader tracks all of them', async () => {
     const clock = new ProcessClock(new VirtualClock(), 1, 0);
     const state = { list: () => Promise.resolve('unknown') } as never;
-    const deputy = new FallbackResponder('n-1', state, clock, TIMES, 32 * 1024, 100);
-    deputy.receiveSnapshot({ viewConfirmedAt: clock.epochMs(), liveJobs: new Set() });
-    await Promise.all(NAMES.map((name) => deputy.answer(report(name, 1))));
-    expect(deputy.answeredMachines()).toEqual(NAMES);
+    const responder = new FallbackResponder('n-1', state, clock, TIMING, 32 * 1024, 100);
+    responder.receiveSnapshot({ viewConfirmedAt: clock.epochMs(), liveJobs: new Set() });
+    await Promise.all(NAMES.map((name) => responder.answer(report(name, 1))));
+    expect(responder.answeredMachines()).toEqual(NAMES);
   });
 
-  test('a follower that shares heartbeats holds 8,000 pending and knows 30,000 machines', () => {
+  test('a follower that shares heartbeats holds 8,000 pending and tracks 30,000 machines', () => {
     const clock = new ProcessClock(new VirtualClock(), 1, 0);
     const sent: HeartbeatsMessage[] = [];
     const intake = new HeartbeatIntake({
       clock,
-      timing: TIMES,
+      timing: TIMING,
       node: 'n-1',
       incarnation: 'life',
       maxClockSkewMs: 200,
@@ -375,19 +380,19 @@
       route: () => undefined,
     });
     intake.receive({ ...SNAPSHOT, attention: [], viewConfirmedAt: clock.epochMs() });
-    const taken = (from: Heartbeat): boolean => intake.take(from, () => undefined);
-    expect(NAMES.filter((name) => !taken(report(name, 1)))).toEqual([]);
+    const isAccepted = (from: Heartbeat): boolean => intake.take(from, () => undefined);
+    expect(NAMES.filter((name) => !isAccepted(report(name, 1)))).toEqual([]);
     intake.flush();
     expect(sent.flatMap(({ heartbeats }) => heartbeats)).toHaveLength(FLEET);
-    const more = Array.from({ length: 22_000 }, (_, i) => `late-${i}`);
-    expect(more.filter((name) => !taken(report(name, 1)))).toEqual([]);
+    const lateNames = Array.from({ length: 22_000 }, (_, i) => `late-${i}`);
+    expect(lateNames.filter((name) => !isAccepted(report(name, 1)))).toEqual([]);
     expect(intake.forgetWorker(NAMES[0] ?? '')).toBe(true);
   });
 
   test('terminated machines are not registered again from a stale listing', () => {
-    const bench = new CoreHarness();
+    const harness = new CoreHarness();
     const effects: Effect[] = [];
-    removeTerminated(bench.state, NAMES, effects);
+    removeTerminated(harness.state, NAMES, effects);
     const listed = NAMES.map((name) => ({
       name,
       type: 'eight',
@@ -397,35 +402,35 @@
       stage: 'running' as const,
       ageS: 100,
     }));
-    bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: listed });
-    expect(bench.state.machines.size).toBe(0);
+    harness.do({ kind: 'machinesListed', askedAt: harness.now, machines: listed });
+    expect(harness.state.machines.size).toBe(0);
   });
 
   test('as many ended jobs as live ones are remembered', () => {
-    const bench = new CoreHarness();
-    const asking = Array.from({ length: FLEET }, (_, i) => job(`req-${i}`, 1, 2, 50));
-    for (const { id } of asking)
-      bench.state.jobs.set(id, { finalStage: 'done' } satisfies Partial<JobState> as never);
-    for (const spec of asking)
-      unregisterDependencies(bench.state, { spec } as never, finalOutcomeNow('done', bench.time()));
-    expect(bench.state.finalOutcomes.size).toBe(FLEET);
+    const harness = new CoreHarness();
+    const specs = Array.from({ length: FLEET }, (_, i) => job(`req-${i}`, 1, 2, 50));
+    for (const { id } of specs)
+      harness.state.jobs.set(id, { finalStage: 'done' } satisfies Partial<JobState> as never);
+    for (const spec of specs)
+      unregisterDependencies(harness.state, { spec } as never, finalOutcomeNow('done', harness.time()));
+    expect(harness.state.finalOutcomes.size).toBe(FLEET);
   });
 
-  test('a plan covers one task of a job for each of 8,000 machines', () => {
-    const bench = new CoreHarness(0, [EIGHT]);
+  test('a plan places one task on each of 8,000 machines', () => {
+    const harness = new CoreHarness(0, [EIGHT]);
     for (const name of NAMES) {
-      const machine = getOrCreateMachine(bench.state, name, bench.time());
+      const machine = getOrCreateMachine(harness.state, name, harness.time());
       Object.assign(machine, {
         type: 'eight',
         zone: 'a',
         spot: true,
-        lastHeartbeatAt: bench.now,
+        lastHeartbeatAt: harness.now,
         isReconciled: true,
       } satisfies Partial<Machine>);
     }
-    bench.add(job('req-1', FLEET, 8, 5000));
-    scaleOut(bench.state, bench.time(), []);
-    expect(bench.state.plannedMachines.size).toBe(FLEET);
+    harness.add(job('req-1', FLEET, 8, 5000));
+    scaleOut(harness.state, harness.time(), []);
+    expect(harness.state.plannedMachines.size).toBe(FLEET);
   });
 });
 
@@ -437,9 +442,11 @@
   }
 });
 
-/** Settings of a node whose state service and cloud are a server that answers as given. */
+/** Settings of a node whose key-value store and cloud are one local server, which responds by `answer`. */
 async function settingsFor(answer: (url: URL, response: ServerResponse) => void) {
-  const server = createServer((asked, response) => answer(new URL(asked.url ?? '', 'http://x'), response));
+  const server = createServer((incoming, response) =>
+    answer(new URL(incoming.url ?? '', 'http://x'), response),
+  );
   servers.push(server);
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
@@ -480,7 +487,7 @@
     expect(found?.map(({ name }) => name)).toEqual(NAMES);
   });
 
-  test('ended jobs are cached beside 8,000 live ones until memory is short', async () => {
+  test('ended jobs are cached beside 8,000 live ones until the caches are dropped', async () => {
     const entries = NAMES.map((name) => ({ key: `job/req-${name}`, value: {}, stamp: 1 }));
     const state = { list: () => Promise.resolve({ entries, revision: 3 }) } as never;
     const reads = new JobReader(state, systemClock, 10_000, 10);
@@ -493,14 +500,14 @@
 
   test('a refused read takes precedence although 8,000 others were refused since', () => {
     const admission = new Admission(systemClock, 16);
-    const ask = (name: string): number | null => admission.admit('show', name);
+    const admit = (name: string): number | null => admission.admit('show', name);
     for (let held = 0; held < 12; held += 1) admission.admit('show');
-    for (const name of NAMES) ask(name);
-    expect(ask(NAMES[0] ?? '')).toBeNull();
+    for (const name of NAMES) admit(name);
+    expect(admit(NAMES[0] ?? '')).toBeNull();
   });
 });
 
-test('more workers than sockets take turns on the connections', async () => {
+test('more workers than sockets are all answered', async () => {
   const workers = 200;
   const server = createPublicServer(
     {
@@ -518,7 +525,7 @@
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
   const agents = Array.from({ length: workers }, () => new Agent({ keepAlive: true, maxSockets: 1 }));
-  const tell = (agent: Agent): Promise<number> =>
+  const sendReport = (agent: Agent): Promise<number> =>
     new Promise((resolve) => {
       const sent = request({ port, method: 'POST', path: '/v1/report', agent }, (response) => {
         response.resume();
@@ -528,7 +535,8 @@
       sent.end('{}');
     });
   const answers: number[] = [];
-  for (let round = 0; round < 2; round += 1) for (const agent of agents) answers.push(await tell(agent));
+  for (let round = 0; round < 2; round += 1)
+    for (const agent of agents) answers.push(await sendReport(agent));
   for (const agent of agents) agent.destroy();
   expect(answers.filter((status) => status !== 200)).toEqual([]);
 });
@@ -536,54 +544,54 @@
 describe('memory', () => {
   const logged: [object, string][] = [];
   const clock = new VirtualClock();
-  const watchOf = (more: { quotaMb: number; usedMb: number; machines: number }) => {
+  const createMonitor = (options: { quotaMb: number; usedMb: number; machines: number }) => {
     let dropped = 0;
     logged.length = 0;
-    const watch = new MemoryMonitor({
+    const monitor = new MemoryMonitor({
       clock: new ProcessClock(clock, 1, 0),
       log: { warn: (detail: object, event: string) => logged.push([detail, event]) } as never,
-      quotaMb: more.quotaMb,
-      heldBytes: () => more.usedMb * 1024 * 1024,
-      machines: () => more.machines,
+      quotaMb: options.quotaMb,
+      heldBytes: () => options.usedMb * 1024 * 1024,
+      machines: () => options.machines,
       dropCaches: () => (dropped += 1),
     });
-    return { watch, dropped: () => dropped };
+    return { monitor, dropped: () => dropped };
   };
 
   test('near the memory quota caches are dropped and one warning is logged with both figures', async () => {
-    const { watch, dropped } = watchOf({ quotaMb: 400, usedMb: 360, machines: 8000 });
-    watch.check();
-    watch.check();
+    const { monitor, dropped } = createMonitor({ quotaMb: 400, usedMb: 360, machines: 8000 });
+    monitor.check();
+    monitor.check();
     expect([dropped(), logged]).toEqual([
       1,
       [[{ usedMb: 360, quotaMb: 400, machines: 8000 }, 'memory near quota, caches dropped']],
     ]);
     await clock.runUntil(clock.now + 61_000);
-    watch.check();
+    monitor.check();
     expect(dropped()).toBe(2);
   });
 
-  test('the pages of the program itself do not count', () => {
+  test('the pages of the program file do not count as held memory', () => {
     expect(heldBytes()).toBeGreaterThan(getHeapStatistics().total_physical_size);
     expect(heldBytes()).toBeLessThan(process.memoryUsage.rss());
   });
 
   test('far below the memory quota nothing is logged', () => {
-    const { watch, dropped } = watchOf({ quotaMb: 95, usedMb: 50, machines: 100 });
-    watch.check();
+    const { monitor, dropped } = createMonitor({ quotaMb: 95, usedMb: 50, machines: 100 });
+    monitor.check();
     expect([dropped(), logged]).toEqual([0, []]);
   });
 
   test('a leader warns when the memory quota is too small for its machines', () => {
-    const { watch } = watchOf({ quotaMb: 95, usedMb: 50, machines: 8000 });
-    watch.check();
-    watch.check();
+    const { monitor } = createMonitor({ quotaMb: 95, usedMb: 50, machines: 8000 });
+    monitor.check();
+    monitor.check();
     expect(logged).toEqual([
       [{ machines: 8000, quotaMb: 95, estimateMb: estimatedMemoryMb(8000) }, 'memory quota too small'],
     ]);
   });
 
-  test('`check --machines` warns of it before a start', async () => {
+  test('`check --machines` reports a memory quota that is too small', async () => {
     const path = join(mkdtempSync(join(tmpdir(), 'rowanferry-')), 'settings.json');
     writeFileSync(path, JSON.stringify(testSettings(0)));
     const lines: string[] = [];
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,4 +1,4 @@
-/** Mixed versions, and the migration to smaller limits. */
+/** Controllers of different versions, and the migration of stored records to smaller store limits. */
 import { readFileSync } from 'node:fs';
 import protobuf from 'protobufjs/light.js';
 import { expect, test } from 'vitest';
@@ -20,32 +20,42 @@
 import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
 import { seeded, testSettings, TIGHT, NO_OBSERVATIONS, Simulation } from './emulators/simulation.js';
 
-interface Kept {
+interface ProductionData {
   readonly revision: number;
   readonly keys: readonly { key: string; value: unknown; stamp: number }[];
   readonly status: string;
 }
-const production = JSON.parse(readFileSync(new URL('data/production.json', import.meta.url), 'utf8')) as Kept;
+const production = JSON.parse(
+  readFileSync(new URL('data/production.json', import.meta.url), 'utf8'),
+) as ProductionData;
 
 test('jobs stored by 0.1.0 are loaded, migrated to narrow chunks and completed', async () => {
-  const world = new Simulation(seeded(3), { limits: TIGHT });
-  world.reduceLimits();
-  world.cloud.capacity = 12;
-  world.state.revision = production.revision;
+  const simulation = new Simulation(seeded(3), { limits: TIGHT });
+  simulation.reduceLimits();
+  simulation.cloud.capacity = 12;
+  simulation.state.revision = production.revision;
   for (const { key, value, stamp } of production.keys)
-    world.state.keys.set(key, { value, modRevision: stamp, lease: null });
-  const place = { team: 'crew', cpus: 1, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
+    simulation.state.keys.set(key, { value, modRevision: stamp, lease: null });
+  const requirements = {
+    team: 'crew',
+    cpus: 1,
+    memoryGb: 2,
+    spot: true,
+    zone: null,
+    oneZone: false,
+    spread: false,
+  };
   for (const [i, tasks] of [3, 90, 40, 12, 150].entries()) {
     const id = `req-00000${i}`;
     if (i === 3) continue;
-    void world.user({ id, tasks, ...place }, null);
+    void simulation.user({ id, tasks, ...requirements }, null);
   }
-  await world.clock.runUntil(180_000);
-  // What production saw completed is not run again, so the checker has not seen all of it run.
-  expect(world.checker.violations.filter((rule) => !rule.startsWith('not_done'))).toEqual([]);
-  expect(world.checker.unfinishedJobs()).toEqual([]);
-  expect([...world.state.keys.keys()].filter((key) => /^(run|job)\//.test(key))).toEqual([]);
-  expect(world.state.rejected).toBe(0);
+  await simulation.clock.runUntil(180_000);
+  // Tasks completed in production are not run again, so the checker sees `done` jobs without all their completions.
+  expect(simulation.checker.violations.filter((rule) => !rule.startsWith('not_done'))).toEqual([]);
+  expect(simulation.checker.unfinishedJobs()).toEqual([]);
+  expect([...simulation.state.keys.keys()].filter((key) => /^(run|job)\//.test(key))).toEqual([]);
+  expect(simulation.state.rejected).toBe(0);
 });
 
 test('peers of both versions decode the messages of the other', () => {
@@ -57,8 +67,8 @@
     format: 0,
     dependenciesResolvedUntil: 0,
   });
-  // Fields as production declares them.
-  const earlier = protobuf.Root.fromJSON({
+  // The message type as production declares it.
+  const productionType = protobuf.Root.fromJSON({
     nested: {
       PeerStatus: {
         fields: {
@@ -71,7 +81,7 @@
       },
     },
   }).lookupType('PeerStatus');
-  const own = encodeStatus({
+  const encoded = encodeStatus({
     node: 'n-1',
     incarnation: 'y',
     term: 8,
@@ -85,26 +95,29 @@
     viewConfirmedAt: 0,
     ...NO_OBSERVATIONS,
   });
-  expect(earlier.toObject(earlier.decodeDelimited(own))).toMatchObject({ node: 'n-1', term: 8 });
+  expect(productionType.toObject(productionType.decodeDelimited(encoded))).toMatchObject({
+    node: 'n-1',
+    term: 8,
+  });
 });
 
 test('a controller of unknown version delays the new format; service continues', async () => {
-  const world = new Simulation(seeded(6), { limits: TIGHT, earlier: true });
-  world.upgrade(0, 2000);
-  world.upgrade(1, 2000);
-  const place = { cpus: 1, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
-  void world.user({ id: 'req-000001', team: 'crew', tasks: 30, ...place }, null);
-  await world.clock.runUntil(60_000);
-  expect(world.checker.unfinishedJobs()).toEqual([]);
-  expect(world.state.read('format')).toBeNull();
-  // Nor does its silence tell what it will be when it is back.
-  world.crash(2, 30_000);
-  await world.clock.runUntil(85_000);
-  expect(world.state.read('format')).toBeNull();
-  await world.clock.runUntil(95_000);
-  world.upgrade(2, 2000);
-  await world.clock.runUntil(115_000);
-  expect(world.state.read('format')?.value).toMatchObject({ format: 2, wide: 128, tasks: 24 });
+  const simulation = new Simulation(seeded(6), { limits: TIGHT, earlier: true });
+  simulation.upgrade(0, 2000);
+  simulation.upgrade(1, 2000);
+  const requirements = { cpus: 1, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
+  void simulation.user({ id: 'req-000001', team: 'crew', tasks: 30, ...requirements }, null);
+  await simulation.clock.runUntil(60_000);
+  expect(simulation.checker.unfinishedJobs()).toEqual([]);
+  expect(simulation.state.read('format')).toBeNull();
+  // While the controller is down, its next version is unknown too, so the format stays as it is.
+  simulation.crash(2, 30_000);
+  await simulation.clock.runUntil(85_000);
+  expect(simulation.state.read('format')).toBeNull();
+  await simulation.clock.runUntil(95_000);
+  simulation.upgrade(2, 2000);
+  await simulation.clock.runUntil(115_000);
+  expect(simulation.state.read('format')?.value).toMatchObject({ format: 2, wide: 128, tasks: 24 });
 });
 
 const claims = (from: number, count: number, machine: (task: number) => string): Record<string, Claim> =>
@@ -115,15 +128,15 @@
     ]),
   );
 
-test('every record fits the coming limits', () => {
+test('every record fits the upcoming limits', () => {
   const settings = testSettings(0, 0, { next: { value_kb: 2, txn_ops: 6, write_rps: 18 } });
   const layout = upgradedLayout(settings, formatRecord(settings, null));
   expect(layout).toMatchObject({ keyWidth: 64, tasksPerChunk: 64, maxMutations: 6, maxValueBytes: 2048 });
   const bytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
-  // The worst: each task of a late chunk on a machine of its own, often tried.
+  // The largest record: five-digit task numbers, two-digit attempts, and each task claimed on a different machine.
   const worst = claims(99_900, layout.tasksPerChunk, (i) => `vm-${String(100_000 + i)}`);
-  const of = { team: 'plantao-partitura', cpus: 2.5, gpus: 0, memoryGb: 25.5 };
-  const record = { ...of, done: 'A'.repeat(12), attempts: {}, claims: worst };
+  const jobFields = { team: 'plantao-partitura', cpus: 2.5, gpus: 0, memoryGb: 25.5 };
+  const record = { ...jobFields, done: 'A'.repeat(12), attempts: {}, claims: worst };
   expect(bytes(encodeCompactChunk(record))).toBeLessThan(2048);
   expect(decodeChunk(encodeCompactChunk(record))).toEqual(record);
   expect(decodeChunk(encodeChunk(record))).toEqual(record);
@@ -132,14 +145,14 @@
   expect(parts.flat()).toEqual(machines);
   for (const part of parts) expect(bytes({ at: 1_700_000_000_000.5, machines: part })).toBeLessThan(2048);
   const { awaits: _, ...spec } = job('req-1', 1, 1, 1);
-  const memory = Array.from({ length: 20 }, (_, i) => ({
+  const demandHistory = Array.from({ length: 20 }, (_, i) => ({
     spec: { ...spec, jobClass: `class-${i}`, image: 'x'.repeat(50) },
     peak: 12.345678901234567,
     gap: 1234.5678901234567,
     ratio: 1.0123456789012345,
   }));
-  const packed = packDemand(memory, 2048).map((classes) => ({ classes }));
-  expect(packed.flatMap(decodeDemand)).toEqual(memory);
+  const packed = packDemand(demandHistory, 2048).map((classes) => ({ classes }));
+  expect(packed.flatMap(decodeDemand)).toEqual(demandHistory);
   for (const part of packed) expect(bytes(part)).toBeLessThan(2048);
 });
 
@@ -153,11 +166,11 @@
   expect(parseChunkKey('run/req-1/0.00001')).toBeNull();
 });
 
-test('a written chunk width only shrinks, and the record tells what wide chunks hold', () => {
+test('a recorded chunk width only shrinks, and the format record states the width of wide chunks', () => {
   const tight = testSettings(0, 0, TIGHT);
   const known = formatRecord(tight, null);
   expect(known).toEqual({ format: 2, wide: 128, tasks: 24 });
-  // Settings of later days: the small limits are the usual ones, or they have grown again.
+  // Later settings: the small limits have become the current ones, or the limits have been raised again.
   const small = testSettings(0, 0, { value_kb: 1, txn_ops: 6 });
   expect(upgradedLayout(small, formatRecord(small, known))).toMatchObject({
     keyWidth: 24,
@@ -169,14 +182,14 @@
     tasksPerChunk: 24,
   });
   expect(initialLayout(grown)).toMatchObject({ keyWidth: null, tasksPerChunk: 512 });
-  // Without limits to come, nothing changes.
+  // Without upcoming limits, the layout does not change.
   expect(upgradedLayout(grown, formatRecord(grown, null))).toMatchObject({
     keyWidth: null,
     tasksPerChunk: 512,
   });
 });
 
-test('each of the coming limits is optional and validated', () => {
+test('each of the upcoming limits is optional and validated', () => {
   const settings = testSettings(0);
   const withNext = (next: unknown): unknown => ({
     ...settings,
@@ -190,7 +203,7 @@
   expect(() => parseSettings(withNext(7))).toThrow(/cluster\.state\.next: /);
 });
 
-const puts = (effects: readonly Effect[]): string[] =>
+const mutationsOf = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) =>
     effect.kind === 'commit'
       ? effect.transaction.mutations.map((write) =>
@@ -199,42 +212,46 @@
       : [],
   );
 
-/** A leader with eight tasks of a large job on a machine, as production writes them. */
-function leading(): CoreHarness {
-  const bench = new CoreHarness(0, undefined, TIGHT);
-  bench.hear(report('m', 1));
-  bench.add(job('req-1', 60, 1, 500));
-  bench.hear(report('m', 2));
-  return bench;
+/** A leader with eight tasks of a large job on one machine, stored in the layout that production writes. */
+function createLeader(): CoreHarness {
+  const harness = new CoreHarness(0, undefined, TIGHT);
+  harness.hear(report('m', 1));
+  harness.add(job('req-1', 60, 1, 500));
+  harness.hear(report('m', 2));
+  return harness;
 }
 
 test('migration: a narrow chunk supersedes the wide one, which is removed once all its tasks are covered', async () => {
-  const bench = leading();
+  const harness = createLeader();
   const settings = testSettings(0, 0, TIGHT);
-  bench.do({ kind: 'adoptLayout', layout: upgradedLayout(settings, formatRecord(settings, null)) });
+  harness.do({ kind: 'adoptLayout', layout: upgradedLayout(settings, formatRecord(settings, null)) });
   const running = [...Array(8).keys()].map((i) => task(`req-1/${i}`, 1, 'running'));
-  // Claims stay as durable as they were: nothing is started twice, nothing written for it.
-  expect(puts(bench.hear(report('m', 3, running)))).toEqual([]);
+  // Committed claims stay durable in the new layout: no task is started twice, and nothing is written for them.
+  expect(mutationsOf(harness.hear(report('m', 3, running)))).toEqual([]);
   const [first, ...others] = running;
   if (first === undefined) throw new Error('no task');
-  const exit = bench.hear(report('m', 4, [{ ...first, stage: 'exited', exit: 'done' }, ...others]));
-  // The next task is put in the room; with the chunk that holds both, all of the wide one is held.
-  expect(puts(exit)).toEqual(['put run/req-1/24.00000', 'remove run/req-1/00000']);
-  await bench.expectTrace('migration');
+  const exit = harness.hear(report('m', 4, [{ ...first, stage: 'exited', exit: 'done' }, ...others]));
+  // The next task takes the freed resources. The narrow chunk then holds all state of the wide one, which is removed.
+  expect(mutationsOf(exit)).toEqual(['put run/req-1/24.00000', 'remove run/req-1/00000']);
+  await harness.expectTrace('migration');
 });
 
 test('after a crash during migration each task has the state of its narrowest record', () => {
-  const bench = new CoreHarness(0, undefined, TIGHT);
+  const harness = new CoreHarness(0, undefined, TIGHT);
   const settings = testSettings(0, 0, TIGHT);
   const format = formatRecord(settings, null);
-  const of = { team: 'crew', cpus: 1, gpus: 0, memoryGb: 1, attempts: {} };
-  const wide = { ...of, done: '', claims: claims(0, 30, () => 'old') };
-  const narrow = { ...of, done: Buffer.from([1]).toString('base64'), claims: claims(1, 3, () => 'new') };
-  bench.do({
+  const jobFields = { team: 'crew', cpus: 1, gpus: 0, memoryGb: 1, attempts: {} };
+  const wide = { ...jobFields, done: '', claims: claims(0, 30, () => 'old') };
+  const narrow = {
+    ...jobFields,
+    done: Buffer.from([1]).toString('base64'),
+    claims: claims(1, 3, () => 'new'),
+  };
+  harness.do({
     kind: 'becomeLeader',
     term: TERM,
     modRevision: 100,
-    viewConfirmedAt: bench.now,
+    viewConfirmedAt: harness.now,
     layout: upgradedLayout(settings, format),
     legacyChunkTasks: format.wide,
     demandHistory: [],
@@ -244,30 +261,30 @@
       { job: 'req-1', name: { index: 0, width: 24 }, record: { value: narrow, modRevision: 61 } },
     ],
   });
-  const loaded = bench.state.jobs.get('req-1');
+  const loaded = harness.state.jobs.get('req-1');
   expect(loaded?.doneCount).toBe(1);
-  const on = (machine: string): number[] =>
+  const tasksOn = (machine: string): number[] =>
     [...(loaded?.claims.values() ?? [])].flatMap((claim) => (claim.machine === machine ? [claim.task] : []));
-  expect(on('new')).toEqual([1, 2, 3]);
-  expect(on('old')).toEqual([24, 25, 26, 27, 28, 29]);
+  expect(tasksOn('new')).toEqual([1, 2, 3]);
+  expect(tasksOn('old')).toEqual([24, 25, 26, 27, 28, 29]);
 });
 
-// The store never accepts it, so a retry at every tick would be wasted.
-test('a transaction rejected for its size is split, then backed off, and never retried for ever', () => {
-  const bench = new CoreHarness();
-  bench.hear(report('m', 1));
+// The store never accepts such a transaction, so a retry at every tick would be wasted.
+test('a transaction rejected for its size is split, then backed off instead of retried at every tick', () => {
+  const harness = new CoreHarness();
+  harness.hear(report('m', 1));
   let sent = 0;
-  let effects = bench.raw({ kind: 'jobAdded', job: { value: job('req-1', 8, 1, 50), modRevision: 101 } });
+  let effects = harness.raw({ kind: 'jobAdded', job: { value: job('req-1', 8, 1, 50), modRevision: 101 } });
   for (let ms = 0; ms < 60_000; ms += 250) {
     const commit = effects.find((effect) => effect.kind === 'commit');
     if (commit?.kind === 'commit') {
       sent += 1;
-      bench.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'rejected' } });
+      harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'rejected' } });
     }
-    bench.now += 250;
-    effects = bench.raw({ kind: 'tick' });
+    harness.now += 250;
+    effects = harness.raw({ kind: 'tick' });
   }
   expect(sent).toBeGreaterThan(3);
   expect(sent).toBeLessThan(15);
-  expect(bench.state.leadership).not.toBeNull();
+  expect(harness.state.leadership).not.toBeNull();
 });
