--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -70,7 +70,7 @@
   readonly answerable: Machine[];
   /** Machines whose next heartbeat answer may have to carry a command. */
   readonly attention: Set<Machine>;
-  /** Names of the machines that `needAttention` added to them in this step. */
+  /** Names of the machines newly marked as needing attention in this step, to be announced to followers. */
   readonly newAttentionNames: string[];
   /** Names of the machines that have reported since the latest tick and were unknown before. */
   readonly unexpected: string[];
