--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -16,7 +16,7 @@
 
 /** A chunk record that a new leader has read from the key-value store. */
 export interface LoadedChunk {
-  /** Id of its job. */
+  /** Id of the job that the chunk belongs to. */
   readonly job: string;
   readonly name: ChunkName;
   readonly record: Versioned<ChunkRecord>;
@@ -28,7 +28,7 @@
   | { readonly kind: 'applied'; readonly revision: number }
   /** Nothing is stored: the preconditions on these keys did not hold. */
   | { readonly kind: 'failed'; readonly keys: readonly string[] }
-  /** Nothing is stored: the key-value store, or this controller's own rate limit, did not admit it now. */
+  /** Nothing is stored: the key-value store, or this controller's own request limits, did not admit it now. */
   | { readonly kind: 'refused' }
   /** Nothing is stored, and a retry would fail too: it is too large, malformed, or names an expired lease. */
   | { readonly kind: 'rejected' }
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -47,11 +47,11 @@
   leadership: Leadership | null;
 
   // Jobs and machines.
-  /** By name, as of the latest catalog. */
+  /** Machine types by name, as of the latest catalog. */
   machineTypes: ReadonlyMap<string, MachineType>;
   /** By id: live jobs, and ended jobs that still have claims or chunk records. */
   readonly jobs: Map<string, JobState>;
-  /** By name. */
+  /** Machines by name. */
   readonly machines: Map<string, Machine>;
   /** The discovery order of the next machine. */
   nextMachine: number;
@@ -170,6 +170,6 @@
   readonly demand: Map<string, Demand>;
   /** Ratio of actual run time to estimate, by job class, from completed tasks. */
   readonly runTimeRatio: Map<string, number>;
-  /** When the demand is to be saved next. */
+  /** When the demand history is saved next. */
   nextDemandSaveAt: number;
 }
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -1,6 +1,6 @@
 /** Timeouts and intervals of the service. */
 
-/** Timeouts and intervals in milliseconds, each derived as a ratio of a value in the settings. */
+/** All values are in milliseconds, and each is derived from values of the settings by fixed ratios. */
 export interface Timing {
   /** Time to live of the leader's lease in the key-value store. */
   readonly leaderLeaseMs: number;
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -126,7 +126,7 @@
   readonly attempt: number;
   readonly machine: string;
   readonly agentEpoch: number;
-  /** Epoch milliseconds. */
+  /** Time of the placement, in epoch milliseconds. */
   readonly createdAt: number;
 }
 
@@ -140,7 +140,7 @@
   readonly done: string;
   /** Number of the latest attempt, by task, for tasks without a claim. */
   readonly attempts: Readonly<Record<string, number>>;
-  /** By task. */
+  /** Claims by task number. */
   readonly claims: Readonly<Record<string, Claim>>;
 }
 
