--- a/src/config/core-config.ts
+++ b/src/config/core-config.ts
@@ -3,7 +3,10 @@
 import { timing, type PlatformSettings } from './settings.js';
 import { initialLayout } from './record-layout.js';
 
-/** The objectives of each job class that has any, sorted; times in milliseconds. */
+/**
+ * The start, deadline and finish objectives of each job class that has any, each list in ascending order; times
+ * in milliseconds. Objectives that name no class are left out.
+ */
 export function classObjectives(
   objectives: PlatformSettings['cluster']['objectives'],
 ): Map<string, ClassObjectives> {
@@ -13,18 +16,23 @@
   >();
   for (const { kind, class: name, within_s, times } of objectives) {
     if (name === undefined) continue;
-    const own = objectivesByClass.get(name) ?? {
+    const classTargets = objectivesByClass.get(name) ?? {
       startTargetsMs: [],
       deadlineMultiples: [],
       finishTargetsMs: [],
     };
-    objectivesByClass.set(name, own);
-    if (kind === 'wait' && within_s !== undefined) own.startTargetsMs.push(within_s * 1000);
-    else if (kind === 'finished' && within_s !== undefined) own.finishTargetsMs.push(within_s * 1000);
-    else if (kind === 'deadline') own.deadlineMultiples.push(times ?? 1);
+    objectivesByClass.set(name, classTargets);
+    if (kind === 'wait' && within_s !== undefined) classTargets.startTargetsMs.push(within_s * 1000);
+    else if (kind === 'finished' && within_s !== undefined)
+      classTargets.finishTargetsMs.push(within_s * 1000);
+    else if (kind === 'deadline') classTargets.deadlineMultiples.push(times ?? 1);
   }
-  for (const own of objectivesByClass.values())
-    for (const list of [own.startTargetsMs, own.deadlineMultiples, own.finishTargetsMs])
+  for (const classTargets of objectivesByClass.values())
+    for (const list of [
+      classTargets.startTargetsMs,
+      classTargets.deadlineMultiples,
+      classTargets.finishTargetsMs,
+    ])
       list.sort((a, b) => a - b);
   return objectivesByClass;
 }
--- a/src/config/policy.ts
+++ b/src/config/policy.ts
@@ -1,6 +1,8 @@
 /**
- * Operators' own settings: one expression for each figure, in the Common Expression
- * Language, checked before it is used and evaluated once for each job or machine type.
+ * The operators' scheduling policy. It sets figures, which are numeric parameters of the scheduler, to expressions
+ * in the Common Expression Language (CEL). Each expression is checked when the policy is read. Depending on the
+ * figure's scope, it is then evaluated once per job, once per machine type for spot machines and for others, or once
+ * when the policy is created.
  */
 import { Environment } from '@marcbachmann/cel-js';
 import type { SchedulingPolicy } from '../core/model.js';
@@ -12,8 +14,9 @@
 type Values = Readonly<Record<string, number | string | boolean>>;
 
 interface Figure {
+  /** What the figure is evaluated for; sets which variables its expression may use. */
   readonly scope: Scope;
-  /** Bounds of the figure, inclusive, in its own unit. */
+  /** Inclusive bounds of the figure, in its unit. */
   readonly min: number;
   readonly max: number;
   /** The default expression. */
@@ -36,13 +39,13 @@
     scope: 'cluster',
     min: 1,
     max: 1_000_000_000,
-    // 0.8 of the heartbeats per second that a leader can process on one whole core.
+    // 1,700 heartbeats per second is 0.8 of what a leader can process on one whole core.
     source: 'controllers < 2.0 ? 1000000000.0 : 1700.0 * report_s * cpu_quota',
   },
   headroom_memory_s: { scope: 'cluster', min: 1, max: DAY_S, source: '20.0 * lease_s' },
 } as const satisfies Record<string, Figure>;
 
-/** The name of a figure, as in the policy file. */
+/** The name of a figure in the policy file. */
 type FigureName = keyof typeof FIGURES;
 
 const NAMES = Object.keys(FIGURES) as FigureName[];
@@ -77,14 +80,15 @@
 const environments = new Map<Scope, Environment>();
 
 function environment(scope: Scope): Environment {
-  let made = environments.get(scope);
-  if (made === undefined) {
-    made = new Environment();
+  let celEnvironment = environments.get(scope);
+  if (celEnvironment === undefined) {
+    celEnvironment = new Environment();
     const variables = scope === 'cluster' ? VARIABLES.cluster : { ...VARIABLES.cluster, ...VARIABLES[scope] };
-    for (const [name, type] of Object.entries(variables)) made = made.registerVariable(name, type);
-    environments.set(scope, made);
+    for (const [name, type] of Object.entries(variables))
+      celEnvironment = celEnvironment.registerVariable(name, type);
+    environments.set(scope, celEnvironment);
   }
-  return made;
+  return celEnvironment;
 }
 
 /** A fault in a policy text; line and column count from 1. */
@@ -94,7 +98,7 @@
   readonly reason: string;
 }
 
-/** A policy that cannot be used. */
+/** An invalid policy. */
 export class PolicyError extends Error {}
 
 /** A fault as `line:column: reason`. */
@@ -103,8 +107,8 @@
 /** Evaluates a compiled expression over the values of its variables. */
 type Evaluate = (values: Values) => number;
 
-/** A compiled expression and the line that it stands on. */
-interface Compiled {
+/** A compiled expression and its line in the policy file. */
+interface CompiledExpression {
   readonly evaluate: Evaluate;
   readonly line: number;
 }
@@ -146,7 +150,7 @@
   };
 }
 
-/** Values that a checked expression must give a figure in its range for. */
+/** Sample values of a scope's variables. An expression is valid only if its result is in range for all of them. */
 function sampleValues(scope: Scope, settings: PlatformSettings): Values[] {
   const cluster = clusterValues(settings);
   if (scope === 'cluster') return [cluster];
@@ -190,20 +194,24 @@
 
 const firstLine = (text: string): string => text.split('\n')[0] ?? '';
 
-/** A fault at the place that an error of the expression language names. */
+/**
+ * Converts an error of the CEL library to a fault, placed where the error occurred in the expression.
+ * `line` and `column` are those of the start of the expression.
+ */
 function faultOf(error: unknown, line: number, column: number): PolicyFault {
   const { message, node, range } = error as {
     message?: string;
     node?: { pos?: number };
     range?: { start?: number };
   };
-  const at = node?.pos ?? range?.start ?? 0;
-  return { line, column: column + at, reason: firstLine(message ?? String(error)) };
+  const offset = node?.pos ?? range?.start ?? 0;
+  return { line, column: column + offset, reason: firstLine(message ?? String(error)) };
 }
 
 /**
  * Compiles one expression.
- * @throws {Error} The expression language's own error if it does not parse or check, {@link PolicyError} if it is no number.
+ * @throws {Error} The CEL library's error if the expression does not parse or type-check.
+ * @throws {PolicyError} if the expression's type is not a number, or if the library gives no error for a failed check.
  */
 function compile(figure: Figure, source: string): Evaluate {
   const expression = environment(figure.scope).parse(source);
@@ -215,25 +223,25 @@
   return (values) => Number(expression(values));
 }
 
-/** A sound policy's expressions, and every fault of its text. */
-export interface PolicyReading {
-  readonly expressions: Map<FigureName, Compiled>;
+/** The result of parsing a policy: its valid expressions, and every fault of its text. */
+export interface ParsedPolicy {
+  readonly expressions: Map<FigureName, CompiledExpression>;
   readonly faults: PolicyFault[];
 }
 
 /** Reads a policy: lines of `name = expression`; all faults are found, not just the first. */
-export function readPolicy(text: string, settings: PlatformSettings): PolicyReading {
-  const reading: PolicyReading = { expressions: new Map(), faults: [] };
+export function readPolicy(text: string, settings: PlatformSettings): ParsedPolicy {
+  const parsed: ParsedPolicy = { expressions: new Map(), faults: [] };
   text.split('\n').forEach((source, index) => {
     if (source.trim() === '' || source.trim().startsWith('#')) return;
-    readLine(source, index + 1, settings, reading);
+    parseLine(source, index + 1, settings, parsed);
   });
-  return reading;
+  return parsed;
 }
 
-/** Reads one line into the expressions or the faults. */
-function readLine(text: string, line: number, settings: PlatformSettings, reading: PolicyReading): void {
-  const { expressions, faults } = reading;
+/** Parses one line, and adds its expression or its fault to `parsed`. */
+function parseLine(text: string, line: number, settings: PlatformSettings, parsed: ParsedPolicy): void {
+  const { expressions, faults } = parsed;
   const match = /^(\s*)([A-Za-z_]\w*)(\s*=\s*)(.*)$/.exec(text);
   if (match === null) {
     faults.push({ line, column: 1, reason: 'expected `name = expression`' });
@@ -260,7 +268,7 @@
   }
 }
 
-/** Why an expression is unsound on some sample; `null`: it is in its range on all of them. */
+/** Why an expression is invalid: its first sample result that is out of range; `null` if all are in range. */
 function rangeFault(name: FigureName, evaluate: Evaluate, settings: PlatformSettings): string | null {
   const { scope, min, max } = FIGURES[name];
   const value = sampleValues(scope, settings)
@@ -269,7 +277,10 @@
   return value === undefined ? null : `${name} can be ${value}, and must be ${min} to ${max}`;
 }
 
-/** Evaluates figures: by the operators' expression where it gives a sound value, else by the default. */
+/**
+ * Evaluates figures by the operators' expressions. Falls back to a figure's default expression if the operators
+ * set none, or if theirs fails or gives a value out of range.
+ */
 class PolicyEvaluator {
   readonly #cluster: Values;
   readonly #defaults: ReadonlyMap<FigureName, Evaluate>;
@@ -278,7 +289,7 @@
 
   constructor(
     settings: PlatformSettings,
-    private readonly expressions: ReadonlyMap<FigureName, Compiled>,
+    private readonly expressions: ReadonlyMap<FigureName, CompiledExpression>,
     private readonly log?: Log,
   ) {
     this.#cluster = clusterValues(settings);
@@ -288,11 +299,11 @@
   /** The value of a figure for these values of its scope's variables. */
   evaluate(name: FigureName, values: Values): number {
     const variables = { ...this.#cluster, ...values };
-    return this.#evaluateOwn(name, variables) ?? this.#defaults.get(name)?.(variables) ?? 0;
+    return this.#evaluateConfigured(name, variables) ?? this.#defaults.get(name)?.(variables) ?? 0;
   }
 
-  /** The value by the operators' expression; `null`: there is none, or it fails or is out of range. */
-  #evaluateOwn(name: FigureName, variables: Values): number | null {
+  /** The value of the operators' expression; `null` if there is none, it fails, or the value is out of range. */
+  #evaluateConfigured(name: FigureName, variables: Values): number | null {
     const expression = this.expressions.get(name);
     if (expression === undefined) return null;
     let reason = 'out of range';
@@ -312,25 +323,25 @@
     this.#loggedFaults.add(name);
   }
 
-  /** The figure as a function of a job, evaluated once for each: the core asks thousands of times. */
+  /** The figure as a function of a job. The value is cached per job, since the core reads it thousands of times. */
   perJob(name: FigureName): (job: JobSpec) => number {
-    const known = new WeakMap<JobSpec, number>();
+    const cache = new WeakMap<JobSpec, number>();
     return (job) => {
-      let value = known.get(job);
+      let value = cache.get(job);
       if (value === undefined) {
         value = this.evaluate(name, jobValues(job));
-        known.set(job, value);
+        cache.set(job, value);
       }
       return value;
     };
   }
 
-  /** The figure as a function of a machine type and of whether it is a spot machine, evaluated once for each. */
+  /** The figure as a function of a machine type and of whether the machine is a spot machine; cached for each pair. */
   perMachineType(name: FigureName): (type: MachineType, spot: boolean) => number {
-    const known = new WeakMap<MachineType, Map<boolean, number>>();
+    const cache = new WeakMap<MachineType, Map<boolean, number>>();
     return (type, spot) => {
-      const values = known.get(type) ?? new Map<boolean, number>();
-      known.set(type, values);
+      const values = cache.get(type) ?? new Map<boolean, number>();
+      cache.set(type, values);
       const value = values.get(spot) ?? this.evaluate(name, machineValues(type, spot));
       values.set(spot, value);
       return value;
@@ -339,9 +350,9 @@
 }
 
 /**
- * The scheduling policy of the core: the defaults, and what a sound policy text sets in their place. A figure
- * that cannot be evaluated later on is logged once and falls back to its default.
- * @throws {PolicyError} if the text has a fault; the message tells the first.
+ * Creates the core's scheduling policy: the default expressions, overridden by those of the policy text. If an
+ * expression later fails or gives a value out of range, the default applies; this is logged once per figure.
+ * @throws {PolicyError} if the text has a fault; the message gives the first one.
  */
 export function createPolicy(settings: PlatformSettings, text = '', log?: Log): SchedulingPolicy {
   const { expressions, faults } = readPolicy(text, settings);
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,4 +1,7 @@
-/** The platform's settings file: its schema, and the limits and timings derived from it. The only place with its field names. */
+/**
+ * The platform's settings file: its schema, which defines the field names, and the limits and timings that are
+ * derived from it.
+ */
 import { readFileSync } from 'node:fs';
 import * as v from 'valibot';
 import type { Timing } from '../core/timing.js';
@@ -61,7 +64,7 @@
   }),
 });
 
-/** A sound settings document, with the file's own names and units. */
+/** A valid settings document, with the field names and units of the file. */
 export type PlatformSettings = v.InferOutput<typeof settingsSchema>;
 
 /** Limits of the key-value store: requests and writes per second, KiB per value, mutations per transaction. */
@@ -73,8 +76,8 @@
 }
 
 /**
- * The limits kept once every controller can keep them: the smaller of the present and the announced ones,
- * since the time at which the announced ones take effect is not known.
+ * The limits that apply once every controller can keep them: for each, the smaller of the present and the
+ * announced value, since the time at which the announced limits take effect is not known.
  */
 export function strictestLimits(settings: PlatformSettings): StoreLimits {
   const { state } = settings.cluster;
@@ -95,14 +98,14 @@
 
 /** Splits `HOST:PORT`; the form is checked by the caller. */
 export function parseAddress(addr: string): Address {
-  const at = addr.lastIndexOf(':');
-  return { host: addr.slice(0, at), port: Number(addr.slice(at + 1)) };
+  const colon = addr.lastIndexOf(':');
+  return { host: addr.slice(0, colon), port: Number(addr.slice(colon + 1)) };
 }
 
-/** A settings, policy or job file that cannot be read or is unsound; the message names the file or field. */
+/** A settings, policy or job file that cannot be read or is invalid; the message names the file or field. */
 export class SettingsError extends Error {}
 
-/** Every fault of a settings document, each as `field: reason`; empty if it is sound. */
+/** Every fault of a settings document, each as `field: reason`; empty if it is valid. */
 export function settingsFaults(document: unknown): string[] {
   const result = v.safeParse(settingsSchema, document);
   return result.success
@@ -149,28 +152,28 @@
   }
 }
 
-/** Timeouts and intervals of the service, as ratios of the settings' figures. */
+/** The service's timeouts and intervals, derived from `report_s`, `lease_s` and `cancel_s` of the settings. */
 export function timing(settings: PlatformSettings): Timing {
   const { report_s, lease_s, cancel_s } = settings.cluster.workers;
-  const lease = lease_s * 1000;
-  const report = report_s * 1000;
+  const leaseMs = lease_s * 1000;
+  const reportMs = report_s * 1000;
   return {
-    leaderLeaseMs: Math.max(1000, 0.2 * lease),
-    renewIntervalMs: Math.max(250, 0.05 * lease),
-    // A tenth of cancel_s is the margin for late timers, clock drift and the worker's own reaction.
+    leaderLeaseMs: Math.max(1000, 0.2 * leaseMs),
+    renewIntervalMs: Math.max(250, 0.05 * leaseMs),
+    // A tenth of cancel_s is the margin for late timers, clock drift and the worker's reaction time.
     authorityWindowMs: Math.max(0, (0.9 * cancel_s - lease_s) * 1000),
-    workerLeaseMs: lease,
-    maxHeartbeatIntervalMs: 1.25 * report,
-    silenceTimeoutMs: lease + 1.25 * report,
-    // Longer than a worker takes to try its other controllers after one did not answer.
-    shortSilenceTimeoutMs: 0.5 * lease + 1.25 * report,
+    workerLeaseMs: leaseMs,
+    maxHeartbeatIntervalMs: 1.25 * reportMs,
+    silenceTimeoutMs: leaseMs + 1.25 * reportMs,
+    // This is longer than a worker takes to try its other controllers after one did not answer.
+    shortSilenceTimeoutMs: 0.5 * leaseMs + 1.25 * reportMs,
     cancelTimeoutMs: cancel_s * 1000,
-    watchTimeoutMs: 0.1 * lease,
-    storeTimeoutMs: 0.15 * lease,
-    tickMs: 0.25 * report,
-    probeTimeoutMs: 0.3 * report,
-    exitBatchDelayMs: 0.2 * lease,
-    maxReplyDelayMs: 0.25 * report,
-    forwardBatchDelayMs: 0.02 * report,
+    watchTimeoutMs: 0.1 * leaseMs,
+    storeTimeoutMs: 0.15 * leaseMs,
+    tickMs: 0.25 * reportMs,
+    probeTimeoutMs: 0.3 * reportMs,
+    exitBatchDelayMs: 0.2 * leaseMs,
+    maxReplyDelayMs: 0.25 * reportMs,
+    forwardBatchDelayMs: 0.02 * reportMs,
   };
 }
