--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,4 +1,7 @@
-/** The command line. Exit codes: 0 done, 1 the service cannot or will not, 2 wrong use. */
+/**
+ * The command line. Exit codes: 0 success; 1 the service refused the request or did not answer; 2 wrong use of the
+ * command line, or a settings, policy or job file that cannot be read or is invalid.
+ */
 import { Command, CommanderError, InvalidArgumentError } from 'commander';
 import { createLog } from '../observability/logging.js';
 import { memoryQuotaFault } from '../observability/memory.js';
@@ -12,7 +15,7 @@
 const VERSION = typeof ROWANFERRY_VERSION === 'string' ? ROWANFERRY_VERSION : 'dev';
 
 const EXIT_OK = 0;
-const EXIT_WRONG_USE = 2;
+const EXIT_USAGE_ERROR = 2;
 
 interface FileOptions {
   readonly settings: string;
@@ -20,16 +23,17 @@
 }
 
 interface CheckOptions extends FileOptions {
-  /** Machines of the fleet that the memory quota is checked for. */
+  /** Number of machines for which the memory quota is checked. */
   readonly machines?: number;
 }
 
-/** Runs a controller until the process is ended. */
+/** Starts a controller, which runs until the process ends. */
 function serve({ settings: file, policy: policyFile }: FileOptions): void {
   const settings = parseSettings(readDocument(file));
   const log = createLog(process.env['LOG_LEVEL']);
   const policy = createPolicy(settings, policyFile === undefined ? '' : readText(policyFile), log);
-  // Whatever goes wrong from here on is logged and survived; only a bad start ends the process.
+  // From here on, uncaught errors are logged and the process continues. Only the errors thrown above (files that
+  // cannot be read or are invalid) end it.
   process.on('uncaughtException', (error) =>
     log.error({ error: error.message, stack: error.stack }, 'uncaught exception'),
   );
@@ -37,7 +41,10 @@
   startService(settings, policy, log);
 }
 
-/** Prints every fault of the files, each on a line; the result is the exit code. */
+/**
+ * Prints every fault of the files, one per line, and returns the exit code. The policy is checked only if the
+ * settings are valid, and the memory quota only if both are.
+ */
 function check({ settings: file, policy: policyFile, machines }: CheckOptions, output: Output): number {
   const document = readDocument(file);
   const faults = settingsFaults(document).map((fault) => `${file}: ${fault}`);
@@ -51,15 +58,15 @@
   }
   for (const fault of faults) output.err(fault);
   if (faults.length === 0) output.out('no faults');
-  return faults.length === 0 ? EXIT_OK : EXIT_WRONG_USE;
+  return faults.length === 0 ? EXIT_OK : EXIT_USAGE_ERROR;
 }
 
-function address(value: string): string {
+function parseServerAddress(value: string): string {
   if (!/^[\w.-]+:\d{1,5}$/.test(value)) throw new InvalidArgumentError('must be HOST:PORT');
   return value;
 }
 
-function machineCount(value: string): number {
+function parseMachineCount(value: string): number {
   if (!/^[1-9]\d{0,6}$/.test(value)) throw new InvalidArgumentError('must be a number of machines');
   return Number(value);
 }
@@ -69,7 +76,7 @@
   err: (line) => process.stderr.write(`${line}\n`),
 };
 
-/** What the commands write to, and the exit code that they set; `null` while a controller goes on. */
+/** The output that commands write to, and the exit code that they set: `null` if a controller keeps running. */
 interface Invocation {
   readonly output: Output;
   exitCode: number | null;
@@ -84,24 +91,24 @@
   command.option(
     '--server <host:port>',
     'a controller (default: ROWANFERRY_SERVER)',
-    address,
+    parseServerAddress,
     process.env['ROWANFERRY_SERVER'] ?? '127.0.0.1:8080',
   );
 
-/** The commands that run on files alone: `serve` and `check`. */
+/** Adds the commands that take files and no controller address: `serve` and `check`. */
 function addFileCommands(program: Command, invocation: Invocation): void {
   withFiles(program.command('serve').description('run a controller')).action((options: FileOptions) => {
     serve(options);
     invocation.exitCode = null;
   });
   withFiles(program.command('check').description('look for faults in settings and policy'))
-    .option('--machines <count>', 'whether the memory quota suffices for so many machines', machineCount)
+    .option('--machines <count>', 'whether the memory quota suffices for so many machines', parseMachineCount)
     .action((options: CheckOptions) => {
       invocation.exitCode = check(options, invocation.output);
     });
 }
 
-/** The commands that send one request to a controller. */
+/** Adds the commands that send requests to a controller. */
 function addUserCommands(program: Command, invocation: Invocation): void {
   const add = (name: string, description: string): Command =>
     withServer(program.command(name).description(description));
@@ -116,7 +123,7 @@
   show.action(async (id: string, { follow }: { follow?: boolean }) => {
     invocation.exitCode = await client(show).show(id, follow === true);
   });
-  // `withdraw` is the earlier name of the command, which scripts of users call.
+  // `withdraw` is the earlier name of the command and is kept for users' scripts that call it.
   const cancel = add('cancel <id>', 'cancel a job').alias('withdraw');
   cancel.action(async (id: string) => {
     invocation.exitCode = await client(cancel).cancel(id);
@@ -127,21 +134,24 @@
   });
 }
 
-/** Reports an error of the caller; the result is the exit code. Other errors are thrown on. */
+/**
+ * Prints a usage, settings or policy error and returns the exit code; any other error is rethrown. After help or
+ * version output, which Commander also reports as an error, the exit code is 0.
+ */
 function reportError(error: unknown, output: Output): number {
   if (error instanceof CommanderError) {
     if (error.exitCode === 0) return EXIT_OK;
     output.err(`rowanferry: ${error.message.replace(/^error: /, '').replaceAll('\n', ' ')}`);
-    return EXIT_WRONG_USE;
+    return EXIT_USAGE_ERROR;
   }
   if (error instanceof SettingsError || error instanceof PolicyError) {
     output.err(`rowanferry: ${error.message}`);
-    return EXIT_WRONG_USE;
+    return EXIT_USAGE_ERROR;
   }
   throw error;
 }
 
-/** Runs the command line; the result is the exit code, or `null` while a controller goes on. */
+/** Runs the command line. Resolves to the exit code, or to `null` if a controller keeps running. */
 export async function main(args: readonly string[], output: Output = standardOutput): Promise<number | null> {
   const invocation: Invocation = { output, exitCode: EXIT_OK };
   const program = new Command('rowanferry')
--- a/src/cli/user-client.ts
+++ b/src/cli/user-client.ts
@@ -3,15 +3,15 @@
 import { parseAddress } from '../config/settings.js';
 import { asObject } from '../core/values.js';
 
-/** Where lines are printed. */
+/** Receives the lines that commands print: results through `out`, errors through `err`. */
 export interface Output {
   out(line: string): void;
   err(line: string): void;
 }
 
-/** Time that one request may take, in milliseconds. */
+/** Timeout of one request, in milliseconds. */
 const TIMEOUT_MS = 5000;
-/** Time between two requests of a job that is followed, in milliseconds. */
+/** Time between two requests of `show --follow`, in milliseconds. */
 const POLL_MS = 1000;
 
 /** Sends requests to one controller, each on a connection of its own. The methods resolve to an exit code. */
@@ -48,18 +48,21 @@
     return this.#print(await this.#request('POST', '/v2/runs', JSON.stringify(job)));
   }
 
-  /** Shows a job; with `follow`, each change of it until it has ended. */
+  /**
+   * Shows a job. With `follow`, polls it and prints each change until the job is done or withdrawn, or until a
+   * request fails in another way than with status 503.
+   */
   async show(id: string, follow: boolean): Promise<number> {
     const path = `/v2/runs/${encodeURIComponent(id)}`;
-    let last = '';
+    let lastLine = '';
     for (;;) {
       const answer = await this.#request('GET', path, null);
       const stage = asObject(answer.body)?.['stage'];
       const isFinal = stage === 'done' || stage === 'withdrawn';
       if (!follow || isFinal || (answer.status !== 200 && answer.status !== 503)) return this.#print(answer);
       const line = JSON.stringify(answer.body);
-      if (line !== last && answer.status === 200) this.output.out(line);
-      last = line;
+      if (line !== lastLine && answer.status === 200) this.output.out(line);
+      lastLine = line;
       await new Promise((resolve) => setTimeout(resolve, POLL_MS));
     }
   }
--- a/src/launch.ts
+++ b/src/launch.ts
@@ -1,7 +1,7 @@
 /**
  * Entry point as deployed: starts the program with the code cache that the build wrote, since compiling the
- * bundle delays the start of a controller with a small share of a core. V8 refuses a cache of another version
- * of Node.js or of other flags; the program is then compiled as usual.
+ * bundle delays the start of a controller with a small share of a core. V8 rejects a cache that was written by
+ * another version of Node.js or under other flags; the program is then compiled as usual.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -23,7 +23,8 @@
 const source = `(function (require, module, exports) {${readFileSync(filename, 'utf8')}\n})`;
 const cachedData = readCodeCache();
 const script = new Script(source, cachedData === undefined ? { filename } : { filename, cachedData });
-// Set by the build alone, in milliseconds: functions that were called by then are part of the cache.
+// Only the build sets this: the time in milliseconds after which the cache is written and the process exits. The
+// cache includes the functions that were called by then.
 const writeCacheAfterMs = Number(process.env['ROWANFERRY_KEEP_CODE'] ?? 0);
 if (writeCacheAfterMs > 0)
   setTimeout(() => {
--- a/src/service.ts
+++ b/src/service.ts
@@ -1,4 +1,4 @@
-/** Composition root of a controller process: a node with its adapters on the network. */
+/** Composition root of a controller process: connects a node to its network adapters. */
 import { randomUUID } from 'node:crypto';
 import { HttpCloud } from './adapters/cloud.js';
 import { PeerLinks } from './adapters/peer-links.js';
@@ -12,16 +12,16 @@
 import { ControllerNode } from './controller/node.js';
 import { parseAddress, timing, type PlatformSettings } from './config/settings.js';
 
-/** Starts a controller that runs until the process ends. Faults of its ports are logged. */
+/** Starts a controller that runs until the process ends. Errors of its public and peer servers are logged. */
 export function startService(settings: PlatformSettings, policy: SchedulingPolicy, log: Log): void {
   const clock = systemClock;
-  const times = timing(settings);
+  const serviceTiming = timing(settings);
   const node = new ControllerNode(settings, {
     state: new HttpKeyValueStore(settings, clock),
     cloud: new HttpCloud(settings, clock),
     workers: new HttpWorkerClient(
-      2 * times.maxHeartbeatIntervalMs,
-      times.probeTimeoutMs,
+      2 * serviceTiming.maxHeartbeatIntervalMs,
+      serviceTiming.probeTimeoutMs,
       Math.ceil(settings.cluster.quota.sockets / 16),
     ),
     clock,
@@ -35,7 +35,7 @@
   server.listen(port, host);
   const peers = new PeerLinks({
     settings,
-    timing: times,
+    timing: serviceTiming,
     clock,
     log,
     malformed: node.malformed,
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -9,12 +9,12 @@
 import { testSettings } from './emulators/simulation.js';
 
 const folder = mkdtempSync(join(tmpdir(), 'rowanferry-'));
-const file = (name: string, content: string): string => {
+const writeTestFile = (name: string, content: string): string => {
   const path = join(folder, name);
   writeFileSync(path, content);
   return path;
 };
-const good = file('good.json', JSON.stringify(testSettings(0)));
+const validSettings = writeTestFile('good.json', JSON.stringify(testSettings(0)));
 
 async function run(...args: string[]): Promise<{ code: number | null; out: string[]; err: string[] }> {
   const out: string[] = [];
@@ -31,7 +31,7 @@
   expect((await run('--version')).code).toBe(0);
 });
 
-test.each(['cancel', 'withdraw'])('%s asks the controller to cancel a job', async (command) => {
+test.each(['cancel', 'withdraw'])('%s sends the controller a request to cancel a job', async (command) => {
   const paths: (string | undefined)[] = [];
   const server = createServer((request, response) => {
     paths.push(`${request.method} ${request.url}`);
@@ -52,15 +52,18 @@
   [['show']],
   [['show', 'req-1', '--server', 'nowhere']],
   [['check', '--x']],
-])('wrong use %j: one line, exit 2', async (args) => {
+])('wrong use %j prints one line to standard error and exits with 2', async (args) => {
   const { code, err } = await run(...args);
   expect(code).toBe(2);
   expect(err).toHaveLength(1);
 });
 
 test('serve refuses invalid settings with one line that names the field and exits with 2', async () => {
-  const bad = file('bad.json', JSON.stringify({ ...testSettings(0), peer_bind: 'here' }));
-  expect(await run('serve', '--settings', bad)).toEqual({
+  const invalidSettings = writeTestFile(
+    'bad.json',
+    JSON.stringify({ ...testSettings(0), peer_bind: 'here' }),
+  );
+  expect(await run('serve', '--settings', invalidSettings)).toEqual({
     code: 2,
     out: [],
     err: ['rowanferry: peer_bind: must be IP:PORT'],
@@ -69,19 +72,19 @@
 });
 
 test('serve refuses an invalid policy', async () => {
-  const policy = file('bad.policy', 'headroom = 99.0\n');
-  const { code, err } = await run('serve', '--settings', good, '--policy', policy);
+  const policy = writeTestFile('bad.policy', 'headroom = 99.0\n');
+  const { code, err } = await run('serve', '--settings', validSettings, '--policy', policy);
   expect(code).toBe(2);
   expect(err).toEqual(['rowanferry: 1:12: headroom can be 99, and must be 0 to 10']);
 });
 
 test('check lists every fault, or states that there are none', async () => {
-  expect(await run('check', '--settings', good)).toEqual({ code: 0, out: ['no faults'], err: [] });
-  const bad = file(
+  expect(await run('check', '--settings', validSettings)).toEqual({ code: 0, out: ['no faults'], err: [] });
+  const invalidSettings = writeTestFile(
     'two.json',
     JSON.stringify({ ...testSettings(0), host_name: '', zone: 5, more: 'ignored' }),
   );
-  const { code, err } = await run('check', '--settings', bad);
+  const { code, err } = await run('check', '--settings', invalidSettings);
   expect(code).toBe(2);
   expect(err.map((line) => line.split(': ')[1])).toEqual(['host_name', 'zone']);
 });
