--- a/src/observability/logging.ts
+++ b/src/observability/logging.ts
@@ -11,8 +11,8 @@
   readonly #counts = new Map<string, number>();
 
   /** Counts one event of this kind. */
-  count(what: string): void {
-    this.#counts.set(what, (this.#counts.get(what) ?? 0) + 1);
+  count(kind: string): void {
+    this.#counts.set(kind, (this.#counts.get(kind) ?? 0) + 1);
   }
 
   /** Logs the counts since the last call, if there are any, and resets them. */
@@ -23,7 +23,7 @@
   }
 }
 
-/** A logger at this level; `info` if it is none of error, info and debug. */
+/** Creates a logger at this level, or at `info` if the level is not one of error, info and debug. */
 export function createLog(level: string | undefined): Log {
   return pino(
     { level: level !== undefined && LEVELS.has(level) ? level : 'info', base: null, timestamp: false },
--- a/src/observability/status-page.ts
+++ b/src/observability/status-page.ts
@@ -1,14 +1,14 @@
-/** The leader's part of the status page: one object, bounded in size. Field names are the page's own. */
+/** The leader's part of the status page: one object of bounded size. Its field names are those of the page. */
 import { freeResources, isFaultyJob, waitingJobs } from '../core/placement/index.js';
 import { isReady, waitingTasks } from '../core/jobs/index.js';
 import { taskKey, type Machine, type Now } from '../core/model.js';
 import type { CoreState } from '../core/state.js';
 
 const MAX_LISTED_MACHINES = 100;
-/** Entries that any other list of the page holds at most. */
+/** Maximum number of entries in each other list. `promised` is bounded per job class where the jobs are chosen. */
 const MAX_LISTED = 10;
 
-/** The stage of a machine, in the page's words. */
+/** The stage of a machine, as the status page names it. */
 function stageOf(machine: Machine): string {
   if (machine.terminationReason !== null) return 'leaving';
   if (machine.reclaimedAt !== null) return 'being taken';
@@ -33,7 +33,7 @@
   };
 }
 
-/** Jobs whose dependencies have not ended, and the dependencies. */
+/** The jobs that wait for dependencies, and the dependencies that they wait for. */
 function describeWaiting(state: CoreState): object {
   const waiting = [...state.jobs.values()].filter((job) => job.finalStage === null && !isReady(job));
   return {
@@ -46,14 +46,17 @@
   };
 }
 
-/** What only the leader knows: the queue, its head's reservation, the teams' usage, the machines and their price per hour. */
+/**
+ * The part of the status page that only the leader can provide: the queue, the reservation of the queue's head, the
+ * teams' usage, and the machines with their price per hour.
+ */
 export function describeLeaderView(state: CoreState, now: Now): object {
   const queue = waitingJobs(state, now);
   const { head } = state;
-  let perHour = 0;
+  let pricePerHour = 0;
   for (const machine of state.machines.values()) {
     const type = state.machineTypes.get(machine.type);
-    if (type !== undefined) perHour += machine.spot ? type.spotPrice : type.price;
+    if (type !== undefined) pricePerHour += machine.spot ? type.spotPrice : type.price;
   }
   return {
     queue: {
@@ -89,7 +92,7 @@
         { cpus: Math.round(cpus), gpus, tasks },
       ]),
     ),
-    moneyPerHour: Math.round(perHour * 100) / 100,
+    moneyPerHour: Math.round(pricePerHour * 100) / 100,
     jobs: state.jobs.size,
     machines: [...state.machines.values()]
       .slice(0, MAX_LISTED_MACHINES)
