--- a/build.mjs
+++ b/build.mjs
@@ -1,5 +1,5 @@
-// Bundles the program into one file, and has it compiled ahead: on a twelfth of a core, loading hundreds of
-// small modules would cost several seconds at every start, and compiling them one more.
+// Bundles the program into one file and writes a code cache for it. On a twelfth of a core, loading hundreds of
+// small modules would take several seconds at every start, and compiling them one second more.
 import { execFileSync } from 'node:child_process';
 import { readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { build } from 'esbuild';
@@ -28,7 +28,8 @@
   banner: { js: '#!/usr/bin/env node' },
 });
 rmSync('target/program.cjs.code', { force: true });
-// A controller that reaches nobody: what it calls in its first second is kept compiled.
+// Settings of a controller that can reach no other process. The functions that it calls in its first 1.5 seconds
+// are stored compiled in the code cache.
 const nobody = '127.0.0.1:9';
 const settings = {
   host_name: 'build',
@@ -48,7 +49,7 @@
   },
 };
 writeFileSync('target/build.json', JSON.stringify(settings));
-// Compiled code counts only under the flags that it was compiled with.
+// V8 accepts a code cache only under the flags that it was written with, so the deployed flags are used.
 const [, flags = ''] = /^run = "node ((?:--\S+ )*)/m.exec(readFileSync('deploy/service.toml', 'utf8')) ?? [];
 execFileSync(
   process.execPath,
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -7,13 +7,13 @@
 import globals from 'globals';
 import tseslint from 'typescript-eslint';
 
-/** The files that only start or operate the service; nothing that does its work may import them. */
+/** Entry points only start or operate the service. The modules that implement it must not import them. */
 const ENTRY_POINTS = [
   './src/cli',
   ...['index', 'launch', 'main', 'service'].map((name) => `./src/${name}.ts`),
 ];
 
-/** Which directory may import which: each zone forbids `from`, apart from `except` (relative to `from`). */
+/** Forbidden imports: files in `target` must not import from `from`, apart from `except` (relative to `from`). */
 const IMPORT_ZONES = [
   { target: './src', from: ['./test', './lab', './bench'], message: 'src/ stands alone.' },
   { target: './src/core', from: './src', except: ['./core'], message: 'core/ imports only core/.' },
@@ -92,18 +92,18 @@
       'import-x/order': ['error', { groups: ['builtin', 'external', 'parent', 'sibling', 'index'] }],
 
       '@typescript-eslint/no-unused-vars': ['error', { argsIgnorePattern: '^_', ignoreRestSiblings: true }],
-      // `() => call()` hands a call on; braces would add nothing.
+      // `() => call()` forwards a call; braces would add nothing.
       '@typescript-eslint/no-confusing-void-expression': ['error', { ignoreArrowShorthand: true }],
-      // Numbers are written into messages everywhere.
+      // Many messages contain numbers.
       '@typescript-eslint/restrict-template-expressions': ['error', { allowNumber: true }],
       '@typescript-eslint/restrict-plus-operands': ['error', { allowNumberAndString: true }],
-      // Brackets mark a key of a raw message or a setting from outside, of which the type promises nothing.
+      // Brackets mark a key of a raw message or of an external setting, whose value the type does not guarantee.
       '@typescript-eslint/dot-notation': ['error', { allowIndexSignaturePropertyAccess: true }],
-      // Its mend is a `!`, which no-non-null-assertion forbids.
+      // Its fix is a `!`, which no-non-null-assertion forbids.
       '@typescript-eslint/non-nullable-type-assertion-style': 'off',
-      // Narrowing does not see that a call or an await changes a field in between: most of 14 places are such.
+      // Type narrowing ignores that a call or an await may change a field in between; most of 12 places are such.
       '@typescript-eslint/no-unnecessary-condition': 'off',
-      // 15 places, not yet mended; the mend is by hand since it turns a check for null into a comparison with undefined.
+      // 15 places are not yet fixed. The fix is manual: it turns a check for null into a comparison with undefined.
       '@typescript-eslint/prefer-optional-chain': 'off',
     },
   },
@@ -117,7 +117,7 @@
         'error',
         {
           publicOnly: true,
-          // Its mend is an empty comment.
+          // Its fix is an empty comment.
           enableFixer: false,
           require: { ClassDeclaration: true, FunctionDeclaration: true },
           contexts: [
@@ -128,7 +128,7 @@
           ],
         },
       ],
-      // Names and types say what goes in and out; a tag is written where they do not.
+      // Names and types describe parameters and results; a tag is written only where they do not suffice.
       'jsdoc/require-param': 'off',
       'jsdoc/require-returns': 'off',
       'jsdoc/require-yields': 'off',
@@ -159,18 +159,18 @@
       'vitest/no-focused-tests': 'error',
       'vitest/no-duplicate-hooks': 'error',
       'vitest/valid-expect-in-promise': 'error',
-      // 5 places, not yet mended: tests over many cases expect by case.
+      // 5 places are not yet fixed: tests over many cases whose expectations depend on the case.
       'vitest/no-conditional-expect': 'off',
-      // 1 place: the helper class of a test states what each of its steps expects.
+      // 1 place needs this: the helper class of a test contains the expectations of each step.
       'vitest/no-standalone-expect': 'off',
     },
   },
   {
     files: ['test/**/*.ts'],
     rules: {
-      // 4 places, not yet mended: log fields and status fields are of unknown type and written into texts.
+      // 2 places are not yet fixed: log fields and status fields of unknown type are formatted into texts.
       '@typescript-eslint/no-base-to-string': 'off',
-      // 1 place: a stored ratio of 17 digits is wanted.
+      // 1 place needs this: a stored ratio of 17 digits.
       'no-loss-of-precision': 'off',
     },
   },
