--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -39,8 +39,8 @@
   expect(policy.expectedRunMs(job('req-2', 1, 1, 30))).toBe(30_000);
 });
 
-test('an evaluation error falls back to the default', () => {
-  // Sound for every sample, but not for this job.
+test('an expression whose value is out of range for a job falls back to the default', () => {
+  // In range for every sample job, but 51 for this one, above the maximum of 10.
   const policy = createPolicy(settings, 'headroom = 1.0 + 10.0 * memory_gb / 1000.0');
   expect(policy.headroomFactor(job('req-1', 1, 1, 30, { memoryGb: 5000 }))).toBe(
     Number(FIGURES.headroom.source),
