--- a/bench/between.mjs
+++ b/bench/between.mjs
@@ -1,6 +1,7 @@
-// Plays drawn days of faults between controllers, a version before beside today's sources, same seeds:
+// Plays random days with faults between controllers, for an earlier version and the current sources, same seeds:
 //   node bench/between.mjs [--against COMMIT] [--days 34]
-// Seconds of the tests' virtual time: median / ninth tenth / worst. A column that a version does not log is empty.
+// Times are seconds of the tests' virtual time: median / 90th percentile / worst. A column is empty if a version
+// does not log its event.
 import { execFile, execFileSync } from 'node:child_process';
 import { availableParallelism } from 'node:os';
 import { join, resolve } from 'node:path';
@@ -12,7 +13,7 @@
   options: { against: { type: 'string' }, days: { type: 'string', default: '34' } },
 });
 
-/** Bundles the days of the version whose repository lies in `root`. */
+/** Bundles bench/between.ts of the version whose repository is at `root`. */
 async function bundle(name, root) {
   const outfile = join('target', 'bench', `between-${name}.cjs`);
   await build({
--- a/bench/between.ts
+++ b/bench/between.ts
@@ -1,12 +1,12 @@
 /**
- * Drawn days of faults between controllers, in the tests' own world: how long until something starts
- * again, what is given back alive, what loses its lease. One JSON line a kind of fault.
+ * Plays random days with faults between controllers in the simulation of the tests, and measures the longest pause
+ * between task starts, the machines returned alive and the leases lost. Prints one JSON line for a kind of fault.
  */
 import { build as buildHistogram, type Histogram } from 'hdr-histogram-js';
 import { seeded, Simulation } from '../test/emulators/simulation.js';
 
-const FROM = 20_000;
-const LENGTH = 45_000;
+const EARLIEST_FAULT_MS = 20_000;
+const OBSERVED_MS = 45_000;
 
 type Fault = (world: Simulation, leader: number, size: number) => void;
 
@@ -16,7 +16,7 @@
     world.network.partition(`n-${leader}`, name, 15_000 + 20_000 * size);
 };
 
-/** Each at a size drawn from 0 to 1. */
+/** Kinds of faults; `size` is a random number from 0 to 1 that scales the fault. */
 const KINDS: Record<string, Fault> = {
   'short stall': (world, leader, size) => world.pause(leader, 200 + 1000 * size),
   'long stall': (world, leader, size) => world.pause(leader, 2500 + 6000 * size),
@@ -49,11 +49,11 @@
   readonly unfinished: number;
 }
 
-async function play(seed: number, fault: Fault): Promise<Day> {
+async function playDay(seed: number, fault: Fault): Promise<Day> {
   const draw = seeded(seed);
   const world = new Simulation(draw, { keepLog: true });
   world.cloud.capacity = 40;
-  const wish = {
+  const jobTemplate = {
     team: 'crew',
     tasks: 8,
     cpus: 2,
@@ -65,61 +65,69 @@
   };
   for (let i = 0; i < 200; i += 1)
     world.clock.in(2000 + 300 * i, () => {
-      void world.user({ ...wish, id: `req-${String(i).padStart(6, '0')}` }, null);
+      void world.user({ ...jobTemplate, id: `req-${String(i).padStart(6, '0')}` }, null);
     });
-  await world.clock.runUntil(FROM + 2000 * draw());
-  const from = world.clock.now;
+  await world.clock.runUntil(EARLIEST_FAULT_MS + 2000 * draw());
+  const faultAt = world.clock.now;
   const [leader = 'n-0'] = world.leaders();
   fault(world, Number(leader.slice(2)), draw());
   let pause = 0;
-  let last = from;
+  let lastStartAt = faultAt;
   let { started } = world.checker;
-  while (world.clock.now < from + LENGTH) {
+  while (world.clock.now < faultAt + OBSERVED_MS) {
     await world.clock.runUntil(world.clock.now + 100);
-    if (world.checker.started > started) last = world.clock.now;
+    if (world.checker.started > started) lastStartAt = world.clock.now;
     started = world.checker.started;
-    pause = Math.max(pause, world.clock.now - last);
+    pause = Math.max(pause, world.clock.now - lastStartAt);
   }
-  await world.clock.runUntil(from + 150_000);
-  const after = world.logged.filter(({ at }) => at >= from);
-  const since = (at: number | undefined): number | null => (at === undefined ? null : at - from);
-  const early = after.filter(({ at }) => at < from + LENGTH);
+  await world.clock.runUntil(faultAt + 150_000);
+  const logged = world.logged.filter(({ at }) => at >= faultAt);
+  const since = (at: number | undefined): number | null => (at === undefined ? null : at - faultAt);
+  const whileObserved = logged.filter(({ at }) => at < faultAt + OBSERVED_MS);
   return {
     pause,
-    suspected: since(early.find(({ msg, peer }) => msg === 'peer suspected' && peer === leader)?.at),
-    elected: since(early.find(({ msg }) => msg === 'leader elected')?.at),
-    changes: early.filter(({ msg }) => msg === 'leader elected').length,
-    // No machine fails on these days: whatever is given back, but for want of work, was alive.
-    givenBack: after.filter(({ msg, reason }) => msg === 'machine terminated' && reason !== 'idle').length,
+    suspected: since(whileObserved.find(({ msg, peer }) => msg === 'peer suspected' && peer === leader)?.at),
+    elected: since(whileObserved.find(({ msg }) => msg === 'leader elected')?.at),
+    changes: whileObserved.filter(({ msg }) => msg === 'leader elected').length,
+    // No machine fails on these days, so every machine that is returned for another reason than idleness was alive.
+    givenBack: logged.filter(({ msg, reason }) => msg === 'machine terminated' && reason !== 'idle').length,
     leases: [...world.cloud.workers.values()].reduce((sum, { session }) => sum + session - 1, 0),
     broken: world.checker.violations,
     unfinished: world.checker.unfinishedJobs().length,
   };
 }
 
-const told = (histogram: Histogram): string =>
+const formatSeconds = (histogram: Histogram): string =>
   histogram.totalCount === 0
     ? '–'
     : [50, 90, 100].map((share) => (histogram.getValueAtPercentile(share) / 1000).toFixed(1)).join(' / ');
 
 async function main(kind: string, days: number): Promise<void> {
   const fault = KINDS[kind];
-  if (fault === undefined) throw new Error(`no such kind: ${kind}; one of ${Object.keys(KINDS).join(', ')}`);
+  if (fault === undefined)
+    throw new Error(`unknown kind of fault: ${kind}; known kinds: ${Object.keys(KINDS).join(', ')}`);
   const [pause, suspected, elected] = [buildHistogram(), buildHistogram(), buildHistogram()];
-  const sum = { changes: 0, givenBack: 0, leases: 0, broken: 0, unfinished: 0 };
+  const totals = { changes: 0, givenBack: 0, leases: 0, broken: 0, unfinished: 0 };
   for (let seed = 1; seed <= days; seed += 1) {
-    const day = await play(seed, fault);
+    const day = await playDay(seed, fault);
     pause.recordValue(Math.max(1, day.pause));
     if (day.suspected !== null) suspected.recordValue(Math.max(1, day.suspected));
     if (day.elected !== null) elected.recordValue(Math.max(1, day.elected));
-    sum.changes += day.changes;
-    sum.givenBack += day.givenBack;
-    sum.leases += day.leases;
-    sum.broken += day.broken.length;
-    sum.unfinished += day.unfinished;
+    totals.changes += day.changes;
+    totals.givenBack += day.givenBack;
+    totals.leases += day.leases;
+    totals.broken += day.broken.length;
+    totals.unfinished += day.unfinished;
     for (const rule of day.broken) console.error(`seed ${seed}, ${kind}: ${rule}`);
   }
-  const row = { kind, days, suspected: told(suspected), elected: told(elected), pause: told(pause), ...sum };
+  const row = {
+    kind,
+    days,
+    suspected: formatSeconds(suspected),
+    elected: formatSeconds(elected),
+    pause: formatSeconds(pause),
+    ...totals,
+  };
   console.log(JSON.stringify(row));
 }
 
--- a/bench/run.mjs
+++ b/bench/run.mjs
@@ -1,6 +1,6 @@
-// Times the core at several sizes, a version before beside today's sources:
+// Measures the core at several sizes, for an earlier version and the current sources:
 //   node bench/run.mjs [--against COMMIT] [--sizes 160,600,2000,6000] [--profile]
-// Processor time of this machine; compare the ratios, not the figures.
+// The figures are processor time of this machine: compare the ratios of versions, not the absolute values.
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
@@ -16,7 +16,7 @@
   },
 });
 
-/** Bundles the benchmark of the version whose repository lies in `root`. */
+/** Bundles the benchmark of the version whose repository is at `root`. */
 async function bundle(name, root) {
   const source = join(root, 'src');
   const at = (...paths) =>
@@ -47,7 +47,7 @@
     platform: 'node',
     format: 'cjs',
     target: 'node20',
-    // Each version has one of the two names of the function that makes the core's configuration.
+    // Each version exports the function that makes the core's configuration under one of two names.
     logOverride: { 'import-is-undefined': 'silent' },
     alias: { '#version': resolve(version) },
     nodePaths: [resolve('node_modules')],
--- a/bench/version.ts
+++ b/bench/version.ts
@@ -1,4 +1,4 @@
-/** What the benchmark needs of a version of the core, whichever it is. */
+/** The part of the core's interface that the benchmark uses, the same for every version of the core. */
 export interface State {
   layout: unknown;
   legacyChunkTasks: number;
--- a/bench/versions.mjs
+++ b/bench/versions.mjs
@@ -1,11 +1,11 @@
-// Today's sources and, if a commit is named, those of that commit, each bundled for a benchmark.
+// Bundles the current sources and, if a commit is given, the sources of that commit for a benchmark.
 import { execFileSync } from 'node:child_process';
 import { mkdirSync } from 'node:fs';
 import { resolve } from 'node:path';
 
 /**
- * `bundle(name, root)` gives the bundle's file; the earlier version comes first. A version is driven by the
- * benchmark and the emulators of its own commit, since the names inside the core differ between versions.
+ * `bundle(name, root)` returns the path of the bundle; the earlier version comes first in the result. Each version
+ * runs with the benchmark and the emulators of its own commit, since names inside the core differ between versions.
  */
 export async function bundleVersions(against, folder, bundle) {
   mkdirSync('target/bench', { recursive: true });
--- a/bench/world.ts
+++ b/bench/world.ts
@@ -1,7 +1,7 @@
 /**
- * A leader's core at size, without a network: machines that report, users that submit, a state
- * service that applies, a cloud that rents. Virtual time; what is measured is the processor time of
- * `step` alone, by what a batch was for.
+ * Runs a leader's core with a large fleet and without a network: simulated machines report, users submit, the state
+ * service applies transactions and the cloud rents machines, in virtual time. Measures only the processor time of
+ * `step`, by kind of batch.
  */
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
 import type { Core, Effect, Records, Reported, Spec, State } from './version.js';
@@ -10,10 +10,10 @@
 const LEASE_MS = 15_250;
 const BOOT_MS = 35_000;
 const COMMIT_MS = 5;
-/** How long a dead machine keeps one who knocks waiting. */
-const KNOCK_MS = 750;
+/** Time after which a probe of a dead machine fails. */
+const PROBE_TIMEOUT_MS = 750;
 const BATCH_MS = 5;
-const TERM_STAMP = 1;
+const TERM_REVISION = 1;
 
 interface Shape {
   readonly jobClass: string;
@@ -25,9 +25,9 @@
   readonly images: number;
   readonly imageGb: number;
   readonly deadline: (estimateS: number) => number;
-  /** Jobs a second, and at the start, of a fleet of 600. */
-  readonly rate: number;
-  readonly first: number;
+  /** Jobs per second, and initial jobs, for a fleet of 600 machines. */
+  readonly jobsPerS: number;
+  readonly initialJobs: number;
 }
 
 const SHAPES: readonly Shape[] = [
@@ -41,8 +41,8 @@
     images: 8,
     imageGb: 1.8,
     deadline: (estimateS) => 2 * estimateS + 40,
-    rate: 0.49,
-    first: 54,
+    jobsPerS: 0.49,
+    initialJobs: 54,
   },
   {
     jobClass: 'rush',
@@ -54,12 +54,12 @@
     images: 12,
     imageGb: 1.2,
     deadline: (estimateS) => 2 * estimateS + 10,
-    rate: 1.94,
-    first: 94,
+    jobsPerS: 1.94,
+    initialJobs: 94,
   },
 ];
 
-/** What a guest team comes with: one array of very many short tasks, or many jobs of one. */
+/** Additional load of a guest team: one array of very many short tasks, or many jobs with one task each. */
 export const HUGE: Shape = {
   jobClass: 'hymnal',
   priority: 2,
@@ -70,8 +70,8 @@
   images: 1,
   imageGb: 0.5,
   deadline: () => 3000,
-  rate: 0,
-  first: 0,
+  jobsPerS: 0,
+  initialJobs: 0,
 };
 export const TINY: Shape = { ...HUGE, jobClass: 'playback', tasks: 1, runS: 5 };
 
@@ -121,7 +121,7 @@
   waiting: boolean;
 }
 
-/** Processor time by what a batch did, in milliseconds, and how often. */
+/** Processor time of a kind of batch, in milliseconds, and number of such batches. */
 export interface Cost {
   ms: number;
   count: number;
@@ -135,14 +135,14 @@
   readonly #events = new Map<number, (() => void)[]>();
   readonly #store = new Map<string, { value: unknown; modRevision: number }>();
   readonly #jobs = new Map<string, Spec>();
-  #revision = TERM_STAMP;
+  #revision = TERM_REVISION;
   #term = 1;
   #pending: unknown[] = [];
   #replies = new Map<number, Machine>();
   #nextReply = 1;
   #nextJob = 1;
   #nextMachine = 1;
-  #surge = 1;
+  #arrivalFactor = 1;
   readonly cost = new Map<string, Cost>();
   placed = 0;
   worst = 0;
@@ -170,7 +170,7 @@
       },
     ];
     core.step(this.state, [{ kind: 'catalog', types }], this.#time());
-    this.#lead();
+    this.#becomeLeader();
     this.#tick();
     this.#arrivals();
   }
@@ -179,16 +179,16 @@
     return { monotonicMs: this.now, epochMs: this.now };
   }
 
-  #at(ms: number, call: () => void): void {
+  #schedule(ms: number, action: () => void): void {
     const slot = Math.max(1, Math.ceil((ms - this.now) / BATCH_MS));
     const at = this.now + slot * BATCH_MS;
     const list = this.#events.get(at);
-    if (list === undefined) this.#events.set(at, [call]);
-    else list.push(call);
+    if (list === undefined) this.#events.set(at, [action]);
+    else list.push(action);
   }
 
-  /** What the state service holds, given to a leader that begins. */
-  #lead(): void {
+  /** Makes the core leader, with the jobs and chunks that the state service holds. */
+  #becomeLeader(): void {
     const jobs: unknown[] = [];
     const chunks: unknown[] = [];
     for (const [key, { value, modRevision }] of this.#store) {
@@ -202,7 +202,7 @@
     this.#pending.push({
       kind: 'becomeLeader',
       term: this.#term,
-      modRevision: TERM_STAMP,
+      modRevision: TERM_REVISION,
       viewConfirmedAt: this.now,
       layout,
       legacyChunkTasks,
@@ -215,23 +215,26 @@
   #tick(): void {
     this.#pending.push({ kind: 'tick' });
     this.#pending.push({ kind: 'viewConfirmed', sentAt: this.now });
-    this.#at(this.now + REPORT_MS / 4, () => this.#tick());
+    this.#schedule(this.now + REPORT_MS / 4, () => this.#tick());
   }
 
   #arrivals(): void {
     for (const shape of SHAPES) {
       const scale = this.fleet / 600;
-      for (let i = 0; i < shape.first * scale; i += 1) this.#submit(shape);
+      for (let i = 0; i < shape.initialJobs * scale; i += 1) this.#submit(shape);
       const next = (): void => {
         this.#submit(shape);
-        this.#at(this.now + (-Math.log(1 - this.#draw()) * 1000) / (shape.rate * scale * this.#surge), next);
+        this.#schedule(
+          this.now + (-Math.log(1 - this.#draw()) * 1000) / (shape.jobsPerS * scale * this.#arrivalFactor),
+          next,
+        );
       };
-      this.#at(this.now + 1000, next);
+      this.#schedule(this.now + 1000, next);
     }
   }
 
-  surge(factor: number): void {
-    this.#surge = factor;
+  setArrivalFactor(factor: number): void {
+    this.#arrivalFactor = factor;
   }
 
   #submit(shape: Shape): void {
@@ -266,7 +269,7 @@
     this.#pending.push({ kind: 'jobAdded', job: { value: spec, modRevision: this.#revision } });
   }
 
-  guests(shapes: readonly Shape[]): void {
+  submitJobs(shapes: readonly Shape[]): void {
     for (const shape of shapes) this.#submit(shape);
   }
 
@@ -286,10 +289,10 @@
     this.#report(machine);
   }
 
-  #plan(machine: Machine, at: number): void {
+  #scheduleReport(machine: Machine, at: number): void {
     if (machine.nextReport > this.now && machine.nextReport <= at) return;
     machine.nextReport = at;
-    this.#at(at, () => {
+    this.#schedule(at, () => {
       if (machine.nextReport <= this.now && machine.nextReport > 0) this.#report(machine);
     });
   }
@@ -324,8 +327,8 @@
     this.#pending.push({ kind: 'heartbeat', reply, heartbeat: report });
   }
 
-  #changed(machine: Machine): void {
-    this.#plan(machine, this.now + 500);
+  #reportChange(machine: Machine): void {
+    this.#scheduleReport(machine, this.now + 500);
   }
 
   #answer(
@@ -344,8 +347,8 @@
       else if (op === 'forget') machine.tasks.delete(key);
       else machine.tasks.delete(key);
     }
-    if (raised || commands.length > 0) this.#changed(machine);
-    else this.#plan(machine, this.now + REPORT_MS * (0.75 + 0.5 * this.#draw()));
+    if (raised || commands.length > 0) this.#reportChange(machine);
+    else this.#scheduleReport(machine, this.now + REPORT_MS * (0.75 + 0.5 * this.#draw()));
   }
 
   #start(machine: Machine, job: string, task: number, attempt: number): void {
@@ -355,18 +358,18 @@
     const running: Task = { job, task, attempt, stage: 'fetching', at: this.now };
     machine.tasks.set(`${job}/${task}`, running);
     const fetchMs = machine.images.has(spec.image) ? 0 : (spec.imageGb / 0.5) * 1000;
-    this.#at(this.now + fetchMs, () => {
+    this.#schedule(this.now + fetchMs, () => {
       machine.images.add(spec.image);
       running.stage = 'running';
-      this.#changed(machine);
-      this.#at(this.now + spec.estimateS * 1000 * (0.7 + 0.6 * this.#draw()), () => {
+      this.#reportChange(machine);
+      this.#schedule(this.now + spec.estimateS * 1000 * (0.7 + 0.6 * this.#draw()), () => {
         running.stage = 'exited';
-        this.#changed(machine);
+        this.#reportChange(machine);
       });
     });
   }
 
-  #carryOut(effect: Effect): void {
+  #execute(effect: Effect): void {
     switch (effect.kind) {
       case 'reply':
         if (effect.body.kind === 'commands') this.#answer(effect.reply, effect.body.commands);
@@ -375,21 +378,24 @@
           this.#replies.delete(effect.reply);
           if (machine !== undefined) {
             machine.waiting = false;
-            this.#plan(machine, this.now + 1000);
+            this.#scheduleReport(machine, this.now + 1000);
           }
         }
         break;
       case 'commit': {
         const term = this.#term;
-        this.#at(this.now + COMMIT_MS, () => {
-          // Of an earlier leader: the condition on the term fails.
+        this.#schedule(this.now + COMMIT_MS, () => {
+          // A transaction of an earlier leader fails, because its precondition on the term does not hold.
           if (term !== this.#term) return;
           const { preconditions, mutations } = effect.transaction;
           const holds = preconditions.every(
             ({ key, modRevision }) =>
               key === 'term' || (this.#store.get(key)?.modRevision ?? 0) === modRevision,
           );
-          if (!holds) throw new Error('a condition failed, which cannot be here');
+          if (!holds)
+            throw new Error(
+              `a precondition of transaction ${effect.id} failed, although nothing else writes its keys`,
+            );
           this.#revision += 1;
           for (const write of mutations) {
             if (write.put !== undefined)
@@ -405,19 +411,21 @@
         break;
       }
       case 'probe': {
-        const met = this.machines.get(effect.machine)?.dead !== true;
-        this.#at(this.now + (met ? 1 : KNOCK_MS), () =>
-          this.#pending.push({ kind: 'probed', machine: effect.machine, isReachable: met }),
+        const isReachable = this.machines.get(effect.machine)?.dead !== true;
+        this.#schedule(this.now + (isReachable ? 1 : PROBE_TIMEOUT_MS), () =>
+          this.#pending.push({ kind: 'probed', machine: effect.machine, isReachable }),
         );
         break;
       }
       case 'provision':
-        this.#at(this.now + 100, () => {
+        this.#schedule(this.now + 100, () => {
           const free = this.fleet - this.machines.size;
           const names = Array.from({ length: Math.min(effect.count, Math.max(0, free)) }, () => {
             const name = `vm-${String(this.#nextMachine++).padStart(6, '0')}`;
             this.machines.set(name, null as unknown as Machine);
-            this.#at(this.now + BOOT_MS * (0.7 + 0.6 * this.#draw()), () => this.#boot(name, effect.zone));
+            this.#schedule(this.now + BOOT_MS * (0.7 + 0.6 * this.#draw()), () =>
+              this.#boot(name, effect.zone),
+            );
             return name;
           });
           const outcome = names.length === 0 ? 'refused' : names;
@@ -425,7 +433,7 @@
         });
         break;
       case 'terminate':
-        this.#at(this.now + 100, () => {
+        this.#schedule(this.now + 100, () => {
           for (const name of effect.machines) {
             const machine = this.machines.get(name);
             if (machine) machine.dead = true;
@@ -439,7 +447,7 @@
     }
   }
 
-  /** Runs batches for so long; what `step` cost goes by the batch's kind to `cost`. */
+  /** Runs batches for this many seconds of virtual time, and adds the processor time of `step` to `cost`. */
   run(seconds: number): void {
     const until = this.now + seconds * 1000;
     while (this.now < until) {
@@ -447,7 +455,7 @@
       const due = this.#events.get(this.now);
       if (due !== undefined) {
         this.#events.delete(this.now);
-        for (const call of due) call();
+        for (const action of due) action();
       }
       if (this.#pending.length === 0) continue;
       const batch = this.#pending;
@@ -462,38 +470,38 @@
       const effects = this.core.step(this.state, batch, this.#time());
       const ms = performance.now() - from;
       this.worst = Math.max(this.worst, ms);
-      this.#charge(kind, ms, 1);
-      this.#charge('all', ms, 1);
-      this.#charge('reports', 0, reports);
-      for (const effect of effects) this.#carryOut(effect);
+      this.#addCost(kind, ms, 1);
+      this.#addCost('all', ms, 1);
+      this.#addCost('reports', 0, reports);
+      for (const effect of effects) this.#execute(effect);
     }
   }
 
-  #charge(kind: string, ms: number, count: number): void {
+  #addCost(kind: string, ms: number, count: number): void {
     const cost = this.cost.get(kind) ?? { ms: 0, count: 0 };
     cost.ms += ms;
     cost.count += count;
     this.cost.set(kind, cost);
   }
 
-  /** A share of the machines dies without a word. */
-  lose(share: number): void {
+  /** A share of the machines fails without notice. */
+  failMachines(share: number): void {
     for (const machine of this.machines.values()) {
       if (machine && this.#draw() < share) machine.dead = true;
     }
   }
 
-  /** The leader goes; the next loads what was committed and hears all machines anew. */
+  /** The leader resigns; the next one loads the committed state, and all machines report to it again. */
   takeover(): void {
     this.#term += 1;
     this.core.step(this.state, [{ kind: 'resign', reason: 'takeover' }], this.#time());
     this.#pending = [];
     for (const machine of this.#replies.values()) {
       machine.waiting = false;
-      this.#plan(machine, this.now + 1000 * this.#draw());
+      this.#scheduleReport(machine, this.now + 1000 * this.#draw());
     }
     this.#replies.clear();
-    this.#lead();
+    this.#becomeLeader();
   }
 
   reset(): void {
