--- a/demo/emulators.ts
+++ b/demo/emulators.ts
@@ -1,6 +1,6 @@
 /**
- * The emulators on loopback, in real time: a key-value store, a cloud and its workers, and
- * the settings of three controllers, for trying rowanferry out. For development only.
+ * Serves the emulators on loopback and in real time (a key-value store, a cloud and its workers), with the settings
+ * of three controllers, for trying rowanferry out. For development only.
  */
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -41,8 +41,8 @@
   };
   return new Worker(listed, network, rules, checker, (node, body, reply) => {
     const call = clients.get(node)?.request('POST', '/v1/report', JSON.stringify(body), 4000);
-    void call?.then(({ status, body: told }) => {
-      if (status !== 0) reply(status, JSON.stringify(told ?? {}));
+    void call?.then(({ status, body: answer }) => {
+      if (status !== 0) reply(status, JSON.stringify(answer ?? {}));
     });
   });
 });
@@ -149,9 +149,9 @@
 });
 app.post('/machines', (request, response) => {
   const { charter, bench, hall, borrowed, howMany } = asObject(request.body) ?? {};
-  const got = cloud.provision(text(charter), text(bench), text(hall), borrowed === true, Number(howMany));
-  if (typeof got === 'string') response.status(503).json({ error: 'no capacity' });
-  else response.json({ skiffs: got });
+  const rented = cloud.provision(text(charter), text(bench), text(hall), borrowed === true, Number(howMany));
+  if (typeof rented === 'string') response.status(503).json({ error: 'no capacity' });
+  else response.json({ skiffs: rented });
 });
 app.post('/machines/return', (request, response) => {
   const skiffs = asObject(request.body)?.['skiffs'];
@@ -181,15 +181,15 @@
   bookmarkWriteS: 0,
   curtainS: 60,
 };
-let then = performance.now();
+let lastAdvanceAt = performance.now();
 const advance = async (): Promise<void> => {
   const now = performance.now();
-  await clock.runUntil(clock.now + now - then);
-  then = now;
+  await clock.runUntil(clock.now + now - lastAdvanceAt);
+  lastAdvanceAt = now;
   setTimeout(() => void advance(), STEP_MS);
 };
 
-/** Serves them, and writes settings of three controllers and a job into a folder. */
+/** Serves the emulators, and writes the settings of three controllers and a job into a folder. */
 export function startEmulators(folder: string): Promise<void> {
   mkdirSync(folder, { recursive: true });
   settings.forEach((one, i) => {
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,6 +1,6 @@
 /**
- * The main job, from nothing to its end: the emulators, three controllers on loopback, a job
- * followed to `done`, its leader killed on the way. Ends what it started, also on Ctrl-C.
+ * The demo: starts the emulators and three controllers on loopback, submits a job, kills the leader while the job
+ * runs, and follows the job to `done`. Ends all its processes at exit, also on Ctrl-C.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createServer } from 'node:net';
@@ -12,10 +12,10 @@
 
 const FOLDER = 'target/demo';
 const PROGRAM = 'target/rowanferry.cjs';
-const GIVE_UP_MS = 120_000;
+const TIMEOUT_MS = 120_000;
 
 const children = new Map<string, ChildProcess>();
-const say = (line: string): void => void process.stdout.write(`${line}\n`);
+const print = (line: string): void => void process.stdout.write(`${line}\n`);
 
 function end(code: number): never {
   for (const child of children.values()) child.kill('SIGKILL');
@@ -27,8 +27,8 @@
   end(1);
 }
 
-/** Why an address cannot be listened on, or null. */
-function trouble(address: string): Promise<string | null> {
+/** The reason why an address cannot be listened on; null if it can. */
+function listenError(address: string): Promise<string | null> {
   const { host, port } = parseAddress(address);
   return new Promise((resolve) => {
     const probe = createServer();
@@ -50,23 +50,28 @@
 
 const clients = settings.map((one) => new HttpClient(parseAddress(one.public_addr), 2));
 
-/** Asks one node after the other until one answers as wished. */
-async function ask(method: string, path: string, body: string | null): Promise<Record<string, unknown>> {
-  const until = Date.now() + GIVE_UP_MS;
-  for (let turn = 0; Date.now() < until; turn += 1) {
-    const answer = await clients[turn % clients.length]?.request(method, path, body, 2000);
-    const told = asObject(answer?.body);
-    if (answer !== undefined && answer.status >= 200 && answer.status < 300 && told !== null) return told;
+/** Sends a request to one controller after the other until one answers with a 2xx status and a JSON object. */
+async function requestAny(
+  method: string,
+  path: string,
+  body: string | null,
+): Promise<Record<string, unknown>> {
+  const until = Date.now() + TIMEOUT_MS;
+  for (let attempt = 0; Date.now() < until; attempt += 1) {
+    const answer = await clients[attempt % clients.length]?.request(method, path, body, 2000);
+    const answerBody = asObject(answer?.body);
+    if (answer !== undefined && answer.status >= 200 && answer.status < 300 && answerBody !== null)
+      return answerBody;
     await sleep(300);
   }
   fail('no controller answers');
 }
 
 async function leader(): Promise<string> {
-  const until = Date.now() + GIVE_UP_MS;
+  const until = Date.now() + TIMEOUT_MS;
   while (Date.now() < until) {
-    const told = (await ask('GET', '/status', null))['leader'];
-    if (isText(told) && children.has(told)) return told;
+    const name = (await requestAny('GET', '/status', null))['leader'];
+    if (isText(name) && children.has(name)) return name;
     await sleep(300);
   }
   fail('no leader was elected');
@@ -75,37 +80,37 @@
 async function main(): Promise<void> {
   for (const one of settings)
     for (const address of [one.public_addr, one.peer_bind, one.endpoints.state]) {
-      const reason = await trouble(address);
+      const reason = await listenError(address);
       if (reason !== null) fail(reason);
     }
   await startEmulators(FOLDER);
-  say('emulators of the key-value store and the cloud are up');
+  print('emulators of the key-value store and the cloud are up');
   settings.forEach(({ host_name }, i) => start(host_name, i));
   const first = await leader();
-  say(`three controllers are up; ${first} leads`);
+  print(`three controllers are up; ${first} leads`);
   const id = demoJob.nameId;
-  await ask('POST', '/v2/runs', JSON.stringify({ ...demoJob, movements: 24 }));
-  say(`${id} is accepted: 24 tasks of ${demoJob.cores} cores`);
+  await requestAny('POST', '/v2/runs', JSON.stringify({ ...demoJob, movements: 24 }));
+  print(`${id} is accepted: 24 tasks of ${demoJob.cores} cores`);
   let killed: string | null = null;
-  let before = '';
-  const until = Date.now() + GIVE_UP_MS;
+  let previousLine = '';
+  const until = Date.now() + TIMEOUT_MS;
   while (Date.now() < until) {
-    const { stage, done, running } = await ask('GET', `/v2/runs/${id}`, null);
+    const { stage, done, running } = await requestAny('GET', `/v2/runs/${id}`, null);
     const line = `${String(stage)}: ${Number(done ?? 0)} done, ${Number(running ?? 0)} running`;
-    if (line !== before) say(`  ${line}`);
-    before = line;
+    if (line !== previousLine) print(`  ${line}`);
+    previousLine = line;
     if (stage === 'done') {
-      say(`${id} is done, every task once; ${await leader()} leads`);
+      print(`${id} is done, every task once; ${await leader()} leads`);
       return;
     }
     if (killed === null && stage === 'running') {
       killed = await leader();
-      say(`killing ${killed}, which leads`);
+      print(`killing ${killed}, which leads`);
       children.get(killed)?.kill('SIGKILL');
     }
     await sleep(1000);
   }
-  fail(`${id} was not done within ${GIVE_UP_MS / 1000} s`);
+  fail(`${id} was not done within ${TIMEOUT_MS / 1000} s`);
 }
 
 process.on('SIGINT', () => end(130));
--- a/demo/serve.ts
+++ b/demo/serve.ts
@@ -1,4 +1,4 @@
-/** The emulators by themselves, for controllers that are started by hand. */
+/** Runs only the emulators, for controllers that are started by hand. */
 import { startEmulators } from './emulators.js';
 
 const folder = process.argv[2] ?? 'target/demo';
