--- a/src/adapters/admission.ts
+++ b/src/adapters/admission.ts
@@ -1,23 +1,23 @@
 /**
- * Admission control of user requests. A node whose key-value store or processor falls behind refuses requests at
- * once instead of queueing them; polls are refused before submissions and cancellations. A refusal tells when to
- * retry: later the more were refused recently, and spread over time. A retry about a job whose poll was refused
- * is preferred to other polls.
+ * Admission control of user requests. A node whose key-value store or processor falls behind refuses requests
+ * immediately instead of queueing them, and polls sooner than submissions and cancellations. A refusal carries a retry
+ * delay; the more requests were refused recently, the longer the interval over which the delays are spread. A repeated
+ * poll of a job whose earlier poll was refused takes precedence over other polls.
  */
 import type { Clock } from './clock.js';
 
 /** Kinds of user requests, by their names on the status page; `withdraw` is a cancellation. */
 export type RequestKind = 'submit' | 'withdraw' | 'show';
 
-/** Share of the requests in flight that polls may be. */
+/** Share of the maximum number of requests in flight below which polls are admitted. */
 const POLL_SHARE = 0.75;
-/** Upper bound of the time after which to retry, in seconds. */
+/** Upper bound of the retry delay, in seconds. */
 const MAX_RETRY_AFTER_S = 10;
-/** Requests in flight that are always admitted. */
+/** Lower bound of the maximum number of requests in flight. */
 const MIN_IN_FLIGHT = 16;
 /**
- * Jobs whose refused polls are remembered at most; the oldest are forgotten first. It bounds what bad input
- * costs, and is far above the live jobs of the largest planned fleet.
+ * Maximum number of jobs whose refused polls are remembered; the oldest are removed first. It bounds the memory that
+ * polls of made-up job ids can take, and is far above the number of live jobs in the largest planned fleet.
  */
 const MAX_REMEMBERED_REFUSALS = 64_000;
 
@@ -25,25 +25,25 @@
 export class Admission {
   #inFlight = 0;
   readonly #refusedJobs = new Set<string>();
-  #refused = 0;
-  #countedSince: number;
+  #refusedCount = 0;
+  #countingSince: number;
 
   constructor(
     private readonly clock: Clock,
-    /** Requests in flight at once, at most; raised to a minimum. */
+    /** Maximum number of requests in flight; smaller values are raised to {@link MIN_IN_FLIGHT}. */
     private readonly maxInFlight: number,
   ) {
     this.maxInFlight = Math.max(MIN_IN_FLIGHT, Math.floor(maxInFlight));
-    this.#countedSince = clock.monotonicMs();
+    this.#countingSince = clock.monotonicMs();
   }
 
-  /** Admits a request (`null`), or returns the seconds after which to retry. */
+  /** Returns `null` if the request is admitted, otherwise the retry delay in seconds. */
   admit(kind: RequestKind, job?: string): number | null {
-    const preferred = job !== undefined && this.#refusedJobs.has(job);
-    const limit = kind === 'show' && !preferred ? POLL_SHARE * this.maxInFlight : this.maxInFlight;
+    const isRepeatedPoll = job !== undefined && this.#refusedJobs.has(job);
+    const limit = kind === 'show' && !isRepeatedPoll ? POLL_SHARE * this.maxInFlight : this.maxInFlight;
     if (this.#inFlight < limit) {
       this.#inFlight += 1;
-      if (preferred) this.#refusedJobs.delete(job);
+      if (isRepeatedPoll) this.#refusedJobs.delete(job);
       return null;
     }
     if (job !== undefined) this.#rememberRefusal(job);
@@ -57,20 +57,20 @@
     if (oldest !== undefined) this.#refusedJobs.delete(oldest);
   }
 
-  /** Ends an admitted request. */
+  /** Marks an admitted request as finished. */
   release(): void {
     this.#inFlight -= 1;
   }
 
-  /** Counts a request that cannot be served now; the result is when to retry, in seconds. */
+  /** Counts a request that cannot be served now and returns its retry delay, in seconds. */
   retryAfterS(): number {
     const now = this.clock.monotonicMs();
-    if (now - this.#countedSince > 1000) {
-      this.#refused = 0;
-      this.#countedSince = now;
+    if (now - this.#countingSince > 1000) {
+      this.#refusedCount = 0;
+      this.#countingSince = now;
     }
-    this.#refused += 1;
-    const spread = Math.min(MAX_RETRY_AFTER_S, 1 + Math.floor(this.#refused / this.maxInFlight));
-    return 1 + (this.#refused % spread);
+    this.#refusedCount += 1;
+    const maxDelayS = Math.min(MAX_RETRY_AFTER_S, 1 + Math.floor(this.#refusedCount / this.maxInFlight));
+    return 1 + (this.#refusedCount % maxDelayS);
   }
 }
--- a/src/adapters/clock.ts
+++ b/src/adapters/clock.ts
@@ -6,11 +6,11 @@
   monotonicMs(): number;
   /** Time of day, in milliseconds since the Unix epoch. */
   epochMs(): number;
-  /** Resolves after so many milliseconds. */
+  /** Resolves after `ms` milliseconds. */
   sleep(ms: number): Promise<void>;
-  /** Calls back once the input that is ready now has been handled. */
+  /** Runs `call` once the input that is ready now has been handled. */
   defer(call: () => void): void;
-  /** Starts to measure work; the returned function ends the measurement. */
+  /** Starts a measurement of work; the returned function ends it. */
   startMeasuring(): () => WorkDuration;
 }
 
@@ -32,11 +32,11 @@
     setImmediate(call);
   },
   startMeasuring: () => {
-    const from = performance.now();
-    const used = process.cpuUsage();
+    const startedAt = performance.now();
+    const usageAtStart = process.cpuUsage();
     return () => {
-      const { user, system } = process.cpuUsage(used);
-      return { elapsedMs: performance.now() - from, cpuMs: (user + system) / 1000 };
+      const { user, system } = process.cpuUsage(usageAtStart);
+      return { elapsedMs: performance.now() - startedAt, cpuMs: (user + system) / 1000 };
     };
   },
 };
--- a/src/adapters/cloud.ts
+++ b/src/adapters/cloud.ts
@@ -1,4 +1,4 @@
-/** Client of the cloud provider: within its rate, backing off while it fails. */
+/** Client of the cloud provider's API: it keeps within the rate limit and backs off while the provider fails. */
 import type { ListedMachine, MachineType } from '../core/types.js';
 import { parseAddress, type PlatformSettings } from '../config/settings.js';
 import {
@@ -12,16 +12,19 @@
 import { HttpClient, type HttpResponse } from './http-client.js';
 import { RateLimiter, RetryBudget } from './rate-limiter.js';
 
-/** Names of the machines provisioned; `refused`: no capacity; `malformed`: never accepted as it is; `unknown`: perhaps executed. */
+/**
+ * Names of the provisioned machines; `refused`: no capacity; `malformed`: the provider will never accept this request;
+ * `unknown`: the request may have been executed.
+ */
 export type ProvisioningResult = readonly string[] | 'refused' | 'malformed' | 'unknown';
 
-/** What the controller needs of the cloud provider. */
+/** The operations of the cloud provider that the controller uses. */
 export interface Cloud {
-  /** Machine types on offer; `null`: no answer. */
+  /** Machine types that the provider offers; `null` if it did not answer. */
   catalog(): Promise<MachineType[] | null>;
-  /** All machines held, as the provider lists them; the list may lag. `null`: no answer. */
+  /** All provisioned machines as the provider lists them, possibly with a lag; `null` if it did not answer. */
   listMachines(): Promise<ListedMachine[] | null>;
-  /** Provisions machines. Idempotent by `request`: a repeated one returns the same machines. */
+  /** Provisions machines. `request` is the idempotency key: a repeated request returns the same machines. */
   provision(
     request: string,
     type: string,
@@ -29,11 +32,11 @@
     spot: boolean,
     count: number,
   ): Promise<ProvisioningResult>;
-  /** Terminates machines; false: not confirmed. */
-  terminate(listMachines: readonly string[]): Promise<boolean>;
+  /** Terminates machines; returns false if the provider did not confirm it. */
+  terminate(machines: readonly string[]): Promise<boolean>;
 }
 
-/** Minimum time after a failed request before the caller goes on, in milliseconds. */
+/** Delay after a failed request before the call returns, in milliseconds. */
 const FAILURE_BACKOFF_MS = 1000;
 /** Machines on one page of a list. */
 const PAGE_MACHINES = 500;
@@ -58,35 +61,37 @@
 
   async #call(method: string, path: string, body: string | null): Promise<HttpResponse> {
     while (!this.#retries.allowsRequest() || !this.#requestRate.tryAcquire()) await this.clock.sleep(100);
-    const answer = await this.#client.request(method, path, body, this.#timeoutMs);
-    // The provider answers an exhausted capacity like a failure; it is none.
-    const refused = answer.status === 503 && JSON.stringify(answer.body ?? '').includes('no capacity');
-    const answered = answer.status !== 0 && answer.status !== 429 && (answer.status < 500 || refused);
+    const response = await this.#client.request(method, path, body, this.#timeoutMs);
+    // The provider reports exhausted capacity with status 503, but that is an answer, not a failure.
+    const hasNoCapacity =
+      response.status === 503 && JSON.stringify(response.body ?? '').includes('no capacity');
+    const answered =
+      response.status !== 0 && response.status !== 429 && (response.status < 500 || hasNoCapacity);
     this.#retries.observeOutcome(answered);
     if (!answered) {
       await this.clock.sleep(FAILURE_BACKOFF_MS);
     }
-    return answer;
+    return response;
   }
 
   async catalog(): Promise<MachineType[] | null> {
-    const answer = await this.#call('GET', '/catalog', null);
-    return answer.status === 200 ? parseCatalog(answer.body) : null;
+    const response = await this.#call('GET', '/catalog', null);
+    return response.status === 200 ? parseCatalog(response.body) : null;
   }
 
   async listMachines(): Promise<ListedMachine[] | null> {
-    const all: ListedMachine[] = [];
+    const machines: ListedMachine[] = [];
     for (;;) {
-      const last = all.at(-1)?.name;
-      const answer = await this.#call(
+      const lastName = machines.at(-1)?.name;
+      const response = await this.#call(
         'GET',
-        `/machines?${last === undefined ? '' : `after=${last}&`}page=${PAGE_MACHINES}`,
+        `/machines?${lastName === undefined ? '' : `after=${lastName}&`}page=${PAGE_MACHINES}`,
         null,
       );
-      const page = answer.status === 200 ? parseMachinePage(answer.body) : null;
+      const page = response.status === 200 ? parseMachinePage(response.body) : null;
       if (page === null) return null;
-      all.push(...page.machines);
-      if (!page.more || page.machines.length === 0) return all;
+      machines.push(...page.machines);
+      if (!page.more || page.machines.length === 0) return machines;
     }
   }
 
@@ -97,19 +102,19 @@
     spot: boolean,
     count: number,
   ): Promise<ProvisioningResult> {
-    const answer = await this.#call(
+    const response = await this.#call(
       'POST',
       '/machines',
       encodeProvisionRequest(request, type, zone, spot, count),
     );
-    if (answer.status === 200) return parseProvisioned(answer.body) ?? 'unknown';
-    if (answer.status === 400) return 'malformed';
-    const text = JSON.stringify(answer.body ?? '');
-    return answer.status === 503 && text.includes('no capacity') ? 'refused' : 'unknown';
+    if (response.status === 200) return parseProvisioned(response.body) ?? 'unknown';
+    if (response.status === 400) return 'malformed';
+    const text = JSON.stringify(response.body ?? '');
+    return response.status === 503 && text.includes('no capacity') ? 'refused' : 'unknown';
   }
 
   async terminate(machines: readonly string[]): Promise<boolean> {
-    const answer = await this.#call('POST', '/machines/return', encodeTerminateRequest(machines));
-    return answer.status === 200;
+    const response = await this.#call('POST', '/machines/return', encodeTerminateRequest(machines));
+    return response.status === 200;
   }
 }
--- a/src/adapters/http-client.ts
+++ b/src/adapters/http-client.ts
@@ -1,5 +1,5 @@
 /** HTTP client with bounded connections, response times and response sizes. */
-import { Agent, request as send } from 'node:http';
+import { Agent, request as sendRequest } from 'node:http';
 import type { Address } from '../config/settings.js';
 import { parseJson } from '../core/values.js';
 
@@ -15,19 +15,19 @@
 /** Default bound on a response's size, in bytes; a larger one counts as no response. */
 export const DEFAULT_MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-/** A client of one server. */
+/** An HTTP client for one server. */
 export class HttpClient {
   readonly #agent: Agent;
-  readonly #to: Address;
+  readonly #address: Address;
 
   constructor(
-    to: Address,
-    sockets: number,
-    keep = true,
-    private readonly maxAnswerBytes = DEFAULT_MAX_RESPONSE_BYTES,
+    address: Address,
+    maxSockets: number,
+    keepAlive = true,
+    private readonly maxResponseBytes = DEFAULT_MAX_RESPONSE_BYTES,
   ) {
-    this.#to = to;
-    this.#agent = new Agent({ keepAlive: keep, maxSockets: sockets, maxFreeSockets: sockets });
+    this.#address = address;
+    this.#agent = new Agent({ keepAlive, maxSockets, maxFreeSockets: maxSockets });
   }
 
   /** Closes the idle connections. */
@@ -39,35 +39,35 @@
   request(method: string, path: string, body: string | null, timeoutMs: number): Promise<HttpResponse> {
     return new Promise((resolve) => {
       let settled = false;
-      const settle = (answer: HttpResponse): void => {
+      const settle = (result: HttpResponse): void => {
         if (settled) return;
         settled = true;
         clearTimeout(timer);
-        resolve(answer);
+        resolve(result);
       };
       const headers =
         body === null
           ? {}
           : { 'Content-Type': 'application/json', 'Content-Length': Buffer.byteLength(body) };
-      const request = send(
-        { host: this.#to.host, port: this.#to.port, method, path, headers, agent: this.#agent },
+      const request = sendRequest(
+        { host: this.#address.host, port: this.#address.port, method, path, headers, agent: this.#agent },
         (response) => {
-          const parts: Buffer[] = [];
+          const chunks: Buffer[] = [];
           let bytes = 0;
-          response.on('data', (part: Buffer) => {
-            bytes += part.length;
-            if (bytes > this.maxAnswerBytes) request.destroy();
-            else parts.push(part);
+          response.on('data', (chunk: Buffer) => {
+            bytes += chunk.length;
+            if (bytes > this.maxResponseBytes) request.destroy();
+            else chunks.push(chunk);
           });
           response.on('end', () => {
-            const source = Buffer.concat(parts).toString('utf8');
-            settle({ status: response.statusCode ?? 0, body: source === '' ? undefined : parseJson(source) });
+            const text = Buffer.concat(chunks).toString('utf8');
+            settle({ status: response.statusCode ?? 0, body: text === '' ? undefined : parseJson(text) });
           });
           response.on('error', () => settle(NO_RESPONSE));
           response.on('close', () => settle(NO_RESPONSE));
         },
       );
-      // After a pause of this process, a response that arrived meanwhile is read before the timeout.
+      // Pending input is read before the timeout: a response that arrived while this process was paused still counts.
       const timer = setTimeout(() => {
         setImmediate(() => {
           settle(NO_RESPONSE);
--- a/src/adapters/job-reader.ts
+++ b/src/adapters/job-reader.ts
@@ -1,6 +1,6 @@
 /**
  * Linearizable reads of jobs, batched: a few requests to the key-value store answer any number of lookups. A mirror
- * of the live jobs is refreshed by one request for all lookups that came before it, so each result is as fresh as
+ * of the live jobs is refreshed by one request for all lookups that arrived before it, so each result is as fresh as
  * a read made after its lookup. Ended jobs never change and are read once. Alternatives: docs/reads.md.
  */
 import { decodeEnded, decodeJob, endedKey, JOB_PREFIX, jobKey, jobOfKey } from '../core/persistence/index.js';
@@ -9,19 +9,19 @@
 import type { Clock } from './clock.js';
 import type { KeyValueStore } from './key-value-store.js';
 
-/** What is stored of a job; `unknown`: the store does not answer. */
+/** The stored record of a job; `none`: there is no record; `unknown`: the store did not answer. */
 export type JobLookup =
   | { readonly kind: 'live'; readonly spec: JobSpec; readonly modRevision: number }
-  /** Accepted and not ended, but its description cannot be decoded. */
+  /** The job was accepted and has not ended, but its description cannot be decoded. */
   | { readonly kind: 'damaged'; readonly modRevision: number }
   | { readonly kind: 'ended'; readonly record: EndedRecord }
   | { readonly kind: 'none' }
   | { readonly kind: 'unknown' };
 
 const UNKNOWN: JobLookup = { kind: 'unknown' };
-/** Ended jobs remembered at least; or twice the number of live jobs, if that is more. */
+/** Minimum capacity of the cache of ended jobs; it is twice the number of live jobs if that is more. */
 const MIN_REMEMBERED_ENDED = 5000;
-/** Jobs read one by one in a round, at most; the others wait for the next round. */
+/** Maximum number of jobs read individually in one round; the others wait for the next round. */
 const MAX_SINGLE_READS = 32;
 /** Share of the store's request rate that a node's rounds may take. */
 const ROUND_SHARE = 0.05;
@@ -31,17 +31,17 @@
   return spec === null ? { kind: 'damaged', modRevision } : { kind: 'live', spec, modRevision };
 };
 
-/** Reads one job by itself. */
-export async function readJob(state: KeyValueStore, id: string): Promise<JobLookup> {
-  // In this order: a job moves from one key to the other, and never back.
-  const live = await state.read(jobKey(id));
+/** Reads one job from the store, outside the batched rounds. */
+export async function readJob(store: KeyValueStore, id: string): Promise<JobLookup> {
+  // The live key is read first: a job that ends moves from the live key to the ended key, and never back.
+  const live = await store.read(jobKey(id));
   if (live === 'unknown') return UNKNOWN;
   if (live.entry !== null) return decodeLiveJob(live.entry.value, live.entry.modRevision);
-  return readEnded(state, id);
+  return readEnded(store, id);
 }
 
-async function readEnded(state: KeyValueStore, id: string): Promise<JobLookup> {
-  const ended = await state.read(endedKey(id));
+async function readEnded(store: KeyValueStore, id: string): Promise<JobLookup> {
+  const ended = await store.read(endedKey(id));
   if (ended === 'unknown') return UNKNOWN;
   if (ended.entry === null) return { kind: 'none' };
   const record = decodeEnded(ended.entry.value);
@@ -55,7 +55,7 @@
 
 /** Answers lookups in rounds, at a bounded rate. */
 export class JobReader {
-  /** Ended jobs never change again, so what is known of them needs no read. */
+  /** Records of ended jobs. They never change, so a cached one need not be read again. */
   readonly #ended = new Map<string, EndedRecord>();
   readonly #live = new Map<string, JobLookup>();
   /** Revision as of which the mirror is complete; `null`: it has to be loaded. */
@@ -65,11 +65,11 @@
   readonly #roundIntervalMs: number;
 
   constructor(
-    private readonly state: KeyValueStore,
+    private readonly store: KeyValueStore,
     private readonly clock: Clock,
     rps: number,
-    /** Preconditions of one transaction, at most. */
-    private readonly conditions: number,
+    /** Maximum number of preconditions in one transaction. */
+    private readonly maxPreconditions: number,
   ) {
     this.#roundIntervalMs = 1000 / (ROUND_SHARE * rps);
   }
@@ -79,12 +79,12 @@
     return this.#ended.has(id);
   }
 
-  /** A job as of the latest round, which may be long ago; only live jobs are found. */
+  /** Returns a job that was live as of the latest round, which may be long ago; otherwise `undefined`. */
   cachedLiveJob(id: string): JobLookup | undefined {
     return this.#live.get(id);
   }
 
-  /** Records the end of a job that has been committed. */
+  /** Caches the committed record of an ended job. */
   rememberEnded(id: string, record: EndedRecord): void {
     this.#ended.set(id, record);
     if (this.#ended.size <= Math.max(MIN_REMEMBERED_ENDED, 2 * this.#live.size)) return;
@@ -92,61 +92,61 @@
     if (oldest !== undefined) this.#ended.delete(oldest);
   }
 
-  /** Drops what can be read again. */
+  /** Clears the caches; their content can be read from the store again. */
   dropCaches(): void {
     this.#ended.clear();
-    // A round under way works on the mirror.
+    // A running round uses the mirror, so it is kept.
     if (this.#isRunning) return;
     this.#live.clear();
     this.#revision = null;
   }
 
-  /** The job as the store has it at some moment after this call. */
+  /** Resolves to the job's record in the store at some time after this call. */
   find(id: string): Promise<JobLookup> {
     const record = this.#ended.get(id);
     if (record !== undefined) return Promise.resolve({ kind: 'ended', record });
-    return new Promise((answer) => {
-      this.#pending.push({ id, resolve: answer });
+    return new Promise((resolve) => {
+      this.#pending.push({ id, resolve });
       if (!this.#isRunning) void this.#runRounds();
     });
   }
 
   async #runRounds(): Promise<void> {
     this.#isRunning = true;
-    // Lookups that have arrived by now share the first round.
+    // The input that is ready now is handled first, so that its lookups share the first round.
     await new Promise<void>((resolve) => this.clock.defer(resolve));
     while (this.#pending.length > 0) {
-      const from = this.clock.monotonicMs();
+      const startedAt = this.clock.monotonicMs();
       const lookups = this.#pending;
       this.#pending = [];
       await this.#runRound(lookups);
-      const left = this.#roundIntervalMs - (this.clock.monotonicMs() - from);
-      if (this.#pending.length === 0 || left <= 0) continue;
-      await this.clock.sleep(Math.ceil(left));
+      const remainingMs = this.#roundIntervalMs - (this.clock.monotonicMs() - startedAt);
+      if (this.#pending.length === 0 || remainingMs <= 0) continue;
+      await this.clock.sleep(Math.ceil(remainingMs));
     }
     this.#isRunning = false;
   }
 
-  /** Resolves these lookups by the store's state as of now or later. */
+  /** Resolves these lookups with the store's state as of this call or later. */
   async #runRound(lookups: readonly PendingLookup[]): Promise<void> {
-    const seen = new Set(lookups.map(({ id }) => id).filter((id) => this.#live.has(id)));
+    const previouslyLive = new Set(lookups.map(({ id }) => id).filter((id) => this.#live.has(id)));
     if (!(await this.#refresh())) {
       for (const { resolve } of lookups) resolve(UNKNOWN);
       return;
     }
     const notLive = new Map<string, PendingLookup[]>();
     for (const lookup of lookups) {
-      // An end that a cancellation reported meanwhile must not be contradicted by the older mirror.
+      // A cancellation may have recorded the job's end during the refresh; the mirror may be older, so it is not used.
       const record = this.#ended.get(lookup.id);
       const found: JobLookup | undefined =
         record === undefined ? this.#live.get(lookup.id) : { kind: 'ended', record };
       if (found !== undefined) lookup.resolve(found);
       else notLive.set(lookup.id, [...(notLive.get(lookup.id) ?? []), lookup]);
     }
-    const missing = await this.#findMissing([...notLive.keys()].filter((id) => !seen.has(id)));
+    const missing = await this.#findMissing([...notLive.keys()].filter((id) => !previouslyLive.has(id)));
     let reads = 0;
     const deferred: PendingLookup[] = [];
-    const answered = Promise.all(
+    const resolved = Promise.all(
       [...notLive].map(async ([id, waiting]) => {
         const record = this.#ended.get(id);
         if (record === undefined && !missing.has(id) && ++reads > MAX_SINGLE_READS) {
@@ -158,20 +158,20 @@
             ? { kind: 'ended', record }
             : missing.has(id)
               ? { kind: 'none' }
-              : await readEnded(this.state, id);
+              : await readEnded(this.store, id);
         if (found.kind === 'ended') this.rememberEnded(id, found.record);
         for (const { resolve } of waiting) resolve(found);
       }),
     );
-    // Deferred lookups precede newer ones: otherwise a steady load would defer them without bound.
+    // Deferred lookups go before newer ones: otherwise a steady load could defer them without bound.
     this.#pending.unshift(...deferred);
-    await answered;
+    await resolved;
   }
 
-  /** Brings the mirror up to date; false: the store does not answer. */
+  /** Brings the mirror up to date; returns false if the store did not answer. */
   async #refresh(): Promise<boolean> {
     if (this.#revision !== null) {
-      const found = await this.state.changesSince(JOB_PREFIX, this.#revision);
+      const found = await this.store.changesSince(JOB_PREFIX, this.#revision);
       if (found.kind === 'unknown') return false;
       if (found.kind === 'changes') {
         for (const change of found.changes) this.#applyChange(change);
@@ -180,7 +180,7 @@
       }
     }
     this.#revision = null;
-    const jobs = await this.state.list(JOB_PREFIX);
+    const jobs = await this.store.list(JOB_PREFIX);
     if (jobs === 'unknown') return false;
     this.#live.clear();
     for (const { key, value, modRevision } of jobs.entries)
@@ -195,20 +195,21 @@
   }
 
   /**
-   * Which of these jobs, none of them live, have not ended either: they were never submitted. One transaction
-   * without mutations checks many; if any of them exists, each is read by itself.
+   * Returns which of these jobs, none of which is live, have no ended record either and so were never submitted. One
+   * transaction without mutations checks a batch of jobs; if any job of the batch has ended, the caller reads each
+   * of them individually.
    */
   async #findMissing(ids: readonly string[]): Promise<Set<string>> {
-    const none = new Set<string>();
-    if (ids.length < 2) return none;
-    for (let from = 0; from < ids.length; from += this.conditions) {
-      const some = ids.slice(from, from + this.conditions);
-      const outcome = await this.state.commit({
-        preconditions: some.map((id) => ({ key: endedKey(id), modRevision: 0 })),
+    const missing = new Set<string>();
+    if (ids.length < 2) return missing;
+    for (let from = 0; from < ids.length; from += this.maxPreconditions) {
+      const batch = ids.slice(from, from + this.maxPreconditions);
+      const outcome = await this.store.commit({
+        preconditions: batch.map((id) => ({ key: endedKey(id), modRevision: 0 })),
         mutations: [],
       });
-      if (outcome.kind === 'applied') for (const id of some) none.add(id);
+      if (outcome.kind === 'applied') for (const id of batch) missing.add(id);
     }
-    return none;
+    return missing;
   }
 }
--- a/src/adapters/peer-links.ts
+++ b/src/adapters/peer-links.ts
@@ -1,4 +1,4 @@
-/** Links between controllers: each node dials every other one and sends it its status. */
+/** Connections between controllers: each node dials every other one and sends it its status. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { snapshotIntervalMs } from '../membership/evidence-rules.js';
 import type { LinkState } from '../membership/status.js';
@@ -8,29 +8,29 @@
 import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../wire/peers.js';
 import type { Clock } from './clock.js';
 
-/** A link with more bytes unsent counts as stuck, unless single messages are large. */
+/** Minimum of the bound on a link's unsent bytes; a link above the bound counts as stalled. */
 const MIN_UNSENT_BYTES = 256 * 1024;
-/** Messages of the largest size so far that may lie unsent. */
+/** The bound is at least the size of this many messages of the largest size sent so far. */
 const UNSENT_MESSAGES = 4;
 
-/** What has been written to other controllers since the start. */
+/** Messages and bytes written to other controllers since the start of the process. */
 export interface PeerTraffic {
   readonly sentMessages: number;
   readonly sentBytes: number;
 }
 
-/** What the links need of the node that they belong to. */
+/** Settings of the links, and the callbacks of the node that owns them. */
 export interface PeerLinksOptions {
   readonly settings: PlatformSettings;
   readonly timing: Timing;
   readonly clock: Clock;
   readonly log: Log;
-  /** Counts messages that cannot be read. */
+  /** Counts messages that cannot be decoded. */
   readonly malformed: Pick<EventCounter, 'count'>;
   /** The node's status, as it is sent to the other controllers. */
   readonly status: () => PeerStatus;
   readonly onStatus: (status: PeerStatus) => void;
-  /** What became of the link to a peer, each time that changes or is tried. */
+  /** Called with the state of the link to a peer whenever a connection to it opens, closes or fails to open. */
   readonly onLink: (node: string, link: LinkState) => void;
   readonly onIntake: (message: IntakeMessage) => void;
 }
@@ -41,36 +41,35 @@
   readonly socket: Socket;
   isOpen: boolean;
   isConnected: boolean;
-  /** How the link ends if it is closed now. */
+  /** The state to report if the link closes now. */
   outcome: LinkState;
 }
 
-/** Share of a worker's lease within which a connection has to be made. */
+/** Share of a worker's lease within which a connection must be established. */
 const CONNECT_LEASE_SHARE = 0.5;
 
-/** One link to each other controller, dialled again whenever it ends, and those that the others dialled. */
+/** One outgoing link to each other controller, redialled whenever it ends, and the incoming links from them. */
 export class PeerLinks {
   #sentMessages = 0;
   #sentBytes = 0;
   #largestMessageBytes = 0;
   readonly #server: Server;
-  readonly #accepted = new Set<Socket>();
-  readonly #names: ReadonlySet<string>;
-  /** The links that this node dialled and that are up, by the node at their other end. */
+  readonly #acceptedSockets = new Set<Socket>();
+  readonly #peerNames: ReadonlySet<string>;
+  /** Established outgoing connections, by the node that they lead to. */
   readonly #openLinks = new Map<string, Socket>();
   #lastBroadcastAt = -Infinity;
 
   constructor(private readonly options: PeerLinksOptions) {
-    this.#names = new Set(options.settings.others.map((other) => other.host_name));
+    this.#peerNames = new Set(options.settings.others.map((other) => other.host_name));
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Messages and bytes written since the start. */
   get traffic(): PeerTraffic {
     return { sentMessages: this.#sentMessages, sentBytes: this.#sentBytes };
   }
 
-  /** Bytes that may lie unsent on a link that moves; they follow the messages, and so the fleet. */
+  /** Unsent bytes above which a link counts as stalled. The bound grows with the messages, and so with the fleet. */
   get #maxUnsentBytes(): number {
     return Math.max(MIN_UNSENT_BYTES, UNSENT_MESSAGES * this.#largestMessageBytes);
   }
@@ -94,33 +93,36 @@
   }
 
   #accept(socket: Socket): void {
-    // One link for each peer, and room for one that replaces a dead one.
-    if (this.#accepted.size >= 4 * Math.max(1, this.#names.size)) {
-      const oldest = this.#accepted.values().next().value;
+    // Each peer needs one connection; the others are room for new connections before dead ones are detected.
+    if (this.#acceptedSockets.size >= 4 * Math.max(1, this.#peerNames.size)) {
+      const oldest = this.#acceptedSockets.values().next().value;
       oldest?.destroy();
     }
-    this.#accepted.add(socket);
+    this.#acceptedSockets.add(socket);
     const reader = new StatusReader((message) => {
-      if (this.#names.has(message.node)) this.options.onIntake(message);
+      if (this.#peerNames.has(message.node)) this.options.onIntake(message);
     });
     socket.setTimeout(4 * this.options.timing.workerLeaseMs, () => socket.destroy());
-    socket.on('data', (part) => {
+    socket.on('data', (chunk) => {
       try {
-        for (const status of reader.push(part)) this.#receiveStatus(status);
+        for (const status of reader.push(chunk)) this.#receiveStatus(status);
       } catch {
         this.options.malformed.count('peer messages');
         socket.destroy();
       }
     });
     socket.on('error', () => socket.destroy());
-    socket.on('close', () => this.#accepted.delete(socket));
+    socket.on('close', () => this.#acceptedSockets.delete(socket));
   }
 
   #receiveStatus(status: PeerStatus): void {
-    if (this.#names.has(status.node)) this.options.onStatus(status);
+    if (this.#peerNames.has(status.node)) this.options.onStatus(status);
   }
 
-  /** Sends the status to every peer at once; calls within a quarter of a tick of the last are ignored. */
+  /**
+   * Sends the status to every peer immediately instead of at the next interval. Calls less than a quarter of a tick
+   * after the previous broadcast are ignored.
+   */
   broadcastStatus(): void {
     const now = this.options.clock.monotonicMs();
     if (now - this.#lastBroadcastAt < this.options.timing.tickMs / 4) return;
@@ -129,7 +131,10 @@
       if (socket.writableLength === 0) this.#write(socket, encodeStatus(this.options.status()));
   }
 
-  /** Sends a message about shared heartbeats; false: there is no link, or too much lies unsent on it. */
+  /**
+   * Sends a message about shared heartbeats. Returns false and sends nothing if there is no link, or too many bytes
+   * are unsent on it.
+   */
   sendIntake(to: string, message: IntakeMessage): boolean {
     const socket = this.#openLinks.get(to);
     if (socket === undefined || socket.writableLength > this.#maxUnsentBytes) return false;
@@ -144,13 +149,13 @@
     for (;;) {
       const outcome = await this.#holdLink(node, connect({ host, port, noDelay: true }));
       refusals = outcome === 'refused' ? refusals + 1 : 0;
-      // A link that broke is dialled again at once: a refusal then tells a crash from a partition.
+      // A broken link is redialled without delay: a refused connection then distinguishes a crash from a partition.
       if (outcome === 'lost') continue;
       await clock.sleep(refusals === 1 ? timing.tickMs : 4 * timing.tickMs);
     }
   }
 
-  /** Sends the status at every second tick, until the link breaks or stops taking it; the result is how it ended. */
+  /** Sends the status at every second tick until the link breaks or stalls; resolves to the state in which it ended. */
   async #holdLink(node: string, socket: Socket): Promise<LinkState> {
     const { clock, timing } = this.options;
     const link: DialledLink = { node, socket, isOpen: true, isConnected: false, outcome: 'silent' };
@@ -164,7 +169,7 @@
     return link.outcome;
   }
 
-  /** Follows the socket's events; the result resolves once it is closed. */
+  /** Updates the link's state on the socket's events; resolves once the socket is closed. */
   #trackLink(link: DialledLink): Promise<void> {
     const { node, socket } = link;
     const { onLink } = this.options;
@@ -188,7 +193,10 @@
     });
   }
 
-  /** Sends the status, or closes a link that does not come up or does not move; `ageMs` counts from its dialling. */
+  /**
+   * Sends the status, or closes a link that has not connected in time or is stalled; `ageMs` is the time in
+   * milliseconds since the link was dialled.
+   */
   #serviceLink(link: DialledLink, ageMs: number): void {
     const { socket } = link;
     const { status, timing } = this.options;
@@ -197,7 +205,7 @@
     } else if (socket.writableLength === 0 || ageMs <= timing.workerLeaseMs) {
       this.#write(socket, encodeStatus(status()));
     } else if (socket.writableLength > this.#maxUnsentBytes) {
-      // What lies unsent grows stale; a new link begins afresh.
+      // The unsent messages are becoming stale; a new connection starts with the current status.
       link.outcome = 'silent';
       socket.destroy();
     }
--- a/src/adapters/public-server.ts
+++ b/src/adapters/public-server.ts
@@ -1,4 +1,4 @@
-/** The node's public port: heartbeats of workers and questions about jobs bypass the router, all else is routed. */
+/** HTTP server on the node's public port. Heartbeats and polls of single jobs bypass the router; all else is routed. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import express, { type ErrorRequestHandler, type Express, type RequestHandler } from 'express';
 import { parseJson } from '../core/values.js';
@@ -7,9 +7,9 @@
 import type { Admission, RequestKind } from './admission.js';
 import type { UserResponse, UserRequests } from './user-requests.js';
 
-/** Share of the quota's sockets that the public port may take. */
+/** Share of the process's socket quota that the public port may use. */
 const PORT_SOCKET_SHARE = 0.8;
-/** With a larger share of these open, an answer ends its connection, so that all workers take turns. */
+/** While a larger share of these is in use, each response closes its connection, so that all workers get their turn. */
 const KEEP_ALIVE_SHARE = 0.9;
 
 /** Time after which an idle connection is closed, in milliseconds. */
@@ -17,14 +17,14 @@
 /** The largest body of a request, in bytes. */
 const MAX_BODY_BYTES = 64 * 1024;
 
-/** What the port serves; a controller node implements it. */
+/** The operations that the port exposes; a controller node implements them. */
 export interface PublicApi {
   readonly users: Pick<UserRequests, 'submit' | 'show' | 'cancel'>;
-  /** Takes a report's body; `done` is called once with the answer. */
+  /** Handles a heartbeat's body; `done` is called once with the status and body of the response. */
   report(body: unknown, done: (status: number, body: string) => void): void;
   /** Whether the node can serve users and workers now. */
   ready(): boolean;
-  /** The status page; `brief` leaves out what takes a walk over jobs and machines. */
+  /** The status page; `brief` omits the parts that require an iteration over all jobs and machines. */
   describe(brief?: boolean): object;
   readonly latencies: Pick<LatencyHistograms, 'record'>;
   readonly admission: Admission;
@@ -42,14 +42,14 @@
 }
 
 function receiveReport(api: PublicApi, request: IncomingMessage, response: ServerResponse): void {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let bytes = 0;
-  request.on('data', (part: Buffer) => {
-    bytes += part.length;
-    if (bytes <= MAX_BODY_BYTES) parts.push(part);
+  request.on('data', (chunk: Buffer) => {
+    bytes += chunk.length;
+    if (bytes <= MAX_BODY_BYTES) chunks.push(chunk);
   });
   request.on('end', () => {
-    const body = bytes <= MAX_BODY_BYTES ? parseJson(Buffer.concat(parts).toString('utf8')) : undefined;
+    const body = bytes <= MAX_BODY_BYTES ? parseJson(Buffer.concat(chunks).toString('utf8')) : undefined;
     api.report(body, (status, text) => sendJson(response, status, text));
   });
   request.on('error', () => response.destroy());
@@ -57,7 +57,7 @@
 
 const BUSY_BODY = '{"error":"too many requests under way, try again"}';
 
-/** Path of a question about one job. These are the most frequent requests and bypass the router for its cost. */
+/** Path of a poll of one job. Polls are the most frequent requests and bypass the router because of its cost. */
 const JOB_PATH = /^\/v2\/runs\/([^/?#]+)$/;
 
 type ErrorLog = Pick<Log, 'error'>;
@@ -70,13 +70,13 @@
   log?.error({ error: String(error), stack }, 'request failed');
 }
 
-/** Answers 400 to what the sender got wrong (too large, not JSON, a broken encoding), 503 to all else. */
+/** Responds 400 to an invalid request (body too large, not JSON, broken URL encoding) and 503 to any other error. */
 const handleError =
   (api: PublicApi, log: ErrorLog | undefined): ErrorRequestHandler =>
   (error, _request, response, _next) => {
     const status = (error as { status?: unknown }).status;
-    const isSendersFault = typeof status === 'number' && status >= 400 && status < 500;
-    if (isSendersFault) {
+    const isClientError = typeof status === 'number' && status >= 400 && status < 500;
+    if (isClientError) {
       api.malformed.count('requests');
       sendJson(response, 400, '{"error":"malformed request"}');
       return;
@@ -85,16 +85,16 @@
     sendJson(response, 503, '{"error":"try again"}');
   };
 
-/** One user request: what it is, how to answer it, and where to. */
+/** A user request: its kind, the operation that serves it, and the response to write the result to. */
 interface UserCall {
   readonly kind: RequestKind;
   readonly response: ServerResponse;
-  /** The job asked about, if its path names one. */
+  /** Id of the polled job; absent for other requests. */
   readonly job?: string;
   readonly run: () => Promise<UserResponse>;
 }
 
-/** Serves a user request if admission lets it in; rejects if `run` does. */
+/** Serves a user request if it is admitted, and responds 503 otherwise; rejects if `run` does. */
 async function serveUser(api: PublicApi, { kind, response, job, run }: UserCall): Promise<void> {
   const { admission } = api;
   const retryAfterS = admission.admit(kind, job);
@@ -113,7 +113,7 @@
   }
 }
 
-/** The routes of all requests but heartbeats and questions about one job. */
+/** The routes of all requests except heartbeats and polls of single jobs. */
 function createRoutes(api: PublicApi, log: ErrorLog | undefined): Express {
   const { users } = api;
   const app = express();
@@ -152,9 +152,9 @@
 
 /**
  * Creates the public port's server; it does not listen yet.
- * @param api What the port serves.
- * @param sockets Sockets of the process's quota, of which the port takes a share.
- * @param log Where failures of requests are logged; their senders only learn that they may try again.
+ * @param api The operations that the port exposes.
+ * @param sockets Socket quota of the process; the port uses a share of it.
+ * @param log Receives the causes of failed requests; the response only says that the client may try again.
  */
 export function createPublicServer(api: PublicApi, sockets: number, log?: ErrorLog): Server {
   const routes = createRoutes(api, log);
--- a/src/adapters/rate-limiter.ts
+++ b/src/adapters/rate-limiter.ts
@@ -21,7 +21,7 @@
     this.#refilledAt = now;
   }
 
-  /** Takes `cost` tokens now; false: there are too few, and none is taken. */
+  /** Takes `cost` tokens if that many are available; otherwise returns false and takes none. */
   tryAcquire(cost = 1): boolean {
     this.#refill();
     if (this.#tokens < cost) return false;
@@ -29,28 +29,34 @@
     return true;
   }
 
-  /** Takes `cost` tokens whatever the level, into debt of at most one burst: for requests that must not wait. */
+  /**
+   * Takes `cost` tokens even if that makes the balance negative, down to minus one burst. For requests that must
+   * not wait.
+   */
   forceAcquire(cost = 1): void {
     this.#refill();
     this.#tokens = Math.max(-this.burst, this.#tokens - cost);
   }
 
-  /** Waits up to `withinMs` milliseconds for `cost` tokens; false: that is not long enough. */
-  async acquire(cost: number, withinMs: number): Promise<boolean> {
+  /**
+   * Takes `cost` tokens, waiting up to `maxWaitMs` milliseconds for them. Returns false if they would not be available
+   * in time, or if another caller took them during the wait.
+   */
+  async acquire(cost: number, maxWaitMs: number): Promise<boolean> {
     if (this.tryAcquire(cost)) return true;
-    const wait = ((cost - this.#tokens) / this.perSecond) * 1000;
-    if (wait > withinMs) return false;
-    await this.clock.sleep(Math.ceil(wait));
+    const waitMs = ((cost - this.#tokens) / this.perSecond) * 1000;
+    if (waitMs > maxWaitMs) return false;
+    await this.clock.sleep(Math.ceil(waitMs));
     return this.tryAcquire(cost);
   }
 }
 
-/** Share of a service's rate that is spent on requests while it fails. */
+/** Share of a service's request rate that may be used while the service fails. */
 const RETRY_SHARE = 0.05;
 
 /**
- * Limits the requests to a service that failed to answer, until one is answered: without it all that waits
- * would be sent again at once, and overload the service as it recovers.
+ * Limits the requests to a service after one was not answered, until another is. Without this limit all waiting
+ * requests would be retried at the same time and overload the service as it recovers.
  */
 export class RetryBudget {
   readonly #retries: RateLimiter;
@@ -61,7 +67,7 @@
     this.#retries = new RateLimiter(clock, perSecond, perSecond);
   }
 
-  /** Whether a request may be sent now; while the service fails, this takes from the budget. */
+  /** Whether a request may be sent now; while the service fails, each permitted request uses up budget. */
   allowsRequest(): boolean {
     return !this.#isFailing || this.#retries.tryAcquire();
   }
--- a/src/adapters/retransmission-timer.ts
+++ b/src/adapters/retransmission-timer.ts
@@ -1,15 +1,15 @@
-/** Adaptive timeouts of requests, as TCP's retransmission timer (RFC 6298). */
+/** Adaptive request timeouts, computed like those of TCP's retransmission timer (RFC 6298). */
 
 /**
  * Derives a timeout from the response times observed: their smoothed mean plus four times their mean deviation,
- * doubled after each timeout. A fast service is thus waited for less long than a slow one.
+ * doubled after each timeout. The timeout is thus shorter for a fast service than for a slow one.
  */
 export class RetransmissionTimer {
   #smoothedMs: number | null = null;
   #deviationMs = 0;
   #backoff = 1;
 
-  /** Bounds of the timeout in milliseconds; it is the upper one before the first response. */
+  /** Sets the bounds of the timeout, in milliseconds. Before the first response the timeout is the upper bound. */
   constructor(
     private readonly minMs: number,
     private readonly maxMs: number,
@@ -18,11 +18,11 @@
   /** Time after which the next response is overdue, in milliseconds. */
   get timeoutMs(): number {
     if (this.#smoothedMs === null) return this.maxMs;
-    const usual = Math.max(this.minMs, this.#smoothedMs + 4 * this.#deviationMs);
-    return Math.min(this.maxMs, this.#backoff * usual);
+    const baseMs = Math.max(this.minMs, this.#smoothedMs + 4 * this.#deviationMs);
+    return Math.min(this.maxMs, this.#backoff * baseMs);
   }
 
-  /** Records a response that took so many milliseconds. */
+  /** Records a response that took `ms` milliseconds. */
   observeResponse(ms: number): void {
     this.#backoff = 1;
     if (this.#smoothedMs === null) {
@@ -34,7 +34,7 @@
     this.#smoothedMs += (ms - this.#smoothedMs) / 8;
   }
 
-  /** Records that no response came in time. */
+  /** Records a request that timed out. */
   observeTimeout(): void {
     this.#backoff = Math.min(2 * this.#backoff, this.maxMs / this.minMs);
   }
--- a/src/adapters/user-requests.ts
+++ b/src/adapters/user-requests.ts
@@ -17,37 +17,40 @@
 const RETRY_LATER: UserResponse = { status: 503, body: { error: 'cannot decide now, try again' } };
 const NOT_FOUND: UserResponse = { status: 404, body: { error: 'no such job' } };
 
-/** The transaction that enters a new job. */
+/** The transaction that stores a new job, and the job's stage after it. */
 interface PlannedSubmission {
   readonly preconditions: readonly Precondition[];
   readonly mutation: Mutation;
   readonly stage: 'pending' | 'withdrawn';
 }
 
-/** What the user requests need of the node. */
+/** The settings and the state of the node that user requests depend on. */
 export interface UserRequestsContext {
   readonly store: KeyValueStore;
   readonly clock: Clock;
   readonly teams: ReadonlyMap<string, TeamQuota>;
-  /** Time that one request may take in all, in milliseconds. */
+  /** Time during which a request may start further attempts at its transaction, in milliseconds. */
   readonly requestTimeoutMs: number;
-  /** Requests per second that the store takes, by the strictest limits. */
+  /** Requests per second that the store accepts under its strictest limits. */
   readonly requestsPerSecond: number;
-  /** Bytes that a description may take, by the strictest limits. */
+  /** Maximum size of a stored job description under the store's strictest limits, in bytes. */
   readonly maxValueBytes: number;
-  /** Preconditions of one transaction, by the strictest limits. */
+  /** Maximum number of preconditions in one transaction under the store's strictest limits. */
   readonly maxPreconditions: number;
-  /** Whether every controller is known to understand DAG dependencies. */
+  /** Whether every controller is known to support DAG dependencies. */
   supportsDependencies(): Promise<boolean>;
   /** Whether a leader has recently confirmed that every cancellation has reached all dependent jobs. */
   hasPropagatedCancellations(): boolean;
-  /** Machine types on offer, by name. */
+  /** Machine types that the cloud provider offers, by name; empty until they are known. */
   types(): ReadonlyMap<string, MachineType>;
-  /** Task counts of a job and the code of its wait reason (0: none), as the leader last sent them. */
+  /**
+   * Task counts of a job and the number of its wait reason (its index in `WAIT_REASONS` plus one; 0: none), as the
+   * leader last reported them; `null` if unknown.
+   */
   counts(id: string): { readonly done: number; readonly running: number; readonly why: number } | null;
 }
 
-/** Serves user requests. No method rejects for want of an answer of the store: the user is told to retry. */
+/** Serves user requests. If the store does not answer, no method rejects; the response asks the user to retry. */
 export class UserRequests {
   readonly #reader: JobReader;
 
@@ -56,25 +59,25 @@
     this.#reader = new JobReader(store, clock, requestsPerSecond, maxPreconditions);
   }
 
-  /** Drops what can be read again. */
+  /** Clears the caches; their content can be read from the store again. */
   dropCaches(): void {
     this.#reader.dropCaches();
   }
 
-  /** Why a well-formed job can never run; `null`: it can. */
+  /** Returns why a well-formed job can never run; `null` if it can. */
   #infeasibilityReason(spec: JobSpec): string | null {
     const limits = this.context.teams.get(spec.team);
     if (limits === undefined) return `crew ${spec.team} is unknown`;
-    let fitting = false;
+    let fitsAnyType = false;
     for (const type of this.context.types().values()) {
-      const zones = type.zones.some(
+      const hasAllowedZone = type.zones.some(
         (zone) =>
           satisfiesConstraints(spec, type.name, zone, false) ||
           satisfiesConstraints(spec, type.name, zone, true),
       );
-      fitting ||= zones && fits(spec, type);
+      fitsAnyType ||= hasAllowedZone && fits(spec, type);
     }
-    if (!fitting) return 'a task fits no allowed machine type';
+    if (!fitsAnyType) return 'a task fits no allowed machine type';
     const count = spec.form === 'array' ? 1 : spec.tasks;
     if (limits.maxCpus > 0 && spec.cpus * count > limits.maxCpus)
       return 'more cores than the limit of the crew';
@@ -91,7 +94,7 @@
     if (found.kind === 'unknown') return RETRY_LATER;
     if (found.kind === 'none') return NOT_FOUND;
     let view: JobView;
-    // It is certain that the job was accepted and has not ended; that is the answer.
+    // The description cannot be decoded, but its record shows that the job was accepted and has not ended.
     if (found.kind === 'damaged') return { status: 200, body: encodeJobView({ id, stage: 'pending' }) };
     if (found.kind === 'ended') view = { id, stage: found.record.stage, done: found.record.done, running: 0 };
     else {
@@ -121,40 +124,41 @@
     if (this.context.types().size === 0) return RETRY_LATER;
     const reason = this.#infeasibilityReason(spec);
     if (reason !== null) {
-      // Submission is idempotent: a job once accepted stays accepted, whatever is sent under its id.
+      // Submission is idempotent: an accepted job stays accepted, whatever a later submission under its id contains.
       const found = await this.#lookUp(id);
       return found.kind === 'none' ? { status: 422, body: { error: reason } } : this.#respond(id, found);
     }
-    // A repeat: that it is known takes a question, and nothing of what may be written a second.
+    // A repeated submission: looking the job up takes a read request, and nothing of the store's write rate.
     if (this.#reader.cachedLiveJob(id) !== undefined) {
       const found = await this.#lookUp(id);
       if (found.kind !== 'none') return this.#respond(id, found);
     }
-    const own = [jobKey(id), endedKey(id)];
-    const until = this.context.clock.monotonicMs() + this.context.requestTimeoutMs;
+    const ownKeys = [jobKey(id), endedKey(id)];
+    const deadlineMs = this.context.clock.monotonicMs() + this.context.requestTimeoutMs;
     do {
-      const entry = await this.#planSubmission(spec);
-      if ('status' in entry) return entry;
+      const planned = await this.#planSubmission(spec);
+      if ('status' in planned) return planned;
       const outcome = await this.context.store.commit({
-        preconditions: [...own.map((key) => ({ key, modRevision: 0 })), ...entry.preconditions],
-        mutations: [entry.mutation],
+        preconditions: [...ownKeys.map((key) => ({ key, modRevision: 0 })), ...planned.preconditions],
+        mutations: [planned.mutation],
       });
-      if (outcome.kind === 'applied') return { status: 201, body: encodeJobView({ id, stage: entry.stage }) };
-      // What it awaits has ended meanwhile: that is looked at anew.
-      if (outcome.kind === 'failed' && !outcome.keys.some((key) => own.includes(key))) continue;
+      if (outcome.kind === 'applied')
+        return { status: 201, body: encodeJobView({ id, stage: planned.stage }) };
+      // Only dependencies have changed since they were read: the submission is planned again.
+      if (outcome.kind === 'failed' && !outcome.keys.some((key) => ownKeys.includes(key))) continue;
       if (outcome.kind === 'failed') return this.#respond(id, await this.#lookUp(id));
       if (outcome.kind !== 'unknown') return RETRY_LATER;
       const found = await this.#lookUp(id);
       if (found.kind !== 'none' && found.kind !== 'unknown') return this.#respond(id, found);
-    } while (this.context.clock.monotonicMs() < until);
+    } while (this.context.clock.monotonicMs() < deadlineMs);
     return RETRY_LATER;
   }
 
-  /** The transaction for a new job, or the response that it gets instead. */
+  /** Returns the transaction that stores a new job, or the response to send without storing it. */
   async #planSubmission(spec: JobSpec): Promise<UserResponse | PlannedSubmission> {
     const { id, awaits = [] } = spec;
     const maxBytes = Math.floor(this.context.maxValueBytes);
-    // One that was accepted once stays accepted, whatever is sent under its name.
+    // An accepted job stays accepted, even if a later submission under its id is invalid.
     const refuse = async (status: number, error: string): Promise<UserResponse> => {
       const found = await this.#lookUp(id);
       return found.kind === 'none' ? { status, body: { error } } : this.#respond(id, found);
@@ -167,7 +171,7 @@
       stage: 'pending',
     };
     if (awaits.length === 0) return live;
-    // A controller of an earlier version would start it without regard to its dependencies.
+    // A controller of an earlier version would start the job without waiting for its dependencies.
     if (!(await this.context.supportsDependencies())) return RETRY_LATER;
     if (awaits.includes(id)) return refuse(422, 'a job cannot await itself');
     const found = await Promise.all(awaits.map((other) => this.#lookUp(other)));
@@ -178,25 +182,24 @@
     if (service !== undefined) return refuse(422, 'awaits a service, which never ends');
     const cancelled = found.some((other) => other.kind === 'ended' && other.record.stage === 'withdrawn');
     if (!cancelled) {
-      // Applied late, after a dependency was cancelled, the job would miss that cancellation.
-      const when = awaits.flatMap((other, i) => {
+      // If the transaction were applied after a dependency was cancelled, that cancellation would not reach the job.
+      const unchanged = awaits.flatMap((other, i) => {
         const job = found[i];
         return job?.kind === 'live' ? [{ key: jobKey(other), modRevision: job.modRevision }] : [];
       });
-      return { ...live, preconditions: when.slice(0, this.context.maxPreconditions - 2) };
+      return { ...live, preconditions: unchanged.slice(0, this.context.maxPreconditions - 2) };
     }
     const at = Math.round(this.context.clock.epochMs());
     const record: EndedRecord = { stage: 'withdrawn', tasks: spec.tasks, done: 0, at };
     return { preconditions: [], mutation: { put: endedKey(id), value: record }, stage: 'withdrawn' };
   }
 
-  /** Shows a job. */
   async show(id: string): Promise<UserResponse> {
     if (!JOB_ID.test(id)) return NOT_FOUND;
     return this.#respond(id, await this.#lookUp(id));
   }
 
-  /** The response about a job; a job with dependencies is shown only if their cancellations are known. */
+  /** Builds the response for a job; a job with dependencies is shown only once their cancellations are known. */
   async #respond(id: string, found: JobLookup): Promise<UserResponse> {
     if (
       found.kind !== 'live' ||
@@ -204,36 +207,37 @@
       this.context.hasPropagatedCancellations()
     )
       return this.#renderJob(id, found);
-    // No leader confirms that cancellations have propagated: they are read here, and propagated.
+    // No leader confirms that cancellations have propagated: this node looks for a cancelled dependency itself, and
+    // cancels the job if there is one.
     const isCancelled = await this.#hasCancelledDependency(found.spec);
     if (isCancelled === 'unknown') return RETRY_LATER;
     return isCancelled ? this.cancel(id) : this.#renderJob(id, found);
   }
 
   /**
-   * Whether a job depends, directly or through others, on a cancelled one. The first lookup refreshes the
-   * mirror, so that live jobs in it need no further request; without that a long chain of dependencies would
-   * take a round for each job.
+   * Whether a job depends, directly or transitively, on a cancelled one. The first lookup refreshes the job reader's
+   * mirror, so the live jobs in it need no further request; otherwise a long chain of dependencies would take one
+   * round of lookups per job.
    */
   async #hasCancelledDependency(spec: JobSpec): Promise<boolean | 'unknown'> {
     const seen = new Set<string>();
-    let next = spec.awaits ?? [];
-    while (next.length > 0) {
-      const found = await Promise.all(next.map((id) => this.#lookUp(id)));
+    let unchecked = spec.awaits ?? [];
+    while (unchecked.length > 0) {
+      const found = await Promise.all(unchecked.map((id) => this.#lookUp(id)));
       if (found.some((one) => one.kind === 'ended' && one.record.stage === 'withdrawn')) return true;
       if (found.some(({ kind }) => kind === 'unknown')) return 'unknown';
       const live = found.filter((one) => one.kind === 'live');
-      const beyond = new Set<string>();
-      for (let one = live.pop(); one !== undefined; one = live.pop()) {
-        for (const id of one.spec.awaits ?? []) {
+      const notCached = new Set<string>();
+      for (let job = live.pop(); job !== undefined; job = live.pop()) {
+        for (const id of job.spec.awaits ?? []) {
           if (seen.has(id)) continue;
           seen.add(id);
-          const known = this.#reader.cachedLiveJob(id);
-          if (known?.kind === 'live') live.push(known);
-          else beyond.add(id);
+          const cached = this.#reader.cachedLiveJob(id);
+          if (cached?.kind === 'live') live.push(cached);
+          else notCached.add(id);
         }
       }
-      next = [...beyond];
+      unchecked = [...notCached];
     }
     return false;
   }
@@ -241,7 +245,7 @@
   /** Cancels a job; idempotent. */
   async cancel(id: string): Promise<UserResponse> {
     if (!JOB_ID.test(id)) return NOT_FOUND;
-    const until = this.context.clock.monotonicMs() + this.context.requestTimeoutMs;
+    const deadlineMs = this.context.clock.monotonicMs() + this.context.requestTimeoutMs;
     do {
       const found = await this.#lookUp(id);
       if (found.kind !== 'live' && found.kind !== 'damaged') return this.#renderJob(id, found);
@@ -260,7 +264,7 @@
       // The commit may have been executed and its response lost.
       const after = await this.#lookUp(id);
       if (after.kind === 'ended') return this.#renderJob(id, after);
-    } while (this.context.clock.monotonicMs() < until);
+    } while (this.context.clock.monotonicMs() < deadlineMs);
     return RETRY_LATER;
   }
 }
--- a/src/adapters/worker-client.ts
+++ b/src/adapters/worker-client.ts
@@ -5,27 +5,30 @@
 import { encodeDirectCommands, parseHeartbeat } from '../wire/workers.js';
 import { HttpClient } from './http-client.js';
 
-/** What the controller needs of the workers' agents. */
+/** The operations of the workers' agents that the controller uses. */
 export interface WorkerClient {
-  /** Raises the agent's fencing token and sends it commands; the result is its heartbeat, `null`: no sound answer. */
+  /**
+   * Raises the agent's fencing token and sends it commands. Resolves to the agent's heartbeat, or to `null` without
+   * a valid response.
+   */
   sendCommands(
     address: string,
     token: number,
     agentEpoch: number,
     commands: readonly WorkerCommand[],
   ): Promise<Heartbeat | null>;
-  /** Whether the address accepts a connection; `null`: undecided, for reasons on this side. */
+  /** Whether the address accepts a connection; `null` if a limit or an error on this node left it undecided. */
   probe(address: string): Promise<boolean | null>;
 }
 
-/** Errors whose cause is the other side. */
+/** Connection errors that are caused by the remote side, so that the address counts as unreachable. */
 const UNREACHABLE_ERRORS: ReadonlySet<string | undefined> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ETIMEDOUT',
 ]);
 
-/** The agents' HTTP interface; each call takes a connection of its own. */
+/** Client of the agents' HTTP interface; each call opens its own connection. */
 export class HttpWorkerClient implements WorkerClient {
   #probes = 0;
 
@@ -33,7 +36,7 @@
     private readonly timeoutMs: number,
     /** Time that a machine has to accept a connection, in milliseconds. */
     private readonly probeTimeoutMs: number,
-    /** Probes under way at once, at most. */
+    /** Maximum number of concurrent probes. */
     private readonly maxProbes: number,
   ) {}
 
@@ -43,7 +46,7 @@
     return new Promise((resolve) => {
       const socket = connect(parseAddress(address));
       let isReachable: boolean | null = false;
-      // After a pause of this process, events that arrived meanwhile are handled before the timeout.
+      // Pending events are handled before the timeout: a connection made while this process was paused still counts.
       const timer = setTimeout(() => setImmediate(() => socket.destroy()), this.probeTimeoutMs);
       socket.on('connect', () => {
         isReachable = true;
@@ -66,16 +69,16 @@
     agentEpoch: number,
     commands: readonly WorkerCommand[],
   ): Promise<Heartbeat | null> {
-    // A start is never sent directly: it could be executed minutes late.
+    // A start command is never sent directly: a delayed call could execute it minutes late.
     const withoutStarts = commands.filter((command) => command.op !== 'start');
     const client = new HttpClient(parseAddress(address), 1, false);
-    const answer = await client.request(
+    const response = await client.request(
       'POST',
       '/do',
       encodeDirectCommands(token, agentEpoch, withoutStarts),
       this.timeoutMs,
     );
     client.close();
-    return answer.status === 200 || answer.status === 409 ? parseHeartbeat(answer.body) : null;
+    return response.status === 200 || response.status === 409 ? parseHeartbeat(response.body) : null;
   }
 }
