--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,4 +1,7 @@
-/** Wire format of the cloud provider's interface. The only place with its field names. The parsers return `null` for what is malformed. */
+/**
+ * Wire format of the cloud provider's API. Only this module contains its field names. The parsers return `null` for
+ * malformed input.
+ */
 import type { ListedMachine, MachineType } from '../core/types.js';
 import { asObject, isAmount, isFlag, isText } from '../core/values.js';
 
@@ -8,16 +11,16 @@
   const { name, cores, gpus, memGb, cacheGb, fetchGbPerS, hourly, lowPrice, readyS, halls } = raw;
   if (!isText(name) || !isAmount(cores) || !isAmount(memGb)) return null;
   if (!isAmount(hourly) || !isAmount(readyS) || !Array.isArray(halls) || !halls.every(isText)) return null;
-  const or = (value: unknown, fallback: number): number => (isAmount(value) ? value : fallback);
+  const amountOr = (value: unknown, fallback: number): number => (isAmount(value) ? value : fallback);
   return {
     name,
     cpus: cores,
-    gpus: or(gpus, 0),
+    gpus: amountOr(gpus, 0),
     memoryGb: memGb,
-    cacheGb: or(cacheGb, 0),
-    fetchGbPerS: or(fetchGbPerS, 0),
+    cacheGb: amountOr(cacheGb, 0),
+    fetchGbPerS: amountOr(fetchGbPerS, 0),
     price: hourly,
-    spotPrice: or(lowPrice, hourly),
+    spotPrice: amountOr(lowPrice, hourly),
     bootS: readyS,
     zones: halls,
   };
@@ -25,16 +28,16 @@
 
 function parseList<T>(value: unknown, parse: (entry: unknown) => T | null): T[] | null {
   if (!Array.isArray(value)) return null;
-  const out: T[] = [];
+  const parsedEntries: T[] = [];
   for (const entry of value as unknown[]) {
     const parsed = parse(entry);
     if (parsed === null) return null;
-    out.push(parsed);
+    parsedEntries.push(parsed);
   }
-  return out;
+  return parsedEntries;
 }
 
-/** Reads the machine types on offer. */
+/** Reads the machine types that the provider offers. */
 export function parseCatalog(body: unknown): MachineType[] | null {
   return parseList(asObject(body)?.['benches'], parseType);
 }
@@ -64,18 +67,18 @@
   };
 }
 
-/** Reads one page of the machines held. */
+/** Reads one page of the list of provisioned machines. */
 export function parseMachinePage(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
   const machines = parseList(asObject(body)?.['skiffs'], parseMachine);
   return machines === null ? null : { machines, more: asObject(body)?.['truncated'] === true };
 }
 
-/** Reads the names of the machines provisioned. */
+/** Reads the names of newly provisioned machines. */
 export function parseProvisioned(body: unknown): string[] | null {
   return parseList(asObject(body)?.['skiffs'], (entry) => (isText(entry) ? entry : null));
 }
 
-/** A request for machines; `request` is its idempotency key. */
+/** Encodes a request for machines; `request` is its idempotency key. */
 export function encodeProvisionRequest(
   request: string,
   type: string,
@@ -86,7 +89,7 @@
   return JSON.stringify({ charter: request, bench: type, hall: zone, borrowed: spot, howMany: count });
 }
 
-/** A request to terminate machines. */
+/** Encodes a request to terminate machines. */
 export function encodeTerminateRequest(machines: readonly string[]): string {
   return JSON.stringify({ skiffs: machines });
 }
--- a/src/wire/intake.ts
+++ b/src/wire/intake.ts
@@ -1,27 +1,27 @@
 /**
- * What a leader and the followers that share its heartbeats tell one another: protobuf messages that travel in
- * a field of the frames between controllers, which versions before sharing skip.
+ * Messages between a leader and the followers that accept heartbeats for it: protobuf messages in a field of the
+ * frames between controllers. Versions before heartbeat sharing skip that field.
  */
 import protobuf from 'protobufjs/light.js';
 import type { Keepalive } from '../core/fleet/index.js';
 import type { ExitReason, Heartbeat, ReportedTask, TaskStage, WorkerCommand } from '../core/types.js';
 
 interface Envelope {
-  /** The sender, its incarnation, and the term of the message. */
+  /** Name of the sender, its incarnation, and the term that the message belongs to. */
   readonly node: string;
   readonly incarnation: string;
   readonly term: number;
-  /** Epoch milliseconds at the sender: the age of a delayed message counts. */
+  /** Time of sending in milliseconds since the Unix epoch, from which the receiver derives the message's age. */
   readonly sentAt: number;
 }
 
-/** A heartbeat that the leader is to answer. */
+/** A heartbeat that a follower forwards to the leader for an answer. */
 export interface ForwardedHeartbeat {
   readonly reference: number;
   readonly heartbeat: Heartbeat;
 }
 
-/** From a follower: heartbeats with news, and keepalives of machines without. */
+/** Sent by a follower: heartbeats for the leader to answer, and keepalives for heartbeats without news. */
 export interface HeartbeatsMessage extends Envelope {
   readonly kind: 'heartbeats';
   readonly heartbeats: readonly ForwardedHeartbeat[];
@@ -31,42 +31,45 @@
 /** The leader's answer to a forwarded heartbeat. */
 export interface ForwardedAnswer {
   readonly reference: number;
-  /** False: the leader may not answer now. */
+  /** Whether the leader accepted the heartbeat; false: the leader may not answer it now. */
   readonly isAccepted: boolean;
-  /** The leader has more commands for the machine: its next heartbeat is to be forwarded, too. */
+  /** Whether the leader has more commands for the machine, so that its next heartbeat must be forwarded, too. */
   readonly needsAttention: boolean;
   readonly commands: readonly WorkerCommand[];
 }
 
-/** Workers that a follower is to send to another controller. */
+/** How many workers a follower should redirect to another controller. */
 export interface RedirectQuota {
   readonly to: string;
   readonly count: number;
 }
 
-/** From the leader: answers, and the machines that need its attention. */
+/** Sent by the leader: answers to heartbeats, and the machines whose next heartbeat must be forwarded. */
 export interface AnswersMessage extends Envelope {
   readonly kind: 'answers';
   readonly answers: readonly ForwardedAnswer[];
-  /** Counts the leader's messages to this follower: after a gap only a snapshot is of use. */
+  /** Sequence number of the leader's messages to this follower; after a gap the follower waits for a snapshot. */
   readonly number: number;
-  /** Machines whose next heartbeat is to be forwarded: all such (a snapshot), or those that were added. */
+  /** Machines whose next heartbeat must be forwarded: all of them in a snapshot, otherwise only those added. */
   readonly attention: readonly string[];
   readonly isSnapshot: boolean;
-  /** Of a snapshot: whether followers are to accept heartbeats, and the epoch milliseconds of the read that confirmed the view. */
+  /**
+   * In a snapshot: whether followers should accept heartbeats, and the time of the read that confirmed the leader's
+   * view, in milliseconds since the Unix epoch (0: not confirmed).
+   */
   readonly isSharing: boolean;
   readonly viewConfirmedAt: number;
   readonly redirect: RedirectQuota | null;
 }
 
-/** Either direction. */
+/** A message in either direction. */
 export type IntakeMessage = HeartbeatsMessage | AnswersMessage;
 
 const STAGES: readonly TaskStage[] = ['fetching', 'running', 'saving', 'exited'];
 const EXITS: readonly ExitReason[] = ['done', 'stopped', 'error', 'no_room', 'busy', 'unknown'];
 const OPERATIONS = ['start', 'stop', 'forget'] as const;
 
-/** The message types, to be nested beside those of the peers' status. */
+/** Protobuf types of these messages, nested in the same namespace as the types of the peers' status. */
 export const INTAKE_TYPES: Record<string, protobuf.IType> = {
   IntakeTask: {
     fields: {
@@ -74,7 +77,7 @@
       task: { type: 'uint32', id: 2 },
       attempt: { type: 'uint32', id: 3 },
       stage: { type: 'uint32', id: 4 },
-      // One more than its place among the reasons; 0: none.
+      // Index of the exit reason in `EXITS` plus one; 0: none.
       exit: { type: 'uint32', id: 5 },
     },
   },
@@ -161,7 +164,7 @@
   readonly graceS: number;
 }
 
-/** A message as protobuf has it; fields that are missing have their defaults. */
+/** A message as decoded by protobuf; missing fields have their default values. */
 export interface WireIntake extends Envelope {
   readonly fromLeader: boolean;
   readonly heartbeats: readonly WireHeartbeat[];
@@ -187,8 +190,14 @@
 });
 
 function taskFromWire({ job, task, attempt, stage, exit }: WireTask): ReportedTask {
-  const known = STAGES[stage] ?? 'running';
-  return { job, task, attempt, stage: known, exit: known === 'exited' ? (EXITS[exit - 1] ?? 'error') : null };
+  const knownStage = STAGES[stage] ?? 'running';
+  return {
+    job,
+    task,
+    attempt,
+    stage: knownStage,
+    exit: knownStage === 'exited' ? (EXITS[exit - 1] ?? 'error') : null,
+  };
 }
 
 const commandToWire = (command: WorkerCommand): WireCommand => ({
@@ -205,7 +214,7 @@
   return [op === 'stop' ? { op, job, task, attempt, graceS } : { op, job, task, attempt }];
 }
 
-/** A message as protobuf takes it. */
+/** Converts a message to the form that protobuf encodes. */
 export function intakeToWire(message: IntakeMessage): object {
   const { kind, ...rest } = message;
   if (kind === 'heartbeats')
@@ -229,7 +238,7 @@
   };
 }
 
-/** The message that protobuf has read. */
+/** Converts a message that protobuf has decoded. */
 export function intakeFromWire(wire: WireIntake): IntakeMessage {
   const { node, incarnation, term, sentAt } = wire;
   const envelope = { node, incarnation, term, sentAt };
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -1,4 +1,7 @@
-/** Wire format of the key-value store's interface. The only place with its field names. The parsers return `null` for what is malformed. */
+/**
+ * Wire format of the key-value store's API. Only this module contains its field names. The parsers return `null` for
+ * malformed input.
+ */
 import type { Transaction } from '../core/types.js';
 import { asObject, isCount, isText } from '../core/values.js';
 
@@ -17,33 +20,33 @@
   readonly modRevision: number;
 }
 
-/** A compare-and-swap. */
+/** Encodes a compare-and-swap. */
 export function encodeTransaction(txn: Transaction): string {
   return JSON.stringify({
     when: txn.preconditions.map(({ key, modRevision }) => ({ key, stamp: modRevision })),
-    apply: txn.mutations.map((write) =>
-      'put' in write
+    apply: txn.mutations.map((mutation) =>
+      'put' in mutation
         ? {
-            put: write.put,
-            data: write.value,
-            ...(write.lease === undefined ? {} : { permit: write.lease }),
+            put: mutation.put,
+            data: mutation.value,
+            ...(mutation.lease === undefined ? {} : { permit: mutation.lease }),
           }
-        : { remove: write.remove },
+        : { remove: mutation.remove },
     ),
   });
 }
 
-/** An entry as the store writes it; null if it is malformed. */
+/** Reads an entry in the store's format. */
 function parseEntry(body: unknown): Entry | null {
   const raw = asObject(body);
   if (raw === null || !isText(raw['key']) || !isCount(raw['stamp'])) return null;
   return { key: raw['key'], value: raw['data'], modRevision: raw['stamp'] };
 }
 
-/** Reads the answer to a read of one key. */
+/** Reads the response to a read of one key. */
 export const parseValue = parseEntry;
 
-/** Reads the store's revision that every answer carries. */
+/** Reads the store's revision, which every response carries. */
 export function parseRevision(body: unknown): number | null {
   const revision = asObject(body)?.['ledgerRev'];
   return isCount(revision) ? revision : null;
@@ -69,7 +72,7 @@
   return { entries, more: raw['truncated'] === true, revision };
 }
 
-/** Reads the answer of a watch; the changes are sorted by revision. */
+/** Reads the response of a watch; the returned changes are sorted by revision. */
 export function parseChanges(body: unknown): { changes: KeyChange[]; revision: number } | null {
   const raw = asObject(body);
   const revision = parseRevision(body);
@@ -86,16 +89,16 @@
       return null;
     }
   }
-  // Applied in another order, the removal of a key created in the same answer would be lost.
+  // Applied in another order, the removal of a key that was created in the same response could be lost.
   changes.sort((one, other) => one.modRevision - other.modRevision);
   return { changes, revision };
 }
 
-/** Reads the id of a lease granted. */
+/** Reads the id of a granted lease. */
 export function parseLease(body: unknown): number | null {
   const lease = asObject(body)?.['permit'];
   return isCount(lease) ? lease : null;
 }
 
-/** A request for a lease of this time to live. */
-export const encodeLeaseRequest = (ms: number): string => JSON.stringify({ lifeMs: Math.round(ms) });
+/** Encodes a request for a lease with this time to live, in milliseconds. */
+export const encodeLeaseRequest = (ttlMs: number): string => JSON.stringify({ lifeMs: Math.round(ttlMs) });
--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -1,6 +1,6 @@
 /**
- * What controllers tell one another: length-delimited protobuf messages. What is too large for one frame
- * goes in several: the first is a message as ever, with a part of the lists, and says how many follow.
+ * Messages between controllers: length-delimited protobuf frames. A message that is too large for one frame is sent
+ * in several: the first is an ordinary message with a part of the lists, and states how many continuations follow.
  */
 import protobuf from 'protobufjs/light.js';
 import { LINK_STATES, type LinkState, type Observation, type MemberStatus } from '../membership/status.js';
@@ -20,34 +20,34 @@
   readonly id: string;
   readonly done: number;
   readonly running: number;
-  /** Why its tasks wait: one more than the place among the reasons; 0: none does, or nobody says. */
+  /** Why its tasks wait: the index in `WAIT_REASONS` plus one; 0: no task waits, or the reason is unknown. */
   readonly why: number;
 }
 
 /** The status message between controllers. */
 export interface PeerStatus extends MemberStatus {
   readonly counts: readonly JobCount[];
-  /** The format that it can read; 0: a version that does not say, which reads format 1. */
+  /** The record format that the sender can read; 0: a version without this field, which reads format 1. */
   readonly format: number;
   /**
-   * Epoch milliseconds up to which every cancellation has reached all dependent jobs, as a
-   * leader knows; 0: unknown.
+   * Time up to which every cancellation has reached all dependent jobs according to a leader, in milliseconds since
+   * the Unix epoch; 0: unknown.
    */
   readonly dependenciesResolvedUntil: number;
-  /** Zones from which the leader gets no heartbeat, and for how long, as far as this node knows. */
+  /** Zones from which the leader receives no heartbeats, and for how long, as far as the sender knows. */
   readonly silentZones: readonly SilentZone[];
-  /** Machines that this node answers in the leader's place. */
+  /** Machines whose heartbeats the sender answers in the leader's place. */
   readonly relayedMachines: readonly string[];
   /**
-   * Epoch milliseconds of the read that confirmed the leader's view of cancellations;
-   * 0: none, or the counts do not list every live job.
+   * Time of the read that confirmed the leader's view of cancellations, in milliseconds since the Unix epoch; 0: not
+   * confirmed, or the counts do not list every live job.
    */
   readonly viewConfirmedAt: number;
-  /** It accepts heartbeats for the leader that it follows; versions before shared heartbeats leave this out. */
+  /** Whether the sender accepts heartbeats for its leader; versions before heartbeat sharing omit this field. */
   readonly acceptsHeartbeats: boolean;
 }
 
-/** A zone from which no heartbeat comes, and for how long. */
+/** A zone from which no heartbeats arrive, and for how long. */
 export interface SilentZone {
   readonly zone: string;
   readonly silentMs: number;
@@ -82,7 +82,8 @@
         counts: { rule: 'repeated', type: 'JobCount', id: 1 },
         relayedMachines: { rule: 'repeated', type: 'string', id: 2 },
         attention: { rule: 'repeated', type: 'string', id: 3 },
-        // The proof of the whole; the first frame has none, so that nobody answers by a part.
+        // Confirms the complete lists. The first frame's own `viewConfirmedAt` is 0, so that no receiver answers
+        // workers from a part of them.
         viewConfirmedAt: { type: 'double', id: 4 },
       },
     },
@@ -94,13 +95,13 @@
         isLeader: { type: 'bool', id: 4 },
         storeContactAgeMs: { type: 'uint32', id: 5 },
         counts: { rule: 'repeated', type: 'JobCount', id: 6 },
-        // Versions before dependencies leave these out, and skip them.
+        // Versions before DAG dependencies omit these fields when sending and skip them when reading.
         format: { type: 'uint32', id: 7 },
         dependenciesResolvedUntil: { type: 'double', id: 8 },
         silentZones: { rule: 'repeated', type: 'SilentZone', id: 9 },
         relayedMachines: { rule: 'repeated', type: 'string', id: 10 },
         viewConfirmedAt: { type: 'double', id: 11 },
-        // Versions before failure detection leave these out: such a peer confirms no crash.
+        // Versions before failure detection omit these fields: such a peer cannot confirm a crash.
         timerLagMs: { type: 'uint32', id: 12 },
         observations: { rule: 'repeated', type: 'Observation', id: 13 },
         unexpectedReports: { type: 'uint32', id: 14 },
@@ -110,12 +111,12 @@
         probeRound: { type: 'uint32', id: 18 },
         reachable: { type: 'uint32', id: 19 },
         unreachable: { type: 'uint32', id: 20 },
-        // Versions before shared heartbeats leave these out. A frame that carries an intake message names no
-        // node, so that they pass it over.
+        // Versions before heartbeat sharing omit these fields. A frame with an intake message has an empty node
+        // name, so that they ignore it.
         acceptsHeartbeats: { type: 'bool', id: 21 },
         intake: { type: 'Intake', id: 22 },
-        // Versions before portions leave these out. A frame that continues another names no node, so that
-        // they pass it over.
+        // Versions before portions omit these fields. A continuation frame has an empty node name, so that they
+        // ignore it.
         continuation: { type: 'Continuation', id: 23 },
         continuations: { type: 'uint32', id: 24 },
       },
@@ -126,14 +127,14 @@
 
 /** The largest frame that a peer may send, in bytes. */
 export const MAX_FRAME_BYTES = 64 * 1024;
-/** Lists up to so long go in one frame if that is not too large. */
+/** A message whose lists are no longer than this is sent in one frame, if that frame is not too large. */
 const MAX_COUNTS_IN_FRAME = 1000;
 const MAX_RELAYED_IN_FRAME = 2000;
 const MAX_ATTENTION_IN_FRAME = 3000;
-/** Frames that continue one message. A bound on bad input: the names of 64,000 machines take some 90. */
+/** Maximum number of continuations of one message. It bounds bad input; the names of 64,000 machines take about 90. */
 const MAX_CONTINUATIONS = 512;
 
-/** What frames that continue a message carry of it. */
+/** The part of a message that continuation frames carry. */
 interface Continuation {
   readonly counts: readonly JobCount[];
   readonly relayedMachines: readonly string[];
@@ -143,20 +144,20 @@
 
 const encodeFrame = (fields: object): Uint8Array => statusType.encodeDelimited(fields).finish();
 
-/** Bytes that the numbers of a job's count and its tags take, at most. */
+/** Upper bound of the bytes that a job's count takes besides the id: its numbers and the field tags. */
 const COUNT_OVERHEAD_BYTES = 28;
 const countBytes = ({ id }: JobCount): number => Buffer.byteLength(id) + COUNT_OVERHEAD_BYTES;
 
-type Lists = Omit<Continuation, 'viewConfirmedAt'>;
-const NO_LISTS: Lists = { counts: [], relayedMachines: [], attention: [] };
+type PortionedLists = Omit<Continuation, 'viewConfirmedAt'>;
+const NO_LISTS: PortionedLists = { counts: [], relayedMachines: [], attention: [] };
 
-/** The first frame, which has the first portion of the lists in it, and those that continue it with the others. */
+/** Encodes a message in several frames: one by `encodeFirst` with the first portion, continuations with the others. */
 function encodePortions(
-  lists: Partial<Lists>,
+  lists: Partial<PortionedLists>,
   viewConfirmedAt: number,
-  first: (portion: Lists, viewConfirmedAt: number, continuations: number) => object,
+  encodeFirst: (portion: PortionedLists, viewConfirmedAt: number, continuations: number) => object,
 ): Uint8Array {
-  const portions: Lists[] = [
+  const portions: PortionedLists[] = [
     ...portionsOf(lists.counts ?? [], countBytes).map((counts) => ({ ...NO_LISTS, counts })),
     ...portionsOf(lists.relayedMachines ?? [], nameBytes).map((relayedMachines) => ({
       ...NO_LISTS,
@@ -164,41 +165,47 @@
     })),
     ...portionsOf(lists.attention ?? [], nameBytes).map((attention) => ({ ...NO_LISTS, attention })),
   ];
-  const [begin = NO_LISTS, ...rest] = portions;
-  const sent = rest.slice(0, MAX_CONTINUATIONS);
-  // Nobody may answer by a part of the lists.
-  const proof = sent.length === rest.length ? viewConfirmedAt : 0;
-  const frames = sent.map((portion) =>
-    encodeFrame({ node: '', continuation: { ...portion, viewConfirmedAt: proof } }),
+  const [firstPortion = NO_LISTS, ...rest] = portions;
+  const otherPortions = rest.slice(0, MAX_CONTINUATIONS);
+  // Without a confirmation time no receiver answers workers from incomplete lists.
+  const confirmedAt = otherPortions.length === rest.length ? viewConfirmedAt : 0;
+  const continuationFrames = otherPortions.map((portion) =>
+    encodeFrame({ node: '', continuation: { ...portion, viewConfirmedAt: confirmedAt } }),
   );
   return Buffer.concat([
-    encodeFrame(first(begin, sent.length === 0 ? viewConfirmedAt : 0, sent.length)),
-    ...frames,
+    encodeFrame(
+      encodeFirst(firstPortion, otherPortions.length === 0 ? viewConfirmedAt : 0, otherPortions.length),
+    ),
+    ...continuationFrames,
   ]);
 }
 
-/** The frames of a status: one, or of a large fleet several. */
+/** Encodes a status in one frame, or in several if the fleet is large. */
 export function encodeStatus(status: PeerStatus): Uint8Array {
-  const observations = status.observations.map((one) => ({
-    ...one,
-    linkState: LINK_STATES.indexOf(one.linkState),
+  const observations = status.observations.map((observation) => ({
+    ...observation,
+    linkState: LINK_STATES.indexOf(observation.linkState),
   }));
   const { counts, relayedMachines, viewConfirmedAt } = status;
   if (counts.length <= MAX_COUNTS_IN_FRAME && relayedMachines.length <= MAX_RELAYED_IN_FRAME) {
     const frame = encodeFrame({ ...status, observations });
     if (frame.length <= MAX_FRAME_BYTES) return frame;
   }
-  return encodePortions({ counts, relayedMachines }, viewConfirmedAt, (portion, proof, continuations) => ({
-    ...status,
-    observations,
-    counts: portion.counts,
-    relayedMachines: portion.relayedMachines,
-    viewConfirmedAt: proof,
-    continuations,
-  }));
+  return encodePortions(
+    { counts, relayedMachines },
+    viewConfirmedAt,
+    (portion, confirmedAt, continuations) => ({
+      ...status,
+      observations,
+      counts: portion.counts,
+      relayedMachines: portion.relayedMachines,
+      viewConfirmedAt: confirmedAt,
+      continuations,
+    }),
+  );
 }
 
-/** The frames that carry a message about shared heartbeats, and no status: one, or of a large fleet several. */
+/** Encodes a message about shared heartbeats in frames without a status: one, or several if the fleet is large. */
 export function encodeIntake(message: IntakeMessage): Uint8Array {
   if (message.kind === 'answers' && message.attention.length > MAX_ATTENTION_IN_FRAME)
     return encodeSnapshot(message);
@@ -219,10 +226,10 @@
   );
 }
 
-/** Heartbeats are taken one by one, so that halves of a message are messages by themselves. */
-function encodeHeartbeats(message: HeartbeatsMessage, whole: Uint8Array): Uint8Array {
+/** Splits a message into halves. Heartbeats are handled one by one, so each half is a complete message. */
+function encodeHeartbeats(message: HeartbeatsMessage, frame: Uint8Array): Uint8Array {
   const { heartbeats, keepalives } = message;
-  if (heartbeats.length + keepalives.length < 2) return whole;
+  if (heartbeats.length + keepalives.length < 2) return frame;
   const half = <T>(items: readonly T[]): [readonly T[], readonly T[]] => {
     const middle = Math.ceil(items.length / 2);
     return [items.slice(0, middle), items.slice(middle)];
@@ -243,15 +250,15 @@
   readonly continuations: number;
 };
 
-/** A message of which frames are still to come. */
+/** A message whose continuation frames have not all arrived yet. */
 interface PartialMessage {
   remaining: number;
   readonly received: Continuation[];
-  /** Takes the whole of it. */
+  /** Called with the joined continuations once all of them have arrived. */
   complete(rest: Continuation): void;
 }
 
-/** What several frames have of the lists, one after the other. */
+/** Joins the lists of several continuation frames, in their order; the last frame has the confirmation time. */
 const joinContinuations = (received: readonly Continuation[]): Continuation => ({
   counts: received.flatMap(({ counts }) => counts),
   relayedMachines: received.flatMap(({ relayedMachines }) => relayedMachines),
@@ -280,51 +287,56 @@
     ? { ...first, attention: [...first.attention, ...attention], viewConfirmedAt }
     : first;
 
-/** Splits a stream into messages; throws on garbage or an oversized frame. */
+/** Splits a stream into messages; throws on malformed or oversized frames. */
 export class StatusReader {
-  #rest: Uint8Array = new Uint8Array(0);
+  #buffer: Uint8Array = new Uint8Array(0);
   #partial: PartialMessage | null = null;
-  /** Statuses that are whole. */
-  readonly #found: PeerStatus[] = [];
+  /** Complete statuses that `push` has not returned yet. */
+  readonly #statuses: PeerStatus[] = [];
 
   constructor(
-    /** Takes the messages about shared heartbeats. */
+    /** Called with each message about shared heartbeats. */
     private readonly onIntake: (message: IntakeMessage) => void = () => undefined,
   ) {}
 
-  push(part: Uint8Array): PeerStatus[] {
-    this.#rest = this.#rest.length === 0 ? part : Buffer.concat([this.#rest, part]);
+  push(chunk: Uint8Array): PeerStatus[] {
+    this.#buffer = this.#buffer.length === 0 ? chunk : Buffer.concat([this.#buffer, chunk]);
     for (;;) {
-      const frame = this.#frame();
-      if (frame === null) return this.#found.splice(0);
+      const frame = this.#nextFrame();
+      if (frame === null) return this.#statuses.splice(0);
       const message = statusType.decode(frame);
       const decoded = statusType.toObject(message, { defaults: true, arrays: true }) as WireStatus;
       const { intake, continuation, continuations, ...wire } = decoded;
       if (continuation !== null) {
-        this.#continue(continuation);
+        this.#addContinuation(continuation);
         continue;
       }
-      if (continuations > MAX_CONTINUATIONS) throw new RangeError('message of too many frames');
+      if (continuations > MAX_CONTINUATIONS)
+        throw new RangeError(
+          `too many frames: ${continuations} continuations, the limit is ${MAX_CONTINUATIONS}`,
+        );
       if (intake !== null) {
         const first = intakeFromWire(intake);
-        this.#begin(continuations, (rest) => this.onIntake(rest === null ? first : joinIntake(first, rest)));
+        this.#startMessage(continuations, (rest) =>
+          this.onIntake(rest === null ? first : joinIntake(first, rest)),
+        );
       } else {
         const first = { ...wire, observations: wire.observations.map(decodeObservation) };
-        this.#begin(continuations, (rest) =>
-          this.#found.push(rest === null ? first : joinStatus(first, rest)),
+        this.#startMessage(continuations, (rest) =>
+          this.#statuses.push(rest === null ? first : joinStatus(first, rest)),
         );
       }
     }
   }
 
-  /** Takes the first frame of a message, which is the whole of it but for what large fleets say. */
-  #begin(continuations: number, complete: (rest: Continuation | null) => void): void {
+  /** Handles the first frame of a message, which completes the message unless continuations follow. */
+  #startMessage(continuations: number, complete: (rest: Continuation | null) => void): void {
     this.#partial = null;
     if (continuations === 0) complete(null);
     else this.#partial = { remaining: continuations, received: [], complete };
   }
 
-  #continue(continuation: Continuation): void {
+  #addContinuation(continuation: Continuation): void {
     const partial = this.#partial;
     if (partial === null) return;
     partial.received.push(continuation);
@@ -334,17 +346,20 @@
     partial.complete(joinContinuations(partial.received));
   }
 
-  #frame(): Uint8Array | null {
+  #nextFrame(): Uint8Array | null {
     let length = 0;
-    for (let at = 0; at < this.#rest.length; at += 1) {
-      const byte = this.#rest[at] ?? 0;
+    for (let at = 0; at < this.#buffer.length; at += 1) {
+      const byte = this.#buffer[at] ?? 0;
       length += (byte & 0x7f) * 2 ** (7 * at);
-      if (length > MAX_FRAME_BYTES || at > 3) throw new RangeError('oversized frame');
+      if (length > MAX_FRAME_BYTES || at > 3)
+        throw new RangeError(
+          `oversized frame: a length prefix of ${at + 1} bytes announces ${length} bytes or more; limits: 4 and ${MAX_FRAME_BYTES}`,
+        );
       if ((byte & 0x80) !== 0) continue;
       const end = at + 1 + length;
-      if (this.#rest.length < end) return null;
-      const frame = this.#rest.subarray(at + 1, end);
-      this.#rest = this.#rest.subarray(end);
+      if (this.#buffer.length < end) return null;
+      const frame = this.#buffer.subarray(at + 1, end);
+      this.#buffer = this.#buffer.subarray(end);
       return frame;
     }
     return null;
--- a/src/wire/portions.ts
+++ b/src/wire/portions.ts
@@ -1,19 +1,19 @@
 /**
- * Cuts what is too large for one frame between controllers into portions. Versions before portions take
- * frames of up to 64 KiB with 2,000 names each; they read the first frame of several, and pass the others over.
+ * Splits lists that are too large for one frame between controllers into portions. Versions before portions accept
+ * frames of up to 64 KiB with 2,000 names each; of several frames they read the first and ignore the others.
  */
 
-/** Of a list that is cut, the most items in one portion. */
+/** Maximum number of items in one portion of a split list. */
 const MAX_PORTION_ITEMS = 2000;
-/** Of a list that is cut, the most bytes in one portion; the rest of a frame of 64 KiB is for all else. */
+/** Maximum bytes in one portion of a split list; the rest of the 64 KiB frame is left to the other fields. */
 const MAX_PORTION_BYTES = 40 * 1024;
-/** Bytes that the length and the tag of a name take, at most. */
+/** Upper bound of the bytes that the length prefix and the field tag of a name take. */
 const NAME_OVERHEAD_BYTES = 4;
 
-/** Bytes that a machine's name takes in a message, at most. */
+/** Upper bound of the bytes that a machine's name takes in a message. */
 export const nameBytes = (name: string): number => Buffer.byteLength(name) + NAME_OVERHEAD_BYTES;
 
-/** How many of the items from `from` on make up one portion. */
+/** Returns how many items, starting at index `from`, make up one portion. */
 export function portionLength<T>(items: readonly T[], bytesOf: (item: T) => number, from = 0): number {
   let bytes = 0;
   let count = 0;
@@ -25,7 +25,7 @@
   return count;
 }
 
-/** The items in portions, in their order; none of an empty list. */
+/** Splits the items into portions, in their order; an empty list has no portions. */
 export function portionsOf<T>(items: readonly T[], bytesOf: (item: T) => number): T[][] {
   const portions: T[][] = [];
   for (let from = 0; from < items.length;) {
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,10 +1,10 @@
-/** Wire format of the users' interface: job descriptions in, answers out. The only place with its field names. */
+/** Wire format of the user API: job descriptions in, responses out. Only this module contains its field names. */
 import type { FinalStage, JobForm, JobSpec, Priority } from '../core/types.js';
 import { asObject, isAmount, isCount, isFlag, isText } from '../core/values.js';
 
-/** The form of a job id. */
+/** Format of a job id. */
 export const JOB_ID = /^req-\d{1,18}$/;
-/** Tasks of one job, at most. */
+/** Maximum number of tasks in one job. */
 const MAX_TASKS = 100_000;
 
 const PRIORITIES = new Map<unknown, Priority>([
@@ -20,11 +20,11 @@
   ['service', 'service'],
 ]);
 
-/** What a body holds, or why it is refused. */
+/** The parsed value of a request body, or the reason why the request is refused. */
 export type ParseResult<T> =
   { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
-/** A field that does not hold what the interface asks for; the message is the reason told to the user. */
+/** Thrown if a field is invalid; the message is the reason that the user receives. */
 class InvalidFieldError extends Error {}
 
 /** Typed access to the fields of a submission; each method throws {@link InvalidFieldError}. */
@@ -43,9 +43,9 @@
     return value;
   }
 
-  /** One of the names of an enumeration. */
-  choice<T>(field: string, values: ReadonlyMap<unknown, T>, expected: string): T {
-    const value = values.get(this.raw[field]);
+  /** Reads an enumeration value by its name on the wire. */
+  choice<T>(field: string, valueByName: ReadonlyMap<unknown, T>, expected: string): T {
+    const value = valueByName.get(this.raw[field]);
     if (value === undefined) throw new InvalidFieldError(`${field} must be ${expected}`);
     return value;
   }
@@ -72,7 +72,7 @@
   return tasks;
 }
 
-/** Reads the fields in the order in which faults are told: the first one at fault is named. */
+/** Reads the fields in the order in which errors are reported: only the first invalid field is named. */
 function parseJobSpec(fields: SubmissionFields, submittedAt: number): JobSpec {
   const identity = {
     id: parseJobId(fields),
@@ -108,9 +108,9 @@
 }
 
 /**
- * Reads a submission; the reason of a refusal names the first field at fault.
- * @param body The request's body, as JSON was parsed.
- * @param submittedAt Time of day, in milliseconds since the epoch.
+ * Reads a submission; the reason of a refusal names the first invalid field.
+ * @param body The request's body, parsed from JSON.
+ * @param submittedAt Time of the submission, in milliseconds since the Unix epoch.
  */
 export function parseSubmission(body: unknown, submittedAt: number): ParseResult<JobSpec> {
   const raw = asObject(body);
@@ -123,7 +123,7 @@
   }
 }
 
-/** Dependencies that one answer lists at most. */
+/** Maximum number of dependencies listed in one response. */
 const MAX_LISTED_DEPENDENCIES = 20;
 
 /** The stage of a job, as its user sees it. */
@@ -135,13 +135,13 @@
   readonly stage: JobStage;
   readonly done?: number;
   readonly running?: number;
-  /** Why tasks of it wait for a machine, if a leader has reported it. */
+  /** Why tasks of the job wait for a machine, if a leader has reported a reason. */
   readonly waitReason?: string | undefined;
-  /** Dependencies that have not ended, as far as this node knows. */
+  /** Dependencies that this node does not know to have ended. */
   readonly awaits?: readonly string[];
 }
 
-/** The answer's body for a job. */
+/** Encodes the response body for a job. */
 export function encodeJobView(view: JobView): object {
   return {
     nameId: view.id,
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,4 +1,4 @@
-/** Wire format of the workers' interface: heartbeats in, commands out. The only place with its field names. */
+/** Wire format of the worker API: heartbeats in, commands out. Only this module contains its field names. */
 import type { ExitReason, Heartbeat, ReportedTask, TaskStage, WorkerCommand } from '../core/types.js';
 import { asObject, isCount, isFlag, isText, isAmount } from '../core/values.js';
 
@@ -24,10 +24,10 @@
 /** Splits `req-000412/3` into job and task number. */
 export function parseTaskName(name: unknown): { job: string; task: number } | null {
   if (typeof name !== 'string') return null;
-  const at = name.lastIndexOf('/');
-  const task = Number(name.slice(at + 1));
-  if (at < 1 || at === name.length - 1 || !Number.isSafeInteger(task) || task < 0) return null;
-  return { job: name.slice(0, at), task };
+  const slash = name.lastIndexOf('/');
+  const task = Number(name.slice(slash + 1));
+  if (slash < 1 || slash === name.length - 1 || !Number.isSafeInteger(task) || task < 0) return null;
+  return { job: name.slice(0, slash), task };
 }
 
 function parseTask(body: unknown): ReportedTask | null {
@@ -36,7 +36,7 @@
   const name = parseTaskName(raw['movement']);
   const stage = STAGES.get(raw['stage']);
   if (name === null || stage === undefined || !isCount(raw['take'])) return null;
-  // An exit for a reason this version does not know still is an exit.
+  // An exit with a reason that this version does not know is still an exit, and counts as an error.
   const exit = stage === 'exited' ? (EXITS.get(raw['cadence']) ?? 'error') : null;
   return { job: name.job, task: name.task, attempt: raw['take'], stage, exit };
 }
@@ -84,12 +84,12 @@
   }
 }
 
-/** The answer to a heartbeat: the leader's fencing token and commands. */
+/** Encodes the response to a heartbeat: the leader's fencing token and commands. */
 export function encodeReply(token: number, commands: readonly WorkerCommand[]): string {
   return JSON.stringify({ baton: token, cues: commands.map(encodeCommand) });
 }
 
-/** A direct call to an agent, valid for one agent epoch. */
+/** Encodes a direct call to an agent, valid for one agent epoch. */
 export function encodeDirectCommands(
   token: number,
   agentEpoch: number,
@@ -98,7 +98,7 @@
   return JSON.stringify({ baton: token, watch: agentEpoch, cues: commands.map(encodeCommand) });
 }
 
-/** Sends a worker to the leader, if it is known. */
+/** Encodes a redirect of a worker to the leader; the object is empty if the leader is unknown. */
 export function encodeRedirect(leader: string | null): string {
   return JSON.stringify(leader === null ? {} : { conductor: leader });
 }
