--- a/test/emulators/golden-messages.ts
+++ b/test/emulators/golden-messages.ts
@@ -1,6 +1,6 @@
 /**
- * What goes over each wire and into the state service, written by the encoders of `src`. All internal names that
- * the golden files depend on stand in this module; a rename changes it, and never a golden file.
+ * Messages on each wire and records in the key-value store, encoded by the code in `src`. This module contains all
+ * internal names that the golden files depend on: a rename changes this module, but never a golden file.
  */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
@@ -134,9 +134,9 @@
   },
 };
 
-/** Between controllers: each frame in hexadecimal. */
+/** Messages between controllers: each frame in hexadecimal. */
 export function peers(): string[] {
-  const quiet = {
+  const emptyFields = {
     isLeader: false,
     counts: [],
     silentZones: [],
@@ -147,12 +147,12 @@
   };
   return [
     `leader's status ${hex(encodeStatus(STATUS))}`,
-    `follower's status ${hex(encodeStatus({ ...STATUS, ...quiet }))}`,
+    `follower's status ${hex(encodeStatus({ ...STATUS, ...emptyFields }))}`,
     ...Object.entries(INTAKE).map(([name, message]) => `${name} ${hex(encodeIntake(message))}`),
   ];
 }
 
-/** To workers. */
+/** Messages to workers. */
 export function workers(): string[] {
   return [
     `answer without commands ${encodeReply(7, [])}`,
@@ -175,7 +175,7 @@
   recallS: 30,
 };
 
-/** From workers: a report, as it goes on to the leader in a frame, or that it is refused. */
+/** Heartbeats from workers: the frame that forwards each to the leader, or that it is refused. */
 export function reports(): string[] {
   const forwarded = (body: unknown): string => {
     const report = parseHeartbeat(body);
@@ -239,9 +239,9 @@
   awaits: ['req-000002', 'req-000003', 'req-000002'],
 };
 
-/** Each submission: what is stored of it, or why it is refused. */
+/** Submissions: the job description that is stored for each, or why it is refused. */
 export function submissions(): string[] {
-  const tell = (body: unknown): string => {
+  const describe = (body: unknown): string => {
     const parsed = parseSubmission(body, 1_000_000_000_000);
     return parsed.ok ? `stored ${json(parsed.value)}` : `refused ${parsed.reason}`;
   };
@@ -265,10 +265,10 @@
     ['no object', [1]],
     ...faulty,
   ];
-  return bodies.map(([name, body]) => `${name}: ${tell(body)}`);
+  return bodies.map(([name, body]) => `${name}: ${describe(body)}`);
 }
 
-/** Answers about jobs. */
+/** Response bodies that describe jobs. */
 export function jobViews(): string[] {
   const id = 'req-000001';
   const awaits = Array.from({ length: 22 }, (_, i) => `req-${String(i + 2).padStart(6, '0')}`);
@@ -286,14 +286,14 @@
   ].map(json);
 }
 
-/** As it stands in the state service. */
+/** A job description as it is stored in the key-value store. */
 const STORED_JOB: unknown = JSON.parse(
   '{"id":"req-000001","jobClass":"class","team":"crew","form":"gang","priority":2,"tasks":3,"cpus":1.5,"gpus":0,' +
     '"memoryGb":1,"image":"img","imageGb":0.5,"types":["small"],"zone":"a","oneZone":false,"spread":true,"spot":true,' +
     '"estimateS":5,"checkpointS":1,"saveS":0.5,"deadlineS":60,"submittedAt":1000000000000,"awaits":["req-000002"]}',
 );
 
-/** Keys and values of the state service; a value that is read is written again, so that both ways are held. */
+/** Keys and values of the key-value store. Decoded values are encoded again, so that both directions are covered. */
 export function stored(): string[] {
   const { chunkKey } = records;
   const claim = (task: number): object => ({
@@ -358,7 +358,7 @@
 
 type Field = Record<string, unknown>;
 
-/** Every document with one field of it changed, by the field's path. */
+/** Copies of a document with one invalid field each, and a label with the field's path and its value. */
 function* withFaults(document: unknown, path = ''): Generator<[string, unknown]> {
   if (typeof document !== 'object' || document === null) return;
   for (const [name, value] of Object.entries(document)) {
@@ -383,7 +383,7 @@
   }
 }
 
-/** What each fault of a settings document is called; `sound` without one. */
+/** The faults reported for each invalid settings document; `sound` if there are none. */
 export function settings(): string[] {
   const limits = { next: { rps: 100, write_rps: 18, value_kb: 2, txn_ops: 6 } };
   const sound = JSON.parse(json(testSettings(0, 6, limits))) as { cluster: Field };
@@ -391,11 +391,12 @@
     { kind: 'start_within', class: 'train', share: 0.95, times: 2, within_s: 240, within_ms: 100 },
   ];
   const document = { ...sound, cluster: { ...sound.cluster, objectives } };
-  const tell = (one: unknown): string => settingsFaults(one).join('; ') || 'sound';
+  const describe = (settingsDocument: unknown): string =>
+    settingsFaults(settingsDocument).join('; ') || 'sound';
   return [
-    `whole: ${tell(document)}`,
-    `no object: ${tell(7)}`,
-    ...[...withFaults(document)].map(([name, changed]) => `${name}: ${tell(changed)}`),
+    `whole: ${describe(document)}`,
+    `no object: ${describe(7)}`,
+    ...[...withFaults(document)].map(([name, changed]) => `${name}: ${describe(changed)}`),
   ];
 }
 
@@ -423,7 +424,7 @@
   'estimate_multiplier = 1.0 + 0.0 * (deadline_s + checkpoint_s)',
 ];
 
-/** What the checker says of each policy. */
+/** The faults that the policy checker reports for each policy; `sound` if there are none. */
 export function policies(): string[] {
   const known = testSettings(0);
   return POLICIES.map((text) => {
@@ -432,7 +433,7 @@
   });
 }
 
-/** What internal words are called in the golden files; a rename changes a key, and never a value. */
+/** Names of internal enumeration values in the golden files; a rename changes a key here, but never a value. */
 const WORDS: Readonly<
   Record<
     CommitResult['kind'] | WatchResult['kind'] | ListedMachine['stage'] | Extract<ProvisioningResult, string>,
@@ -451,34 +452,34 @@
   running: 'running',
 };
 
-/** What has been read, without the names of its fields. */
-function plain(found: unknown): string {
+/** A decoded response without its field names, as JSON. */
+function withoutFieldNames(decoded: unknown): string {
   const strip = (value: unknown): unknown => {
     if (typeof value === 'string') return (WORDS as Readonly<Record<string, string>>)[value] ?? value;
     if (typeof value !== 'object' || value === null) return value;
     return Object.values(value).map(strip);
   };
-  return json(strip(found)) ?? 'nothing';
+  return json(strip(decoded)) ?? 'nothing';
 }
 
-/** A server on loopback that notes each request and answers as it is told. */
-async function recording(
+/** Starts a server on loopback that records each request and responds with the result of `answer`. */
+async function startRecordingServer(
   answer: (request: string) => [number, unknown],
-): Promise<{ noted: string[]; port: number; server: Server }> {
-  const noted: string[] = [];
+): Promise<{ requests: string[]; port: number; server: Server }> {
+  const requests: string[] = [];
   const server = createServer((request: IncomingMessage, response: ServerResponse) => {
-    const parts: Buffer[] = [];
-    request.on('data', (part: Buffer) => parts.push(part));
+    const chunks: Buffer[] = [];
+    request.on('data', (chunk: Buffer) => chunks.push(chunk));
     request.on('end', () => {
-      const body = Buffer.concat(parts).toString('utf8');
+      const body = Buffer.concat(chunks).toString('utf8');
       const line = `${request.method ?? ''} ${request.url ?? ''}${body === '' ? '' : ` ${body}`}`;
-      noted.push(line);
-      const [status, told] = answer(line);
-      response.writeHead(status, { 'Content-Type': 'application/json' }).end(json(told));
+      requests.push(line);
+      const [status, responseBody] = answer(line);
+      response.writeHead(status, { 'Content-Type': 'application/json' }).end(json(responseBody));
     });
   });
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
-  return { noted, port: (server.address() as AddressInfo).port, server };
+  return { requests, port: (server.address() as AddressInfo).port, server };
 }
 
 async function close(server: Server): Promise<void> {
@@ -486,18 +487,18 @@
   await new Promise((resolve) => server.close(resolve));
 }
 
-/** Requests to the state service, each with what is made of its answers. */
+/** Requests to the key-value store, each with the result that its responses are decoded to. */
 export async function stateRequests(): Promise<string[]> {
   const answers: [number, unknown][] = [];
-  const { noted, port, server } = await recording(() => answers.shift() ?? [500, {}]);
-  const own = testSettings(0);
-  const endpoints = { ...own.endpoints, state: `127.0.0.1:${port}` };
-  const service = new HttpKeyValueStore({ ...own, endpoints }, systemClock);
+  const { requests, port, server } = await startRecordingServer(() => answers.shift() ?? [500, {}]);
+  const defaults = testSettings(0);
+  const endpoints = { ...defaults.endpoints, state: `127.0.0.1:${port}` };
+  const store = new HttpKeyValueStore({ ...defaults, endpoints }, systemClock);
   const lines: string[] = [];
-  const ask = async (told: [number, unknown][], call: () => Promise<unknown>): Promise<void> => {
-    answers.push(...told);
-    const found = await call();
-    lines.push(...noted.splice(0), `  ${told.map(json).join(' ')} -> ${plain(found)}`);
+  const ask = async (responses: [number, unknown][], call: () => Promise<unknown>): Promise<void> => {
+    answers.push(...responses);
+    const decoded = await call();
+    lines.push(...requests.splice(0), `  ${responses.map(json).join(' ')} -> ${withoutFieldNames(decoded)}`);
   };
   const entry = { key: 'job/req-000001', data: { id: 1 }, stamp: 8 };
   const txn = {
@@ -508,18 +509,18 @@
       { remove: 'run/req-000001/00000' },
     ],
   };
-  await ask([[200, entry]], () => service.read('job/req-000001'));
-  await ask([[404, { ledgerRev: 9 }]], () => service.read('job/req-000001'));
-  await ask([[200, { key: 7 }]], () => service.read('term'));
-  await ask([[200, { rows: [entry], ledgerRev: 9 }]], () => service.list('job/'));
+  await ask([[200, entry]], () => store.read('job/req-000001'));
+  await ask([[404, { ledgerRev: 9 }]], () => store.read('job/req-000001'));
+  await ask([[200, { key: 7 }]], () => store.read('term'));
+  await ask([[200, { rows: [entry], ledgerRev: 9 }]], () => store.list('job/'));
   await ask(
     [
       [200, { rows: [entry], ledgerRev: 9, truncated: true }],
       [200, { rows: [{ ...entry, key: 'job/req-000002' }], ledgerRev: 10 }],
     ],
-    () => service.list('job/'),
+    () => store.list('job/'),
   );
-  for (const told of [
+  for (const response of [
     [200, { ledgerRev: 10 }],
     [200, {}],
     [409, { failed: ['term'] }],
@@ -528,35 +529,35 @@
     [429, {}],
     [404, {}],
   ] as [number, unknown][])
-    await ask([told], () => service.commit(txn));
+    await ask([response], () => store.commit(txn));
   const events = [
     { remove: 'job/req-000001', stamp: 12 },
     { put: 'job/req-000002', data: { id: 2 }, stamp: 11 },
   ];
-  await ask([[200, { events, ledgerRev: 12 }]], () => service.watch('job/', 9, 1000.4));
-  await ask([[200, { events, ledgerRev: 12 }]], () => service.changesSince('job/', 9));
-  await ask([[410, {}]], () => service.watch('job/', 1, 1000));
-  await ask([[200, { permit: 12 }]], () => service.grant(2000.4));
-  await ask([[200, {}]], () => service.renew(12));
-  await ask([[404, {}]], () => service.renew(12));
-  await ask([[200, {}]], () => service.revoke(12));
+  await ask([[200, { events, ledgerRev: 12 }]], () => store.watch('job/', 9, 1000.4));
+  await ask([[200, { events, ledgerRev: 12 }]], () => store.changesSince('job/', 9));
+  await ask([[410, {}]], () => store.watch('job/', 1, 1000));
+  await ask([[200, { permit: 12 }]], () => store.grant(2000.4));
+  await ask([[200, {}]], () => store.renew(12));
+  await ask([[404, {}]], () => store.renew(12));
+  await ask([[200, {}]], () => store.revoke(12));
   await close(server);
   return lines;
 }
 
-/** Requests to the cloud, each with what is made of its answers. */
+/** Requests to the cloud provider, each with the result that its responses are decoded to. */
 export async function cloudRequests(): Promise<string[]> {
   const answers: [number, unknown][] = [];
-  const { noted, port, server } = await recording(() => answers.shift() ?? [500, {}]);
-  const own = testSettings(0);
-  const endpoints = { ...own.endpoints, cloud: `127.0.0.1:${port}` };
-  const cluster = { ...own.cluster, cloud: { ...own.cluster.cloud, rps: 1000 } };
-  const cloud = new HttpCloud({ ...own, endpoints, cluster }, systemClock);
+  const { requests, port, server } = await startRecordingServer(() => answers.shift() ?? [500, {}]);
+  const defaults = testSettings(0);
+  const endpoints = { ...defaults.endpoints, cloud: `127.0.0.1:${port}` };
+  const cluster = { ...defaults.cluster, cloud: { ...defaults.cluster.cloud, rps: 1000 } };
+  const cloud = new HttpCloud({ ...defaults, endpoints, cluster }, systemClock);
   const lines: string[] = [];
-  const ask = async (told: [number, unknown][], call: () => Promise<unknown>): Promise<void> => {
-    answers.push(...told);
-    const found = await call();
-    lines.push(...noted.splice(0), `  ${told.map(json).join(' ')} -> ${plain(found)}`);
+  const ask = async (responses: [number, unknown][], call: () => Promise<unknown>): Promise<void> => {
+    answers.push(...responses);
+    const decoded = await call();
+    lines.push(...requests.splice(0), `  ${responses.map(json).join(' ')} -> ${withoutFieldNames(decoded)}`);
   };
   const bench = { name: 'small', cores: 8, memGb: 32, hourly: 1, readyS: 5, halls: ['a', 'b'] };
   const more = { gpus: 2, cacheGb: 20, fetchGbPerS: 1.5, lowPrice: 0.4 };
@@ -571,38 +572,38 @@
     () => cloud.listMachines(),
   );
   await ask([[200, { skiffs: [{ ...skiff, stage: 'other' }] }]], () => cloud.listMachines());
-  const rent = (): Promise<unknown> => cloud.provision('life-1-3', 'small', 'a', true, 4);
-  await ask([[200, { skiffs: ['vm-000001', 'vm-000002'] }]], rent);
-  await ask([[200, { skiffs: [7] }]], rent);
-  await ask([[400, {}]], rent);
-  await ask([[503, { error: 'no capacity' }]], rent);
+  const provision = (): Promise<unknown> => cloud.provision('life-1-3', 'small', 'a', true, 4);
+  await ask([[200, { skiffs: ['vm-000001', 'vm-000002'] }]], provision);
+  await ask([[200, { skiffs: [7] }]], provision);
+  await ask([[400, {}]], provision);
+  await ask([[503, { error: 'no capacity' }]], provision);
   await ask([[200, {}]], () => cloud.terminate(['vm-000001', 'vm-000002']));
   await ask([[400, {}]], () => cloud.terminate(['vm-000001']));
   await close(server);
   return lines;
 }
 
-/** The request that carries direct commands: none starts a task. */
+/** The request that carries direct commands; it contains no command that starts a task. */
 export async function directRequest(): Promise<string[]> {
-  const { noted, port, server } = await recording(() => [200, WORKER_REPORT]);
-  const workersAt = new HttpWorkerClient(2000, 1000, 4);
-  const found = await workersAt.sendCommands(`127.0.0.1:${port}`, 7, 2, COMMANDS);
+  const { requests, port, server } = await startRecordingServer(() => [200, WORKER_REPORT]);
+  const client = new HttpWorkerClient(2000, 1000, 4);
+  const heartbeat = await client.sendCommands(`127.0.0.1:${port}`, 7, 2, COMMANDS);
   await close(server);
-  return [...noted, `  answered: ${String(found !== null)}`];
+  return [...requests, `  answered: ${String(heartbeat !== null)}`];
 }
 
-interface UserWorld {
+interface UserFixture {
   readonly users: UserRequests;
-  /** The state service refuses. */
+  /** Whether the key-value store refuses requests. */
   down: boolean;
   typesKnown: boolean;
-  understood: boolean;
+  dependenciesSupported: boolean;
 }
 
-function userWorld(): UserWorld {
+function createUserFixture(): UserFixture {
   const state = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
   const known = new Map(TYPES.map((type) => [type.name, type]));
-  const service: KeyValueStore = {
+  const store: KeyValueStore = {
     read: (key) => Promise.resolve(world.down ? 'unknown' : { entry: state.read(key) }),
     list: (prefix) =>
       Promise.resolve(world.down ? 'unknown' : { entries: state.list(prefix), revision: state.revision }),
@@ -617,25 +618,25 @@
     applyLimits: () => undefined,
   };
   const users: UserRequests = new UserRequests({
-    store: service,
+    store,
     clock: systemClock,
     teams: new Map([['crew', { guaranteedCpus: 0, maxCpus: 8, guaranteedGpus: 0, maxGpus: 1 }]]),
     requestTimeoutMs: 100,
     requestsPerSecond: 10_000,
     maxValueBytes: 2048,
     maxPreconditions: 24,
-    supportsDependencies: () => Promise.resolve(world.understood),
+    supportsDependencies: () => Promise.resolve(world.dependenciesSupported),
     hasPropagatedCancellations: () => true,
     types: () => (world.typesKnown ? known : new Map()),
     counts: () => null,
   });
-  const world: UserWorld = { users, down: false, typesKnown: true, understood: true };
+  const world: UserFixture = { users, down: false, typesKnown: true, dependenciesSupported: true };
   return world;
 }
 
-/** Users' requests at the public port: request, status, what headers are the service's own, and body. */
+/** User requests at the public port: request, status, the headers that the service sets, and body. */
 export async function userRequests(): Promise<string[]> {
-  const world = userWorld();
+  const world = createUserFixture();
   let ready = true;
   const failing = (): Promise<UserResponse> => Promise.reject(new Error('fails'));
   const server = createPublicServer(
@@ -663,15 +664,15 @@
   const ask = async (name: string, method: string, path: string, body?: unknown): Promise<void> => {
     const text = body === undefined ? undefined : typeof body === 'string' ? body : json(body);
     const answer = await fetch(`http://127.0.0.1:${port}${path}`, { method, body: text ?? null });
-    const told = await answer.text();
+    const responseBody = await answer.text();
     const headers = ['content-type', 'retry-after'].map((header) => answer.headers.get(header) ?? '-');
-    lines.push(`${name}: ${method} ${path} ${answer.status} ${headers.join(' ')} ${json(told)}`);
+    lines.push(`${name}: ${method} ${path} ${answer.status} ${headers.join(' ')} ${json(responseBody)}`);
   };
-  const sound = { ...SUBMISSION, awaits: null, curtainS: null };
+  const validSubmission = { ...SUBMISSION, awaits: null, curtainS: null };
   const submit = (name: string, body: unknown): Promise<void> => ask(name, 'POST', '/v2/runs', body);
-  const other = (n: number, more: object): object => ({ ...sound, nameId: `req-10${n}`, ...more });
-  await submit('accepted', sound);
-  await submit('repeated', sound);
+  const other = (n: number, more: object): object => ({ ...validSubmission, nameId: `req-10${n}`, ...more });
+  await submit('accepted', validSubmission);
+  await submit('repeated', validSubmission);
   await ask('pending', 'GET', '/v2/runs/req-000001');
   await submit('pipeline', other(0, { awaits: ['req-000001'] }));
   await ask('pipeline pending', 'GET', '/v2/runs/req-100');
@@ -688,17 +689,17 @@
   await submit('not JSON', '{');
   await submit('no object', '7');
   await submit('a faulty field', other(1, { movements: 0 }));
-  world.understood = false;
+  world.dependenciesSupported = false;
   await submit('pipelines not known', other(1, { awaits: ['req-000001'] }));
   world.typesKnown = false;
   await submit('types not known', other(1, {}));
   world.typesKnown = true;
-  world.understood = true;
+  world.dependenciesSupported = true;
   await ask('withdrawn', 'POST', '/v2/runs/req-000001/withdraw', '{}');
   await ask('withdrawn again', 'POST', '/v2/runs/req-000001/withdraw');
   await ask('withdrawn is shown', 'GET', '/v2/runs/req-000001');
   await submit('awaits what is withdrawn', other(2, { awaits: ['req-000001'] }));
-  await submit('withdrawn is submitted', sound);
+  await submit('withdrawn is submitted', validSubmission);
   await ask('unknown job', 'GET', '/v2/runs/req-555');
   await ask('no job id', 'GET', '/v2/runs/job-1');
   await ask('unknown job is withdrawn', 'POST', '/v2/runs/req-555/withdraw');
@@ -727,7 +728,7 @@
   return lines;
 }
 
-/** The status pages of a leader and its followers, with tasks out and a queue, then after the leader's end. */
+/** The status pages of a leader and its followers with running and queued tasks, and again after the leader crashed. */
 export async function statusPages(): Promise<string[]> {
   const { world, leader, ids } = await startBusyCluster(3);
   const place = { team: 'crew', cpus: 8, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
--- a/test/golden.test.ts
+++ b/test/golden.test.ts
@@ -1,6 +1,6 @@
 /**
- * Bytes on the wire and in the store, against files that were recorded once. `GOLDEN_RECORD=1` writes what is
- * missing; a file that is there is never written again.
+ * Compares the bytes on the wire and in the store with recorded files. `GOLDEN_RECORD=1` writes missing files; an
+ * existing file is never overwritten.
  */
 import { existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { expect, test } from 'vitest';
@@ -22,9 +22,9 @@
   ['policies', messages.policies],
 ];
 
-test.each(FILES)('%s are encoded byte for byte as recorded', async (name, made) => {
+test.each(FILES)('%s are encoded byte for byte as recorded', async (name, encode) => {
   const file = new URL(`golden/${name}.txt`, import.meta.url);
-  const text = `${(await made()).join('\n')}\n`;
+  const text = `${(await encode()).join('\n')}\n`;
   if (!existsSync(file) && process.env['GOLDEN_RECORD'] === '1') writeFileSync(file, text);
   expect(existsSync(file), `${name}.txt is missing`).toBe(true);
   expect(text).toBe(readFileSync(file, 'utf8'));
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -16,33 +16,34 @@
 import { seeded } from './emulators/simulation.js';
 
 const state = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
-let down = false;
-const service: KeyValueStore = {
-  read: (key) => Promise.resolve(down ? 'unknown' : { entry: state.read(key) }),
+let isStoreDown = false;
+const store: KeyValueStore = {
+  read: (key) => Promise.resolve(isStoreDown ? 'unknown' : { entry: state.read(key) }),
   list: (prefix) =>
-    Promise.resolve(down ? 'unknown' : { entries: state.list(prefix), revision: state.revision }),
-  commit: (txn) => Promise.resolve(down ? { kind: 'refused' } : state.commit(txn)),
+    Promise.resolve(isStoreDown ? 'unknown' : { entries: state.list(prefix), revision: state.revision }),
+  commit: (txn) => Promise.resolve(isStoreDown ? { kind: 'refused' } : state.commit(txn)),
   watch: () => Promise.resolve({ kind: 'unknown' }),
-  changesSince: (prefix, after) => Promise.resolve(down ? { kind: 'unknown' } : state.since(prefix, after)),
+  changesSince: (prefix, after) =>
+    Promise.resolve(isStoreDown ? { kind: 'unknown' } : state.since(prefix, after)),
   grant: () => Promise.resolve(null),
   renew: () => Promise.resolve(null),
   revoke: () => Promise.resolve(),
   lastContactAt: () => null,
   applyLimits: () => undefined,
 };
-let settled = true;
-let understood = true;
+let cancellationsPropagated = true;
+let dependenciesSupported = true;
 let types = new Map(TYPES.map((type) => [type.name, type]));
 const users = new UserRequests({
-  store: service,
+  store,
   clock: systemClock,
   teams: new Map([['crew', { guaranteedCpus: 0, maxCpus: 8, guaranteedGpus: 0, maxGpus: 0 }]]),
   requestTimeoutMs: 100,
   requestsPerSecond: 10_000,
   maxValueBytes: 2048,
   maxPreconditions: 24,
-  supportsDependencies: () => Promise.resolve(understood),
-  hasPropagatedCancellations: () => settled,
+  supportsDependencies: () => Promise.resolve(dependenciesSupported),
+  hasPropagatedCancellations: () => cancellationsPropagated,
   types: () => types,
   counts: () => null,
 });
@@ -69,7 +70,7 @@
   server.closeAllConnections();
 });
 
-const good = {
+const validSubmission = {
   nameId: 'req-000001',
   repertoire: 'train',
   crew: 'crew',
@@ -99,28 +100,28 @@
   ['not JSON', '{'],
   ['not an object', '[1]'],
   ['a bare value', '7'],
-  ['a missing field', { ...good, edition: undefined }],
-  ['a mistyped field', { ...good, cores: '8' }],
-  ['a field out of range', { ...good, movements: 0 }],
-  ['too many tasks', { ...good, movements: 100_001 }],
-  ['an unknown priority', { ...good, urgency: 'urgent' }],
-  ['an unknown form', { ...good, form: 'choir' }],
-  ['a bad id', { ...good, nameId: 'job-1' }],
-  ['a list of awaited jobs that is none', { ...good, awaits: 'req-000001' }],
-  ['an awaited job whose id is none', { ...good, awaits: ['req-000001', 'job-2'] }],
-  ['a description too long to be kept', { ...good, repertoire: 'x'.repeat(2000) }],
-  ['a body over 64 KiB', { ...good, edition: 'x'.repeat(70_000) }],
-])('%s gets 400 and one line of reason', async (_what, body) => {
+  ['a missing field', { ...validSubmission, edition: undefined }],
+  ['a mistyped field', { ...validSubmission, cores: '8' }],
+  ['a field out of range', { ...validSubmission, movements: 0 }],
+  ['too many tasks', { ...validSubmission, movements: 100_001 }],
+  ['an unknown priority', { ...validSubmission, urgency: 'urgent' }],
+  ['an unknown form', { ...validSubmission, form: 'choir' }],
+  ['a bad id', { ...validSubmission, nameId: 'job-1' }],
+  ['a list of dependencies that is not a list', { ...validSubmission, awaits: 'req-000001' }],
+  ['a dependency that is not a job id', { ...validSubmission, awaits: ['req-000001', 'job-2'] }],
+  ['a description too long to store', { ...validSubmission, repertoire: 'x'.repeat(2000) }],
+  ['a body over 64 KiB', { ...validSubmission, edition: 'x'.repeat(70_000) }],
+])('%s gets 400 and an error text', async (_what, body) => {
   const answer = await post(body);
   expect(answer.status).toBe(400);
   expect(answer.body).toEqual({ error: expect.any(String) as unknown });
 });
 
 test.each<[string, unknown]>([
-  ['an unknown team', { ...good, crew: 'nobody' }],
-  ['no machine large enough', { ...good, memGb: 4096 }],
-  ['a type that does not exist', { ...good, benches: ['huge'] }],
-  ['a service beyond the limit of its team', { ...good, form: 'service', movements: 9 }],
+  ['an unknown team', { ...validSubmission, crew: 'nobody' }],
+  ['no machine large enough', { ...validSubmission, memGb: 4096 }],
+  ['a type that does not exist', { ...validSubmission, benches: ['huge'] }],
+  ['a service beyond the limit of its team', { ...validSubmission, form: 'service', movements: 9 }],
 ])('%s gets 422, but only once machine types are known', async (_what, body) => {
   expect((await post(body)).status).toBe(422);
   const known = types;
@@ -131,23 +132,23 @@
 
 test('a job is accepted once, stays known, and stays cancelled', async () => {
   expect(await get('/v2/runs/req-000001')).toMatchObject({ status: 404 });
-  expect(await post({ ...good, unknownField: 1, hall: undefined })).toEqual({
+  expect(await post({ ...validSubmission, unknownField: 1, hall: undefined })).toEqual({
     status: 201,
     body: { nameId: 'req-000001', stage: 'pending' },
   });
-  expect(await post(good)).toMatchObject({ status: 200, body: { stage: 'pending' } });
+  expect(await post(validSubmission)).toMatchObject({ status: 200, body: { stage: 'pending' } });
   const withdrawn = { status: 200, body: { nameId: 'req-000001', stage: 'withdrawn' } };
   expect(await client.request('POST', '/v2/runs/req-000001/withdraw', '{}', 5000)).toEqual(withdrawn);
   expect(await client.request('POST', '/v2/runs/req-000001/withdraw', null, 5000)).toMatchObject(withdrawn);
   expect(await get('/v2/runs/req-000001')).toMatchObject(withdrawn);
-  expect(await post(good)).toMatchObject(withdrawn);
-  // Even a faulty resubmission of a known job does not deny it.
-  expect(await post({ ...good, crew: 'nobody' })).toMatchObject(withdrawn);
+  expect(await post(validSubmission)).toMatchObject(withdrawn);
+  // An invalid resubmission of a known job is answered with the job, not with an error.
+  expect(await post({ ...validSubmission, crew: 'nobody' })).toMatchObject(withdrawn);
 });
 
 const withdraw = (id: string): Promise<HttpResponse> =>
   client.request('POST', `/v2/runs/${id}/withdraw`, null, 5000);
-const done = (id: string): void => {
+const markDone = (id: string): void => {
   const record = { stage: 'done', tasks: 2, done: 2 };
   state.commit({
     preconditions: [],
@@ -156,95 +157,99 @@
 };
 
 test('a job is accepted if its dependencies were, 422 if unknown, and a repeat is idempotent', async () => {
-  const first = { ...good, nameId: 'req-000010', awaits: [] };
-  const last = { ...good, nameId: 'req-000011', awaits: ['req-000010', 'req-000010'] };
-  expect((await post(last)).status).toBe(422);
-  expect((await post({ ...last, awaits: ['req-000011'] })).status).toBe(422);
-  expect((await post(first)).status).toBe(201);
-  expect(await post(last)).toMatchObject({ status: 201, body: { stage: 'pending' } });
-  // Doubles count once; what it waits for is told, and not what is done.
+  const dependency = { ...validSubmission, nameId: 'req-000010', awaits: [] };
+  const dependent = { ...validSubmission, nameId: 'req-000011', awaits: ['req-000010', 'req-000010'] };
+  expect((await post(dependent)).status).toBe(422);
+  expect((await post({ ...dependent, awaits: ['req-000011'] })).status).toBe(422);
+  expect((await post(dependency)).status).toBe(201);
+  expect(await post(dependent)).toMatchObject({ status: 201, body: { stage: 'pending' } });
+  // Duplicates count once. The response lists the dependencies that have not ended, and no others.
   expect(state.read('job/req-000011')?.value).toMatchObject({ awaits: ['req-000010'] });
   expect((await get('/v2/runs/req-000011')).body).toMatchObject({ awaits: ['req-000010'] });
-  done('req-000010');
+  markDone('req-000010');
   await get('/v2/runs/req-000010');
   expect((await get('/v2/runs/req-000011')).body).not.toHaveProperty('awaits');
-  expect(await post({ ...last, awaits: ['req-000099'] })).toMatchObject({ status: 200 });
-  const forever = { ...good, nameId: 'req-000012', form: 'service' };
-  expect((await post(forever)).status).toBe(201);
-  expect((await post({ ...good, nameId: 'req-000013', awaits: ['req-000012'] })).status).toBe(422);
+  expect(await post({ ...dependent, awaits: ['req-000099'] })).toMatchObject({ status: 200 });
+  const serviceJob = { ...validSubmission, nameId: 'req-000012', form: 'service' };
+  expect((await post(serviceJob)).status).toBe(201);
+  expect((await post({ ...validSubmission, nameId: 'req-000013', awaits: ['req-000012'] })).status).toBe(422);
 });
 
 test('a job that depends on a cancelled one is accepted and cancelled', async () => {
-  expect((await post({ ...good, nameId: 'req-000020' })).status).toBe(201);
+  expect((await post({ ...validSubmission, nameId: 'req-000020' })).status).toBe(201);
   await withdraw('req-000020');
-  const late = { ...good, nameId: 'req-000021', awaits: ['req-000020'] };
+  const late = { ...validSubmission, nameId: 'req-000021', awaits: ['req-000020'] };
   expect(await post(late)).toMatchObject({ status: 201, body: { stage: 'withdrawn' } });
   expect(await get('/v2/runs/req-000021')).toMatchObject({ status: 200, body: { stage: 'withdrawn' } });
 });
 
-// Otherwise a node that answers polls without a leader would report it as pending for ever.
+// Otherwise a node without a leader would report the dependent jobs of a cancelled job as pending for ever.
 test('without a leader a poll evaluates the DAG itself', async () => {
   const chain = ['req-000030', 'req-000031', 'req-000032'];
   for (const [i, nameId] of chain.entries())
-    expect((await post({ ...good, nameId, awaits: chain.slice(Math.max(0, i - 1), i) })).status).toBe(201);
+    expect(
+      (await post({ ...validSubmission, nameId, awaits: chain.slice(Math.max(0, i - 1), i) })).status,
+    ).toBe(201);
   await withdraw('req-000030');
   expect((await get('/v2/runs/req-000032')).body).toMatchObject({ stage: 'pending' });
-  settled = false;
+  cancellationsPropagated = false;
   expect((await get('/v2/runs/req-000032')).body).toMatchObject({ stage: 'withdrawn' });
-  settled = true;
+  cancellationsPropagated = true;
   expect((await get('/v2/runs/req-000032')).body).toMatchObject({ stage: 'withdrawn' });
 });
 
-// The number of jobs in a DAG must not bound what a poll can answer.
+// A poll must be answered however many jobs the DAG has.
 test('without a leader a poll evaluates a DAG of any length with a few requests', async () => {
   const chain = Array.from({ length: 150 }, (_, i) => `req-0004${String(100 + i)}`);
   for (const [i, nameId] of chain.entries())
-    expect((await post({ ...good, nameId, awaits: chain.slice(Math.max(0, i - 1), i) })).status).toBe(201);
-  settled = false;
+    expect(
+      (await post({ ...validSubmission, nameId, awaits: chain.slice(Math.max(0, i - 1), i) })).status,
+    ).toBe(201);
+  cancellationsPropagated = false;
   const last = `/v2/runs/${chain.at(-1) ?? ''}`;
-  let asked = 0;
-  const changes = service.changesSince.bind(service);
-  service.changesSince = (...given) => {
-    asked += 1;
-    return changes(...given);
+  let requests = 0;
+  const originalChangesSince = store.changesSince.bind(store);
+  store.changesSince = (...args) => {
+    requests += 1;
+    return originalChangesSince(...args);
   };
   expect((await get(last)).body).toMatchObject({ stage: 'pending' });
-  expect(asked).toBeLessThan(5);
-  service.changesSince = changes;
-  settled = true;
+  expect(requests).toBeLessThan(5);
+  store.changesSince = originalChangesSince;
+  cancellationsPropagated = true;
   await withdraw(chain[0] ?? '');
-  settled = false;
+  cancellationsPropagated = false;
   expect((await get(last)).body).toMatchObject({ stage: 'withdrawn' });
-  settled = true;
+  cancellationsPropagated = true;
 });
 
-// Committed after the cancellation has propagated, it would never be cancelled.
+// A job committed after a dependency's cancellation has propagated would never be cancelled.
 test('a submission commits only while its dependencies are unchanged since they were read', async () => {
-  expect((await post({ ...good, nameId: 'req-000040' })).status).toBe(201);
+  expect((await post({ ...validSubmission, nameId: 'req-000040' })).status).toBe(201);
   const modRevision = state.read('job/req-000040')?.modRevision;
-  let seen: readonly { key: string; modRevision?: number | undefined }[] = [];
-  const commit = service.commit.bind(service);
-  service.commit = (txn) => {
-    seen = txn.preconditions;
-    return commit(txn);
+  let preconditions: readonly { key: string; modRevision?: number | undefined }[] = [];
+  const originalCommit = store.commit.bind(store);
+  store.commit = (txn) => {
+    preconditions = txn.preconditions;
+    return originalCommit(txn);
   };
-  await post({ ...good, nameId: 'req-000041', awaits: ['req-000040'] });
-  service.commit = commit;
-  expect(seen).toContainEqual({ key: 'job/req-000040', modRevision });
+  await post({ ...validSubmission, nameId: 'req-000041', awaits: ['req-000040'] });
+  store.commit = originalCommit;
+  expect(preconditions).toContainEqual({ key: 'job/req-000040', modRevision });
 });
 
 test('503 and no write until every controller supports DAG dependencies', async () => {
-  understood = false;
-  expect((await post({ ...good, nameId: 'req-000051', awaits: ['req-000040'] })).status).toBe(503);
-  understood = true;
+  dependenciesSupported = false;
+  expect((await post({ ...validSubmission, nameId: 'req-000051', awaits: ['req-000040'] })).status).toBe(503);
+  dependenciesSupported = true;
   expect(state.read('job/req-000051')).toBeNull();
 });
 
-test('while the store is unavailable: 503 at once, never 404', async () => {
-  down = true;
+test('while the store is unavailable: 503 immediately, never 404', async () => {
+  isStoreDown = true;
   expect((await get('/v2/runs/req-000077')).status).toBe(503);
-  expect((await post({ ...good, nameId: 'req-000077' })).status).toBe(503);
-  down = false;
+  expect((await post({ ...validSubmission, nameId: 'req-000077' })).status).toBe(503);
+  isStoreDown = false;
   expect((await get('/v2/runs/req-000077')).status).toBe(404);
 });
 
@@ -262,20 +267,20 @@
   expect((await get('/ready')).status).toBe(200);
 });
 
-// Thousands of polls at once, as after an outage, must not queue behind a store that does not answer.
-test('load above capacity is shed at once, polls first, with spread retry times', () => {
+// Thousands of simultaneous polls, as after an outage, must not queue behind a store that does not answer.
+test('requests above capacity are refused immediately, polls first, with spread retry delays', () => {
   let now = 0;
   const admission = new Admission({ ...systemClock, monotonicMs: () => now }, 20);
-  const enter = (kind: 'submit' | 'show', count: number): (number | null)[] =>
+  const admit = (kind: 'submit' | 'show', count: number): (number | null)[] =>
     Array.from({ length: count }, () => admission.admit(kind));
-  expect(enter('show', 16).filter((away) => away === null)).toHaveLength(15);
-  expect(enter('submit', 6).filter((away) => away === null)).toHaveLength(5);
-  const away = new Set(enter('show', 200));
-  expect([...away].every((seconds) => seconds !== null && seconds >= 1 && seconds <= 10)).toBe(true);
-  expect(away.size).toBe(10);
+  expect(admit('show', 16).filter((delayS) => delayS === null)).toHaveLength(15);
+  expect(admit('submit', 6).filter((delayS) => delayS === null)).toHaveLength(5);
+  const delays = new Set(admit('show', 200));
+  expect([...delays].every((seconds) => seconds !== null && seconds >= 1 && seconds <= 10)).toBe(true);
+  expect(delays.size).toBe(10);
   for (let i = 0; i < 20; i += 1) admission.release();
   now += 2000;
-  expect(enter('show', 1)).toEqual([null]);
+  expect(admit('show', 1)).toEqual([null]);
 });
 
 test.each([
@@ -289,10 +294,10 @@
   });
   await new Promise<void>((resolve) => failing.listen(0, '127.0.0.1', resolve));
   const { port } = failing.address() as AddressInfo;
-  const own = new HttpClient({ host: '127.0.0.1', port }, 1);
-  expect((await own.request(method, path, null, 5000)).status).toBe(503);
+  const failingClient = new HttpClient({ host: '127.0.0.1', port }, 1);
+  expect((await failingClient.request(method, path, null, 5000)).status).toBe(503);
   expect(logged).toMatchObject([{ error: 'RangeError: cause of the failure', event: 'request failed' }]);
-  own.close();
+  failingClient.close();
   failing.close();
   failing.closeAllConnections();
 });
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -32,11 +32,11 @@
 test('peer messages are decoded however the stream is split', () => {
   const bytes = Buffer.concat([encodeStatus(status), encodeStatus({ ...status, term: 8 })]);
   const reader = new StatusReader();
-  const found = [...bytes].flatMap((byte) => reader.push(Uint8Array.of(byte)));
-  expect(found).toEqual([status, { ...status, term: 8 }]);
+  const statuses = [...bytes].flatMap((byte) => reader.push(Uint8Array.of(byte)));
+  expect(statuses).toEqual([status, { ...status, term: 8 }]);
 });
 
-test('garbage and oversized frames from a peer are rejected', () => {
+test('malformed and oversized frames from a peer are rejected', () => {
   expect(() => new StatusReader().push(Uint8Array.of(0xff, 0xff, 0xff, 0xff, 0x7f))).toThrow();
   expect(() => new StatusReader().push(Buffer.from([3, 0x07, 0x07, 0x07]))).toThrow();
   expect(MAX_FRAME_BYTES).toBeGreaterThan(encodeStatus(status).length);
@@ -51,7 +51,7 @@
   expect(parseProvisioned({ skiffs: [7] })).toBeNull();
 });
 
-test('heartbeats: null equals absent, unknown fields are ignored, any fault rejects the whole', () => {
+test('heartbeats: null equals absent, unknown fields are ignored, any invalid field rejects all of it', () => {
   const report = {
     skiff: 'vm-1',
     address: '10.0.0.1:1',
@@ -85,14 +85,14 @@
   });
 });
 
-// The protocol's own example tells the later of two changes first.
+// The example in the protocol's description lists the later of two changes first.
 test('changes are ordered by revision, whatever the order of the response', () => {
-  const told = {
+  const response = {
     ledgerRev: 9,
     events: [
       { remove: 'job/req-1', stamp: 8 },
       { put: 'job/req-1', data: {}, stamp: 7 },
     ],
   };
-  expect(parseChanges(told)?.changes.map(({ modRevision }) => modRevision)).toEqual([7, 8]);
+  expect(parseChanges(response)?.changes.map(({ modRevision }) => modRevision)).toEqual([7, 8]);
 });
