--- a/src/adapters/admission.ts
+++ b/src/adapters/admission.ts
@@ -47,7 +47,7 @@
       return null;
     }
     if (job !== undefined) this.#rememberRefusal(job);
-    return this.retryAfterS();
+    return this.countRefusal();
   }
 
   #rememberRefusal(job: string): void {
@@ -62,8 +62,8 @@
     this.#inFlight -= 1;
   }
 
-  /** Counts a request that cannot be served now and returns its retry delay, in seconds. */
-  retryAfterS(): number {
+  /** Counts a request that is refused or cannot be served now; returns the delay before its retry, in seconds. */
+  countRefusal(): number {
     const now = this.clock.monotonicMs();
     if (now - this.#countingSince > 1000) {
       this.#refusedCount = 0;
--- a/src/adapters/peer-links.ts
+++ b/src/adapters/peer-links.ts
@@ -93,7 +93,7 @@
   }
 
   #accept(socket: Socket): void {
-    // Each peer needs one connection; the others are room for new connections before dead ones are detected.
+    // Each peer needs one connection; the limit leaves room for new ones before dead ones are detected.
     if (this.#acceptedSockets.size >= 4 * Math.max(1, this.#peerNames.size)) {
       const oldest = this.#acceptedSockets.values().next().value;
       oldest?.destroy();
--- a/src/adapters/public-server.ts
+++ b/src/adapters/public-server.ts
@@ -106,7 +106,7 @@
   try {
     const { status, body } = await run();
     if (status === 400) api.malformed.count('requests');
-    sendJson(response, status, JSON.stringify(body), status === 503 ? admission.retryAfterS() : 1);
+    sendJson(response, status, JSON.stringify(body), status === 503 ? admission.countRefusal() : 1);
   } finally {
     admission.release();
     api.latencies.record(kind, performance.now() - startedAt);
