--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -226,7 +226,10 @@
   );
 }
 
-/** Splits a message into halves. Heartbeats are handled one by one, so each half is a complete message. */
+/**
+ * Splits a message that is too large for one frame into halves. Heartbeats are handled one by one, so each half is a
+ * complete message.
+ */
 function encodeHeartbeats(message: HeartbeatsMessage, frame: Uint8Array): Uint8Array {
   const { heartbeats, keepalives } = message;
   if (heartbeats.length + keepalives.length < 2) return frame;
@@ -258,7 +261,7 @@
   complete(rest: Continuation): void;
 }
 
-/** Joins the lists of several continuation frames, in their order; the last frame has the confirmation time. */
+/** Joins the lists of several continuation frames, in their order; the confirmation time is that of the last. */
 const joinContinuations = (received: readonly Continuation[]): Continuation => ({
   counts: received.flatMap(({ counts }) => counts),
   relayedMachines: received.flatMap(({ relayedMachines }) => relayedMachines),
--- a/test/emulators/golden-messages.ts
+++ b/test/emulators/golden-messages.ts
@@ -358,8 +358,8 @@
 
 type Field = Record<string, unknown>;
 
-/** Copies of a document with one invalid field each, and a label with the field's path and its value. */
-function* withFaults(document: unknown, path = ''): Generator<[string, unknown]> {
+/** Copies of a document with one field changed in each, labelled with the field's path and its new value. */
+function* withChangedFields(document: unknown, path = ''): Generator<[string, unknown]> {
   if (typeof document !== 'object' || document === null) return;
   for (const [name, value] of Object.entries(document)) {
     const at = path === '' ? name : `${path}.${name}`;
@@ -379,11 +379,11 @@
       ['an object', {}],
     ] as const)
       yield [`${at} ${what}`, change(to)];
-    for (const [inner, changed] of withFaults(value, at)) yield [inner, change(changed)];
+    for (const [inner, changed] of withChangedFields(value, at)) yield [inner, change(changed)];
   }
 }
 
-/** The faults reported for each invalid settings document; `sound` if there are none. */
+/** The faults reported for each changed settings document; `sound` if there are none. */
 export function settings(): string[] {
   const limits = { next: { rps: 100, write_rps: 18, value_kb: 2, txn_ops: 6 } };
   const sound = JSON.parse(json(testSettings(0, 6, limits))) as { cluster: Field };
@@ -396,7 +396,7 @@
   return [
     `whole: ${describe(document)}`,
     `no object: ${describe(7)}`,
-    ...[...withFaults(document)].map(([name, changed]) => `${name}: ${describe(changed)}`),
+    ...[...withChangedFields(document)].map(([name, changed]) => `${name}: ${describe(changed)}`),
   ];
 }
 
@@ -595,7 +595,7 @@
 interface UserFixture {
   readonly users: UserRequests;
   /** Whether the key-value store refuses requests. */
-  down: boolean;
+  isStoreDown: boolean;
   typesKnown: boolean;
   dependenciesSupported: boolean;
 }
@@ -604,13 +604,15 @@
   const state = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
   const known = new Map(TYPES.map((type) => [type.name, type]));
   const store: KeyValueStore = {
-    read: (key) => Promise.resolve(world.down ? 'unknown' : { entry: state.read(key) }),
+    read: (key) => Promise.resolve(fixture.isStoreDown ? 'unknown' : { entry: state.read(key) }),
     list: (prefix) =>
-      Promise.resolve(world.down ? 'unknown' : { entries: state.list(prefix), revision: state.revision }),
-    commit: (txn) => Promise.resolve(world.down ? { kind: 'refused' } : state.commit(txn)),
+      Promise.resolve(
+        fixture.isStoreDown ? 'unknown' : { entries: state.list(prefix), revision: state.revision },
+      ),
+    commit: (txn) => Promise.resolve(fixture.isStoreDown ? { kind: 'refused' } : state.commit(txn)),
     watch: () => Promise.resolve({ kind: 'unknown' }),
     changesSince: (prefix, after) =>
-      Promise.resolve(world.down ? { kind: 'unknown' } : state.since(prefix, after)),
+      Promise.resolve(fixture.isStoreDown ? { kind: 'unknown' } : state.since(prefix, after)),
     grant: () => Promise.resolve(null),
     renew: () => Promise.resolve(null),
     revoke: () => Promise.resolve(),
@@ -625,26 +627,26 @@
     requestsPerSecond: 10_000,
     maxValueBytes: 2048,
     maxPreconditions: 24,
-    supportsDependencies: () => Promise.resolve(world.dependenciesSupported),
+    supportsDependencies: () => Promise.resolve(fixture.dependenciesSupported),
     hasPropagatedCancellations: () => true,
-    types: () => (world.typesKnown ? known : new Map()),
+    types: () => (fixture.typesKnown ? known : new Map()),
     counts: () => null,
   });
-  const world: UserFixture = { users, down: false, typesKnown: true, dependenciesSupported: true };
-  return world;
+  const fixture: UserFixture = { users, isStoreDown: false, typesKnown: true, dependenciesSupported: true };
+  return fixture;
 }
 
 /** User requests at the public port: request, status, the headers that the service sets, and body. */
 export async function userRequests(): Promise<string[]> {
-  const world = createUserFixture();
+  const fixture = createUserFixture();
   let ready = true;
   const failing = (): Promise<UserResponse> => Promise.reject(new Error('fails'));
   const server = createPublicServer(
     {
       users: {
-        submit: (body) => world.users.submit(body),
-        show: (id) => (id === 'req-999' ? failing() : world.users.show(id)),
-        cancel: (id) => world.users.cancel(id),
+        submit: (body) => fixture.users.submit(body),
+        show: (id) => (id === 'req-999' ? failing() : fixture.users.show(id)),
+        cancel: (id) => fixture.users.cancel(id),
       },
       report: (body, done) =>
         parseHeartbeat(body) === null
@@ -689,12 +691,12 @@
   await submit('not JSON', '{');
   await submit('no object', '7');
   await submit('a faulty field', other(1, { movements: 0 }));
-  world.dependenciesSupported = false;
+  fixture.dependenciesSupported = false;
   await submit('pipelines not known', other(1, { awaits: ['req-000001'] }));
-  world.typesKnown = false;
+  fixture.typesKnown = false;
   await submit('types not known', other(1, {}));
-  world.typesKnown = true;
-  world.dependenciesSupported = true;
+  fixture.typesKnown = true;
+  fixture.dependenciesSupported = true;
   await ask('withdrawn', 'POST', '/v2/runs/req-000001/withdraw', '{}');
   await ask('withdrawn again', 'POST', '/v2/runs/req-000001/withdraw');
   await ask('withdrawn is shown', 'GET', '/v2/runs/req-000001');
@@ -703,11 +705,11 @@
   await ask('unknown job', 'GET', '/v2/runs/req-555');
   await ask('no job id', 'GET', '/v2/runs/job-1');
   await ask('unknown job is withdrawn', 'POST', '/v2/runs/req-555/withdraw');
-  world.down = true;
+  fixture.isStoreDown = true;
   await submit('refused by the state service', other(3, {}));
   await ask('refused by the state service', 'GET', '/v2/runs/req-100');
   await ask('refused by the state service', 'POST', '/v2/runs/req-100/withdraw');
-  world.down = false;
+  fixture.isStoreDown = false;
   await ask('a failure', 'GET', '/v2/runs/req-999');
   await ask('ready', 'GET', '/ready');
   ready = false;
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -51,7 +51,7 @@
   expect(parseProvisioned({ skiffs: [7] })).toBeNull();
 });
 
-test('heartbeats: null equals absent, unknown fields are ignored, any invalid field rejects all of it', () => {
+test('heartbeats: null equals absent, unknown fields are ignored, any invalid field rejects the heartbeat', () => {
   const report = {
     skiff: 'vm-1',
     address: '10.0.0.1:1',
