--- a/test/emulators/election-explorer.ts
+++ b/test/emulators/election-explorer.ts
@@ -1,8 +1,8 @@
 /**
- * Explores interleavings of the real election machine: three controllers, one state service, answers
- * lost, transactions applied late, leases that end at any moment, restarts, false verdicts of a crash,
- * hand-overs that nobody asked for. Time is left out: a timer may fire whenever it likes, which covers
- * stalls and clocks that are apart.
+ * Model checker for the election state machine. It explores interleavings of three controllers and one store, with
+ * lost responses, transactions that are applied late, leases that end at any moment, restarts, false crash
+ * detections and unrequested leadership transfers. Time is not modelled: a timer may fire at any moment, which
+ * covers paused processes and clock skew.
  */
 import { createHash } from 'node:crypto';
 import {
@@ -20,19 +20,19 @@
 const NODES = ['n-0', 'n-1', 'n-2'];
 const TIMES = timing(testSettings(0));
 
-type Asked = Exclude<ElectionEffect, { kind: 'elected' | 'lost' | 'leaderObserved' }>;
+type PendingRequest = Exclude<ElectionEffect, { kind: 'elected' | 'lost' | 'leaderObserved' }>;
 type Transaction = Extract<ElectionEffect, { kind: 'campaign' | 'nameSuccessor' }>;
 
 interface Node {
   election: ElectionState;
-  /** Asked for and not answered yet, oldest first. */
-  asked: Asked[];
+  /** Requests without a response yet, oldest first. */
+  pending: PendingRequest[];
 }
 
 interface Store {
   revision: number;
-  /** Revision of the latest change of the leader's record. */
-  leaderAt: number;
+  /** Revision of the latest change of the leader record. */
+  leaderChangedAt: number;
   leader: { record: LeaderRecord; modRevision: number; lease: number } | null;
   term: { value: number; modRevision: number } | null;
   leases: number[];
@@ -42,15 +42,15 @@
 interface ModelState {
   readonly nodes: Node[];
   readonly store: Store;
-  /** Transactions that were given up, and may be applied still. */
-  late: Transaction[];
-  lives: number;
+  /** Transactions whose sender has stopped waiting for the outcome; they may still be applied. */
+  lateTransactions: Transaction[];
+  incarnations: number;
   faults: number;
-  /** Who was elected for each term. */
+  /** The incarnation that was elected for each term. */
   readonly elected: Record<number, string>;
 }
 
-/** A guard left out; each must be caught. */
+/** A variant of the election that lacks one guard; the exploration must detect each of them. */
 export type Mutant =
   | 'campaigns without the term precondition'
   | 'transfers leadership without the record precondition'
@@ -60,23 +60,23 @@
   | 'transfers leadership for ever'
   | 'follows no record';
 
-export interface Found {
+export interface ExplorationResult {
   readonly states: number;
   readonly violations: readonly string[];
-  /** The steps that lead to the first broken state. */
+  /** The steps that lead to the first state with a violation. */
   readonly path: readonly string[];
 }
 
-const copy = (scene: ModelState): ModelState => ({
-  nodes: scene.nodes.map(({ election, asked }) => ({
+const copyState = (state: ModelState): ModelState => ({
+  nodes: state.nodes.map(({ election, pending }) => ({
     election: { ...election, held: election.held === null ? null : { ...election.held } },
-    asked: [...asked],
+    pending: [...pending],
   })),
-  store: { ...scene.store, leases: [...scene.store.leases] },
-  late: [...scene.late],
-  lives: scene.lives,
-  faults: scene.faults,
-  elected: { ...scene.elected },
+  store: { ...state.store, leases: [...state.store.leases] },
+  lateTransactions: [...state.lateTransactions],
+  incarnations: state.incarnations,
+  faults: state.faults,
+  elected: { ...state.elected },
 });
 
 class Explorer {
@@ -85,40 +85,40 @@
   constructor(private readonly mutant: Mutant | null) {}
 
   start(): ModelState {
-    const scene: ModelState = {
+    const state: ModelState = {
       nodes: [],
-      store: { revision: 1, leaderAt: 0, leader: null, term: null, leases: [], nextLease: 1 },
-      late: [],
-      lives: 0,
+      store: { revision: 1, leaderChangedAt: 0, leader: null, term: null, leases: [], nextLease: 1 },
+      lateTransactions: [],
+      incarnations: 0,
       faults: 0,
       elected: {},
     };
     for (const name of NODES) {
-      scene.nodes.push({ election: this.#born(scene, name), asked: [] });
+      state.nodes.push({ election: this.#newElection(state, name), pending: [] });
     }
-    for (const node of scene.nodes) this.tell(scene, node, { kind: 'start' });
-    return scene;
+    for (const node of state.nodes) this.dispatch(state, node, { kind: 'start' });
+    return state;
   }
 
-  #born(scene: ModelState, name: string): ElectionState {
-    return createElection(name, `life-${scene.lives++}`, TIMES, name === 'n-2' ? 4 * TIMES.tickMs : 0);
+  #newElection(state: ModelState, name: string): ElectionState {
+    return createElection(name, `life-${state.incarnations++}`, TIMES, name === 'n-2' ? 4 * TIMES.tickMs : 0);
   }
 
-  tell(scene: ModelState, node: Node, event: ElectionEvent): void {
+  dispatch(state: ModelState, node: Node, event: ElectionEvent): void {
     const { election } = node;
-    for (const effect of electionStep(election, this.#bend(election, event))) {
+    for (const effect of electionStep(election, this.#mutateEvent(election, event))) {
       if (effect.kind === 'elected') {
         const { term } = effect.result;
-        const before = scene.elected[term];
-        if (before !== undefined && before !== election.incarnation)
-          this.violations.push(`two were elected for term ${term}`);
-        scene.elected[term] = election.incarnation;
-      } else if (effect.kind !== 'lost' && effect.kind !== 'leaderObserved') node.asked.push(effect);
+        const previous = state.elected[term];
+        if (previous !== undefined && previous !== election.incarnation)
+          this.violations.push(`two incarnations were elected for term ${term}`);
+        state.elected[term] = election.incarnation;
+      } else if (effect.kind !== 'lost' && effect.kind !== 'leaderObserved') node.pending.push(effect);
     }
   }
 
-  /** Some guards are left out by what the machine is told. */
-  #bend(election: ElectionState, event: ElectionEvent): ElectionEvent {
+  /** Implements the mutants that alter the events of the state machine. */
+  #mutateEvent(election: ElectionState, event: ElectionEvent): ElectionEvent {
     if (this.mutant === 'takes an unknown outcome for success' && event.kind === 'campaigned')
       return event.outcome === 'unknown' ? { ...event, outcome: 'applied', revision: 1 } : event;
     if (this.mutant === 'continues after its lease has expired' && event.kind === 'leaseRenewed')
@@ -144,19 +144,20 @@
     return event;
   }
 
-  /** A transaction, as the state service takes it; the revision it made, or null if a condition failed. */
+  /** Applies a transaction as the store does; returns its revision, or null if a precondition failed. */
   #apply({ store }: ModelState, txn: Transaction): number | null {
     const leaderRevision = store.leader?.modRevision ?? 0;
     const termRevision = store.term?.modRevision ?? 0;
-    const free = this.mutant === 'campaigns without the term precondition' && txn.kind === 'campaign';
-    const loose =
+    const isCampaignUnguarded =
+      this.mutant === 'campaigns without the term precondition' && txn.kind === 'campaign';
+    const isTransferUnguarded =
       this.mutant === 'transfers leadership without the record precondition' && txn.kind === 'nameSuccessor';
-    if (!free && txn.termRevision !== termRevision && !loose) return null;
-    if (!free && !loose && txn.leaderRevision !== leaderRevision) return null;
+    if (!isCampaignUnguarded && txn.termRevision !== termRevision && !isTransferUnguarded) return null;
+    if (!isCampaignUnguarded && !isTransferUnguarded && txn.leaderRevision !== leaderRevision) return null;
     if (!store.leases.includes(txn.lease)) return null;
     store.revision += 1;
     store.leader = { record: txn.record, modRevision: store.revision, lease: txn.lease };
-    store.leaderAt = store.revision;
+    store.leaderChangedAt = store.revision;
     if (txn.kind === 'campaign') store.term = { value: txn.record.term, modRevision: store.revision };
     return store.revision;
   }
@@ -170,240 +171,249 @@
   }
 
   endLease({ store }: ModelState, lease: number): void {
-    store.leases = store.leases.filter((one) => one !== lease);
+    store.leases = store.leases.filter((other) => other !== lease);
     if (store.leader?.lease === lease) {
       store.leader = null;
       store.revision += 1;
-      store.leaderAt = store.revision;
+      store.leaderChangedAt = store.revision;
     }
   }
 
-  /** Serves what a node has asked for; `lost`: it gets no answer. */
-  serve(scene: ModelState, node: Node, at: number, lost: boolean): void {
-    const [asked] = node.asked.splice(at, 1);
-    if (asked === undefined) return;
-    const { store } = scene;
-    switch (asked.kind) {
+  /** Serves a pending request of a node; if `isResponseLost`, the node receives no response. */
+  serve(state: ModelState, node: Node, at: number, isResponseLost: boolean): void {
+    const [request] = node.pending.splice(at, 1);
+    if (request === undefined) return;
+    const { store } = state;
+    switch (request.kind) {
       case 'wait':
-        this.tell(scene, node, { kind: 'timerFired', round: asked.round });
+        this.dispatch(state, node, { kind: 'timerFired', round: request.round });
         break;
       case 'readLeader':
-        this.tell(scene, node, {
+        this.dispatch(state, node, {
           kind: 'leaderRead',
-          round: asked.round,
-          leader: lost ? 'unknown' : { ...this.#leader(scene), revision: store.revision },
+          round: request.round,
+          leader: isResponseLost ? 'unknown' : { ...this.#leader(state), revision: store.revision },
         });
         break;
       case 'watchLeader':
-        this.tell(scene, node, { kind: 'leaderWatched', round: asked.round, answered: !lost });
+        this.dispatch(state, node, {
+          kind: 'leaderWatched',
+          round: request.round,
+          answered: !isResponseLost,
+        });
         break;
       case 'grantLease': {
         const lease = store.nextLease++;
         store.leases.push(lease);
-        const term = this.#term(scene);
-        this.tell(scene, node, {
+        const term = this.#term(state);
+        this.dispatch(state, node, {
           kind: 'leaseGranted',
-          round: asked.round,
-          lease: lost ? null : lease,
-          term: lost ? 'unknown' : term,
+          round: request.round,
+          lease: isResponseLost ? null : lease,
+          term: isResponseLost ? 'unknown' : term,
           now: 0,
         });
         break;
       }
       case 'verifyCampaign':
-        this.tell(scene, node, {
+        this.dispatch(state, node, {
           kind: 'campaignVerified',
-          round: asked.round,
-          leader: lost ? 'unknown' : this.#leader(scene),
-          term: lost ? 'unknown' : this.#term(scene),
+          round: request.round,
+          leader: isResponseLost ? 'unknown' : this.#leader(state),
+          term: isResponseLost ? 'unknown' : this.#term(state),
         });
         break;
       case 'renewLease':
-        this.tell(scene, node, {
+        this.dispatch(state, node, {
           kind: 'leaseRenewed',
-          round: asked.round,
-          alive: lost ? null : store.leases.includes(asked.lease),
+          round: request.round,
+          alive: isResponseLost ? null : store.leases.includes(request.lease),
         });
         break;
       case 'revokeLease':
-        if (!lost) this.endLease(scene, asked.lease);
+        if (!isResponseLost) this.endLease(state, request.lease);
         break;
       case 'campaign':
       case 'nameSuccessor': {
-        const revision = this.#apply(scene, asked);
-        const outcome = lost ? 'unknown' : revision === null ? 'failed' : 'applied';
-        const kind = asked.kind === 'campaign' ? 'campaigned' : 'successorNamed';
-        this.tell(scene, node, { kind, round: asked.round, outcome, revision: revision ?? 0 });
+        const revision = this.#apply(state, request);
+        const outcome = isResponseLost ? 'unknown' : revision === null ? 'failed' : 'applied';
+        const kind = request.kind === 'campaign' ? 'campaigned' : 'successorNamed';
+        this.dispatch(state, node, { kind, round: request.round, outcome, revision: revision ?? 0 });
         break;
       }
     }
   }
 
-  /** Gives a transaction up without an answer; it may be applied at any time later. */
-  orphan(scene: ModelState, node: Node, at: number): void {
-    const [asked] = node.asked.splice(at, 1);
-    if (asked === undefined || (asked.kind !== 'campaign' && asked.kind !== 'nameSuccessor')) return;
-    scene.late.push(asked);
-    const kind = asked.kind === 'campaign' ? 'campaigned' : 'successorNamed';
-    this.tell(scene, node, { kind, round: asked.round, outcome: 'unknown', revision: 0 });
+  /** Ends the wait for a transaction with an unknown outcome; it may be applied at any later time. */
+  abandon(state: ModelState, node: Node, at: number): void {
+    const [request] = node.pending.splice(at, 1);
+    if (request === undefined || (request.kind !== 'campaign' && request.kind !== 'nameSuccessor')) return;
+    state.lateTransactions.push(request);
+    const kind = request.kind === 'campaign' ? 'campaigned' : 'successorNamed';
+    this.dispatch(state, node, { kind, round: request.round, outcome: 'unknown', revision: 0 });
   }
 
-  /** Everything that may happen next, each as a copy of the scene. */
-  next(scene: ModelState, faults: number): [string, ModelState][] {
-    const found: [string, ModelState][] = [];
-    const take = (name: string, fault: boolean, act: (next: ModelState) => void): void => {
-      if (fault && scene.faults >= faults) return;
-      const after = copy(scene);
-      if (fault) after.faults += 1;
-      act(after);
-      found.push([name, after]);
+  /** All possible next steps: the description of each and the state that results from it. */
+  successors(state: ModelState, maxFaults: number): [string, ModelState][] {
+    const steps: [string, ModelState][] = [];
+    const addStep = (description: string, isFault: boolean, apply: (next: ModelState) => void): void => {
+      if (isFault && state.faults >= maxFaults) return;
+      const after = copyState(state);
+      if (isFault) after.faults += 1;
+      apply(after);
+      steps.push([description, after]);
     };
-    scene.nodes.forEach((node, i) => {
-      const of = (next: ModelState): Node => next.nodes[i] as Node;
+    state.nodes.forEach((node, i) => {
+      const nodeOf = (next: ModelState): Node => next.nodes[i] as Node;
       const { election } = node;
-      node.asked.forEach((asked, at) => {
-        const what = `${election.node} ${asked.kind}`;
-        // Nothing changed: the answer to a watch would change nothing either.
-        const idle = asked.kind === 'watchLeader' && asked.after >= scene.store.leaderAt;
-        if (!idle) take(what, false, (next) => this.serve(next, of(next), at, false));
-        if (asked.kind !== 'wait' && asked.kind !== 'watchLeader')
-          take(`${what} without answer`, true, (next) => this.serve(next, of(next), at, true));
-        if (asked.kind === 'campaign' || asked.kind === 'nameSuccessor')
-          take(`${what} held back`, true, (next) => this.orphan(next, of(next), at));
+      node.pending.forEach((request, at) => {
+        const action = `${election.node} ${request.kind}`;
+        // While the leader record is unchanged, the response to a watch would change nothing either.
+        const isUnchanged = request.kind === 'watchLeader' && request.after >= state.store.leaderChangedAt;
+        if (!isUnchanged) addStep(action, false, (next) => this.serve(next, nodeOf(next), at, false));
+        if (request.kind !== 'wait' && request.kind !== 'watchLeader')
+          addStep(`${action} without response`, true, (next) => this.serve(next, nodeOf(next), at, true));
+        if (request.kind === 'campaign' || request.kind === 'nameSuccessor')
+          addStep(`${action} with unknown outcome`, true, (next) => this.abandon(next, nodeOf(next), at));
       });
       if (election.phase === 'following')
-        take(`${election.node} takes the leader for crashed`, true, (next) =>
-          this.tell(next, of(next), {
+        addStep(`${election.node} detects a crash of the leader`, true, (next) =>
+          this.dispatch(next, nodeOf(next), {
             kind: 'replaceCrashedLeader',
-            modRevision: of(next).election.followedRevision,
+            modRevision: nodeOf(next).election.followedRevision,
           }),
         );
       if (election.phase === 'leading') {
         const to = NODES[(i + 1) % NODES.length] as string;
-        take(`${election.node} hands over`, true, (next) =>
-          this.tell(next, of(next), { kind: 'transferLeadership', to }),
+        addStep(`${election.node} transfers leadership`, true, (next) =>
+          this.dispatch(next, nodeOf(next), { kind: 'transferLeadership', to }),
+        );
+        addStep(`${election.node} steps down`, true, (next) =>
+          this.dispatch(next, nodeOf(next), { kind: 'resign' }),
         );
-        take(`${election.node} steps down`, true, (next) => this.tell(next, of(next), { kind: 'resign' }));
       }
-      take(`${election.node} starts anew`, true, (next) => {
-        const born = of(next);
-        for (const asked of born.asked)
-          if (asked.kind === 'campaign' || asked.kind === 'nameSuccessor') next.late.push(asked);
-        born.election = this.#born(next, election.node);
-        born.asked = [];
-        this.tell(next, born, { kind: 'start' });
+      addStep(`${election.node} restarts`, true, (next) => {
+        const restarted = nodeOf(next);
+        for (const request of restarted.pending)
+          if (request.kind === 'campaign' || request.kind === 'nameSuccessor')
+            next.lateTransactions.push(request);
+        restarted.election = this.#newElection(next, election.node);
+        restarted.pending = [];
+        this.dispatch(next, restarted, { kind: 'start' });
       });
     });
-    scene.late.forEach((txn, at) =>
-      take(`late ${txn.kind} of ${txn.record.node}`, false, (next) => {
-        next.late.splice(at, 1);
+    state.lateTransactions.forEach((txn, at) =>
+      addStep(`late ${txn.kind} of ${txn.record.node}`, false, (next) => {
+        next.lateTransactions.splice(at, 1);
         this.#apply(next, txn);
       }),
     );
-    for (const lease of scene.store.leases)
-      take(`lease ${lease} ends`, true, (next) => this.endLease(next, lease));
-    return found;
+    for (const lease of state.store.leases)
+      addStep(`lease ${lease} ends`, true, (next) => this.endLease(next, lease));
+    return steps;
   }
 
-  /** What must hold in every state. */
-  check(scene: ModelState): void {
-    const termRevision = scene.store.term?.modRevision ?? 0;
-    const { leader, term } = scene.store;
+  /** Checks the invariants that hold in every state. */
+  check(state: ModelState): void {
+    const termRevision = state.store.term?.modRevision ?? 0;
+    const { leader, term } = state.store;
     if (leader !== null && leader.record.term !== term?.value)
-      this.violations.push('the record tells of another term than the one in force');
-    const writers = scene.nodes.filter(({ election }) => election.held?.result.modRevision === termRevision);
+      this.violations.push('the term of the leader record differs from the stored term');
+    const writers = state.nodes.filter(({ election }) => election.held?.result.modRevision === termRevision);
     if (writers.length > 1) this.violations.push('the writes of two leaders would be applied');
     for (const { election } of writers) {
-      const { result: won } = election.held as { result: { term: number } };
-      if (won.term !== scene.store.term?.value)
+      const { result } = election.held as { result: { term: number } };
+      if (result.term !== state.store.term?.value)
         this.violations.push('a leader writes under a term that is not its own');
     }
   }
 
   /**
-   * From here on nothing fails, and whoever renews its lease keeps it: within a bound one leads whom all
-   * others follow, and it stays so.
+   * Continues without faults, with every held or renewed lease kept: within 10 rounds exactly one node must lead
+   * with all others following it, and it must still lead after 4 more rounds.
    */
-  settles(from: ModelState): void {
-    const scene = copy(from);
-    const settled = (): string | null => {
-      const leaders = scene.nodes.filter(({ election }) => election.phase === 'leading');
-      const [one] = leaders;
-      if (leaders.length !== 1 || one === undefined) return null;
-      const modRevision = scene.store.leader?.modRevision;
-      const all = scene.nodes.every(
+  checkConvergence(from: ModelState): void {
+    const state = copyState(from);
+    const convergedLeader = (): string | null => {
+      const leaders = state.nodes.filter(({ election }) => election.phase === 'leading');
+      const [first] = leaders;
+      if (leaders.length !== 1 || first === undefined) return null;
+      const modRevision = state.store.leader?.modRevision;
+      const allFollow = state.nodes.every(
         ({ election }) =>
-          election === one.election ||
+          election === first.election ||
           (election.phase === 'following' && election.followedRevision === modRevision),
       );
-      return all && one.election.held?.namedSuccessor === null ? one.election.incarnation : null;
+      return allFollow && first.election.held?.namedSuccessor === null ? first.election.incarnation : null;
     };
-    const round = (): void => {
+    const runRound = (): void => {
       const renewed = new Set<number>();
-      for (const node of scene.nodes) {
+      for (const node of state.nodes) {
         if (this.mutant === 'transfers leadership for ever' && node.election.phase === 'leading')
-          this.tell(scene, node, {
+          this.dispatch(state, node, {
             kind: 'transferLeadership',
             to: NODES.find((name) => name !== node.election.node) as string,
           });
-        // Timers once each; whatever else there is to be answered until nothing is left.
-        for (let left = node.asked.length; left > 0; left -= 1) {
-          const at = node.asked.findIndex(({ kind }) => kind === 'wait');
+        // Fires each pending timer once, and then serves all other requests until none is left.
+        for (let left = node.pending.length; left > 0; left -= 1) {
+          const at = node.pending.findIndex(({ kind }) => kind === 'wait');
           if (at < 0) break;
-          this.serve(scene, node, at, false);
+          this.serve(state, node, at, false);
         }
         for (let steps = 0; steps < 40; steps += 1) {
-          const at = node.asked.findIndex(
-            (asked) =>
-              asked.kind !== 'wait' && !(asked.kind === 'watchLeader' && asked.after >= scene.store.leaderAt),
+          const at = node.pending.findIndex(
+            (request) =>
+              request.kind !== 'wait' &&
+              !(request.kind === 'watchLeader' && request.after >= state.store.leaderChangedAt),
           );
           if (at < 0) break;
-          const asked = node.asked[at];
-          if (asked?.kind === 'renewLease') renewed.add(asked.lease);
-          this.serve(scene, node, at, false);
+          const request = node.pending[at];
+          if (request?.kind === 'renewLease') renewed.add(request.lease);
+          this.serve(state, node, at, false);
         }
       }
-      for (const lease of [...scene.store.leases]) {
-        const held = scene.nodes.some(({ election }) => election.held?.lease === lease);
-        if (!held && !renewed.has(lease)) this.endLease(scene, lease);
+      for (const lease of [...state.store.leases]) {
+        const held = state.nodes.some(({ election }) => election.held?.lease === lease);
+        if (!held && !renewed.has(lease)) this.endLease(state, lease);
       }
     };
-    for (let i = 0; i < 10; i += 1) round();
-    const leader = settled();
+    for (let i = 0; i < 10; i += 1) runRound();
+    const leader = convergedLeader();
     if (leader === null)
-      this.violations.push('nobody leads whom all others follow, though nothing fails any more');
-    for (let i = 0; i < 4; i += 1) round();
-    if (settled() !== leader) this.violations.push('leadership moves on though nothing fails any more');
+      this.violations.push('no node leads with all others following, although no more faults occur');
+    for (let i = 0; i < 4; i += 1) runRound();
+    if (convergedLeader() !== leader)
+      this.violations.push('leadership changes, although no more faults occur');
   }
 }
 
-/** Two states that differ only in how large their numbers have grown are the same. */
-function keyOf(scene: ModelState): string {
-  const { store } = scene;
-  const stamps = new Set<number>([
+/** The key of a state; it is the same for states that differ only in how large their revisions, terms and leases are. */
+function stateKey(state: ModelState): string {
+  const { store } = state;
+  const revisions = new Set<number>([
     0,
-    store.leaderAt,
+    store.leaderChangedAt,
     store.leader?.modRevision ?? 0,
     store.term?.modRevision ?? 0,
   ]);
   const terms = new Set<number>([store.term?.value ?? 0, store.leader?.record.term ?? 0]);
   const leases = new Set<number>(store.leases);
-  const asked = [...scene.nodes.flatMap((node) => node.asked), ...scene.late];
-  for (const one of asked) {
-    if ('after' in one) stamps.add(one.after);
-    if ('leaderRevision' in one) stamps.add(one.leaderRevision).add(one.termRevision);
-    if ('record' in one) terms.add(one.record.term);
-    if ('lease' in one) leases.add(one.lease);
+  const pending = [...state.nodes.flatMap((node) => node.pending), ...state.lateTransactions];
+  for (const request of pending) {
+    if ('after' in request) revisions.add(request.after);
+    if ('leaderRevision' in request) revisions.add(request.leaderRevision).add(request.termRevision);
+    if ('record' in request) terms.add(request.record.term);
+    if ('lease' in request) leases.add(request.lease);
   }
-  for (const { election } of scene.nodes) {
-    stamps.add(election.followedRevision).add(election.leaderRevision);
+  for (const { election } of state.nodes) {
+    revisions.add(election.followedRevision).add(election.leaderRevision);
     if (election.held !== null) {
-      stamps.add(election.held.leaderRevision).add(election.held.result.modRevision);
+      revisions.add(election.held.leaderRevision).add(election.held.result.modRevision);
       terms.add(election.held.result.term);
       leases.add(election.held.lease);
     }
     if (election.campaign !== null) {
-      stamps.add(election.campaign.termRevision);
+      revisions.add(election.campaign.termRevision);
       terms.add(election.campaign.term);
     }
   }
@@ -411,43 +421,48 @@
     const sorted = [...numbers].sort((a, b) => a - b);
     return (n) => sorted.indexOf(n);
   };
-  const [modRevision, term, lease] = [rank(stamps), rank(terms), rank(leases)];
+  const [modRevisionRank, termRank, leaseRank] = [rank(revisions), rank(terms), rank(leases)];
   const record = (one: LeaderRecord): string =>
-    `${one.node}${one.incarnation}${term(one.term)}${one.successor ?? ''}`;
+    `${one.node}${one.incarnation}${termRank(one.term)}${one.successor ?? ''}`;
   const transaction = (one: Transaction): string =>
-    `${one.kind}${record(one.record)}${lease(one.lease)},${modRevision(one.leaderRevision)},${modRevision(one.termRevision)}`;
+    `${one.kind}${record(one.record)}${leaseRank(one.lease)},${modRevisionRank(one.leaderRevision)},${modRevisionRank(one.termRevision)}`;
   const whole = JSON.stringify([
-    scene.faults,
+    state.faults,
     store.leader && [
       record(store.leader.record),
-      modRevision(store.leader.modRevision),
-      lease(store.leader.lease),
+      modRevisionRank(store.leader.modRevision),
+      leaseRank(store.leader.lease),
     ],
-    store.term && [term(store.term.value), modRevision(store.term.modRevision)],
-    modRevision(store.leaderAt),
-    store.leases.map(lease),
-    scene.late.map(transaction),
-    scene.nodes.map(({ election: e, asked: all }) => [
-      e.incarnation,
-      e.phase,
-      e.hasDeferred,
-      modRevision(e.followedRevision),
-      modRevision(e.leaderRevision),
-      e.lease === null ? null : lease(e.lease),
-      e.campaign && [term(e.campaign.term), modRevision(e.campaign.termRevision)],
-      e.held && [
-        lease(e.held.lease),
-        term(e.held.result.term),
-        modRevision(e.held.result.modRevision),
-        e.held.namedSuccessor,
+    store.term && [termRank(store.term.value), modRevisionRank(store.term.modRevision)],
+    modRevisionRank(store.leaderChangedAt),
+    store.leases.map(leaseRank),
+    state.lateTransactions.map(transaction),
+    state.nodes.map(({ election, pending }) => [
+      election.incarnation,
+      election.phase,
+      election.hasDeferred,
+      modRevisionRank(election.followedRevision),
+      modRevisionRank(election.leaderRevision),
+      election.lease === null ? null : leaseRank(election.lease),
+      election.campaign && [
+        termRank(election.campaign.term),
+        modRevisionRank(election.campaign.termRevision),
+      ],
+      election.held && [
+        leaseRank(election.held.lease),
+        termRank(election.held.result.term),
+        modRevisionRank(election.held.result.modRevision),
+        election.held.namedSuccessor,
       ],
-      all.map((one) => [
-        one.kind,
-        // Of its round only counts whether it is one that is waited for.
-        'round' in one ? [e.round, e.renewalRound, e.leaderWatchRound].indexOf(one.round) : null,
-        'after' in one ? modRevision(one.after) : null,
-        'lease' in one ? lease(one.lease) : null,
-        'record' in one ? transaction(one) : null,
+      pending.map((request) => [
+        request.kind,
+        // All that matters of a round is whether the node still waits for it.
+        'round' in request
+          ? [election.round, election.renewalRound, election.leaderWatchRound].indexOf(request.round)
+          : null,
+        'after' in request ? modRevisionRank(request.after) : null,
+        'lease' in request ? leaseRank(request.lease) : null,
+        'record' in request ? transaction(request) : null,
       ]),
     ]),
   ]);
@@ -455,55 +470,56 @@
 }
 
 export interface Bounds {
-  /** Steps from the start, faults among them, and states at most. */
+  /** Maximum number of steps from the start, of faults among these steps, and of states. */
   readonly depth: number;
   readonly faults: number;
   readonly states: number;
-  /** From every so many of the states it is tried whether all settles once nothing fails. */
+  /** Convergence without further faults is checked from every `settleEvery`-th state. */
   readonly settleEvery: number;
 }
 
-/** Breadth first from a service that has a leader: the shortest way to whatever is broken. */
-export function explore(bounds: Bounds, mutant: Mutant | null = null): Found {
+/** Explores breadth-first from a state with a leader: the path to a violation is the shortest one. */
+export function explore(bounds: Bounds, mutant: Mutant | null = null): ExplorationResult {
   const explorer = new Explorer(mutant);
   const first = explorer.start();
-  // Everybody asks, one is elected, the others follow.
+  // Serves all requests until one node is elected and the others follow it.
   for (let i = 0; i < 12; i += 1)
     for (const node of first.nodes) {
-      const at = node.asked.findIndex(
-        (asked) =>
-          asked.kind !== 'wait' && !(asked.kind === 'watchLeader' && asked.after >= first.store.leaderAt),
+      const at = node.pending.findIndex(
+        (request) =>
+          request.kind !== 'wait' &&
+          !(request.kind === 'watchLeader' && request.after >= first.store.leaderChangedAt),
       );
       if (at >= 0) explorer.serve(first, node, at, false);
     }
-  const seen = new Map<string, readonly [string, string] | null>([[keyOf(first), null]]);
-  let level: [string, ModelState][] = [[keyOf(first), first]];
+  const seen = new Map<string, readonly [string, string] | null>([[stateKey(first), null]]);
+  let level: [string, ModelState][] = [[stateKey(first), first]];
   const pathTo = (key: string): string[] => {
     const path: string[] = [];
     for (let at = seen.get(key); at !== null && at !== undefined; at = seen.get(at[0])) path.unshift(at[1]);
     return path;
   };
-  const judge = (key: string, scene: ModelState): Found | null => {
-    explorer.check(scene);
-    if (seen.size % bounds.settleEvery === 0) explorer.settles(scene);
+  const checkState = (key: string, state: ModelState): ExplorationResult | null => {
+    explorer.check(state);
+    if (seen.size % bounds.settleEvery === 0) explorer.checkConvergence(state);
     return explorer.violations.length === 0
       ? null
       : { states: seen.size, violations: explorer.violations, path: pathTo(key) };
   };
   for (let depth = 0; depth < bounds.depth && level.length > 0; depth += 1) {
-    const deeper: [string, ModelState][] = [];
-    for (const [from, scene] of level) {
-      for (const [name, after] of explorer.next(scene, bounds.faults)) {
-        const key = keyOf(after);
+    const nextLevel: [string, ModelState][] = [];
+    for (const [from, state] of level) {
+      for (const [name, after] of explorer.successors(state, bounds.faults)) {
+        const key = stateKey(after);
         if (seen.has(key) && explorer.violations.length === 0) continue;
         seen.set(key, [from, name]);
-        const found = judge(key, after);
+        const found = checkState(key, after);
         if (found !== null) return found;
         if (seen.size >= bounds.states) return { states: seen.size, violations: [], path: [] };
-        deeper.push([key, after]);
+        nextLevel.push([key, after]);
       }
     }
-    level = deeper;
+    level = nextLevel;
   }
   return { states: seen.size, violations: [], path: [] };
 }
