--- a/test/emulators/checker.ts
+++ b/test/emulators/checker.ts
@@ -1,6 +1,6 @@
 /**
- * Every rule of the protocol, checked from what users are told and what machines do.
- * It knows nothing of how the service works.
+ * Checks every rule of the protocol using only the responses to users and the tasks that run on machines.
+ * It is independent of the implementation of the service.
  */
 import { asObject } from '../../src/core/values.js';
 
@@ -8,7 +8,7 @@
 export interface SubmittedJob {
   readonly id: string;
   readonly jobClass?: string;
-  /** Best-effort work of the lowest priority, with a checkpoint every so many seconds. */
+  /** Checkpoint interval in seconds; the job is best effort, the lowest priority, unless `urgency` is given. */
   readonly bookmarkS?: number;
   readonly team: string;
   readonly tasks: number;
@@ -20,22 +20,22 @@
   readonly spread: boolean;
   /** Dependencies: jobs that must be done first. */
   readonly awaits?: readonly string[];
-  /** As users write them; an array of normal urgency unless told. */
+  /** Values of the submission format; the default is an array of normal urgency. */
   readonly form?: 'array' | 'ensemble' | 'service';
   readonly urgency?: 'prod' | 'high' | 'normal' | 'best_effort';
 }
 
-/** What is known of one job from its users and its tasks; times in milliseconds. */
+/** What has been observed of one job: the responses to its users and its tasks. Times are in milliseconds. */
 interface JobHistory {
   accepted: boolean;
   acceptedAt: number | null;
-  /** When its user was told that it is cancelled. */
+  /** When a response first confirmed the cancellation that its user requested. */
   cancelledAt: number | null;
   cancelRequested: boolean;
   final: string | null;
   finalAt: number;
-  /** When its user last asked about it, and last got an answer. */
-  askedAt: number;
+  /** When its user last sent a request about it, and last received a response with a status below 500. */
+  requestedAt: number;
   answeredAt: number;
   startedAt: number | null;
   readonly done: Set<number>;
@@ -49,22 +49,22 @@
   readonly zone: string;
 }
 
-/** Bound on the time until a leader knows of a confirmed cancellation, in milliseconds. */
+/** A leader must learn of a confirmed cancellation within this time, in milliseconds. */
 const MAX_CANCELLATION_LAG_MS = 2500;
-/** After the last fault no task waits longer while a machine has capacity for it, in milliseconds. */
+/** After the last fault, no task may wait longer than this while a machine has capacity for it, in milliseconds. */
 const MAX_WAIT_MS = 90_000;
 const MAX_UNANSWERED_MS = 75_000;
 const ACTIVE_READER_MS = 10_000;
 const MAX_START_DELAY_MS = 240_000;
 
-/** Collects violations of the protocol's rules; each is `rule: what`. */
+/** Collects violations of the protocol's rules; each is `rule: details`. */
 export class Checker {
   readonly violations: string[] = [];
   readonly #jobs = new Map<string, SubmittedJob>();
   readonly #histories = new Map<string, JobHistory>();
   readonly #placed: PlacedTask[] = [];
   readonly #waitingSince = new Map<string, number>();
-  /** Jobs that can never run, or lack a field: nobody may accept them. */
+  /** Jobs that can never run or lack a required field: no controller may accept them. */
   readonly #unacceptable = new Set<string>();
   started = 0;
   /** Tasks that workers killed at lease expiry. */
@@ -75,8 +75,8 @@
     private readonly limitCpus: number,
   ) {}
 
-  #violate(rule: string, what: string): void {
-    this.violations.push(`${rule}: ${what}`);
+  #violate(rule: string, details: string): void {
+    this.violations.push(`${rule}: ${details}`);
   }
 
   #historyOf(id: string): JobHistory {
@@ -89,7 +89,7 @@
         cancelRequested: false,
         final: null,
         finalAt: Infinity,
-        askedAt: -Infinity,
+        requestedAt: -Infinity,
         answeredAt: -Infinity,
         startedAt: null,
         done: new Set(),
@@ -99,21 +99,21 @@
     return history;
   }
 
-  /** When a user was told that a job, or one that it needs, is cancelled; null: never. */
+  /** When the cancellation of a job, or of one of its dependencies, was first confirmed; null if it never was. */
   #cancelledAtOf(id: string): number | null {
     let at = this.#historyOf(id).cancelledAt;
-    for (const needed of this.#jobs.get(id)?.awaits ?? []) {
-      const other = this.#cancelledAtOf(needed);
+    for (const dependency of this.#jobs.get(id)?.awaits ?? []) {
+      const other = this.#cancelledAtOf(dependency);
       if (other !== null) at = Math.min(at ?? Infinity, other);
     }
     return at;
   }
 
-  /** Whether its user, or that of a job that it needs, asked to cancel it. */
+  /** Whether the cancellation of a job, or of one of its dependencies, was requested. */
   #mayBeCancelled(id: string): boolean {
     return (
       this.#historyOf(id).cancelRequested ||
-      (this.#jobs.get(id)?.awaits ?? []).some((needed) => this.#mayBeCancelled(needed))
+      (this.#jobs.get(id)?.awaits ?? []).some((dependency) => this.#mayBeCancelled(dependency))
     );
   }
 
@@ -122,44 +122,46 @@
     this.#historyOf(job.id);
   }
 
-  /** A job that can never run, or lacks a field, is submitted. */
+  /** Records the submission of a job that can never run or lacks a required field. */
   submittedUnacceptable(id: string): void {
     this.#unacceptable.add(id);
   }
 
   requested(id: string, now: number): void {
-    this.#historyOf(id).askedAt = now;
+    this.#historyOf(id).requestedAt = now;
   }
 
   cancelRequested(id: string): void {
     this.#historyOf(id).cancelRequested = true;
   }
 
-  /** A user got an answer about a job. */
+  /** Records the response to a request about a job and checks it against the rules. */
   answered(
     id: string,
     status: number,
     body: unknown,
     now: number,
     kind: 'submit' | 'show' | 'withdraw',
-    askedAt = now,
+    requestedAt = now,
   ): void {
     const history = this.#historyOf(id);
     if (status < 500) history.answeredAt = now;
     if (status === 200 || status === 201) {
       if (this.#unacceptable.has(id)) {
-        this.#violate('took_odd', id);
+        this.#violate('accepted_invalid', id);
         return;
       }
       if (!this.#jobs.has(id)) this.#violate('invented', id);
       history.acceptedAt ??= now;
       history.accepted = true;
       const stage = asObject(body)?.['stage'];
-      const cutOff = this.#cancelledAtOf(id);
-      const late = cutOff !== null && now > Math.max(cutOff, history.acceptedAt) + this.cancelMs;
-      if (late && stage !== 'withdrawn') this.#violate('orphaned', `${id} is called ${String(stage)}`);
-      // Of two questions under way at once either may be answered first.
-      if (history.final !== null && stage !== history.final && askedAt >= history.finalAt) {
+      const cancelledAt = this.#cancelledAtOf(id);
+      const isOverdue =
+        cancelledAt !== null && now > Math.max(cancelledAt, history.acceptedAt) + this.cancelMs;
+      if (isOverdue && stage !== 'withdrawn')
+        this.#violate('orphaned', `${id} is reported as ${String(stage)} after its cancellation`);
+      // Concurrent requests may be answered in any order: only those sent after the final response count.
+      if (history.final !== null && stage !== history.final && requestedAt >= history.finalAt) {
         this.#violate('went_back', `${id} from ${history.final} to ${String(stage)}`);
       }
       if ((stage === 'done' || stage === 'withdrawn') && history.final === null) history.finalAt = now;
@@ -169,19 +171,19 @@
       }
       if (stage === 'withdrawn') {
         history.final = 'withdrawn';
-        // Withdrawn for another's sake, it is the other whose user was told.
+        // If only a dependency's cancellation was requested, #cancelledAtOf finds the time of its confirmation.
         if (history.cancelRequested) history.cancelledAt ??= now;
-        if (!this.#mayBeCancelled(id)) this.#violate('went_back', `${id} is cancelled by nobody`);
+        if (!this.#mayBeCancelled(id)) this.#violate('went_back', `${id} is cancelled without a request`);
       }
     } else if (
       history.accepted &&
       (status === 404 || (kind === 'submit' && status < 500 && status !== 429))
     ) {
-      this.#violate('forgotten', `${id} gets ${status}`);
+      this.#violate('forgotten', `${id} was accepted, but a response has status ${status}`);
     }
   }
 
-  /** A controller has told a worker to start tasks of these jobs. */
+  /** Records that a controller has commanded a worker to start tasks of these jobs. */
   commandsGiven(starts: readonly string[], now: number): void {
     for (const id of starts) {
       const at = this.#historyOf(id).cancelledAt;
@@ -203,53 +205,58 @@
         this.#violate('ran_twice', `${job}/${task} on ${other.machine} and ${machine} at ${now.toFixed(0)}`);
       }
     }
-    const early = (spec.awaits ?? []).find(
+    const unfinishedDependency = (spec.awaits ?? []).find(
       (id) => this.#historyOf(id).done.size < (this.#jobs.get(id)?.tasks ?? 0),
     );
-    if (early !== undefined) this.#violate('too_early', `${job}/${task} before ${early}`);
+    if (unfinishedDependency !== undefined)
+      this.#violate('too_early', `${job}/${task} before ${unfinishedDependency}`);
     const zones = this.#placed.filter((other) => other.job === job).map((other) => other.zone);
-    const crowded = zones.filter((other) => other === zone).length + 1 > Math.ceil(spec.tasks / 2);
+    const exceedsSpread = zones.filter((other) => other === zone).length + 1 > Math.ceil(spec.tasks / 2);
     if (
       (spot && !spec.spot) ||
       (spec.zone !== null && spec.zone !== zone) ||
       (spec.oneZone && zones.some((other) => other !== zone)) ||
-      (spec.spread && crowded)
+      (spec.spread && exceedsSpread)
     ) {
       this.#violate('wrong_place', `${job}/${task} on ${machine}`);
     }
     this.#placed.push({ job, task, machine, zone });
-    const cpus = this.#use(spec.team);
+    const cpus = this.#cpusInUse(spec.team);
     if (this.limitCpus > 0 && cpus > this.limitCpus + 1e-6)
       this.#violate('quota', `${spec.team}: ${cpus} cpus`);
     this.#checkCancelled(job, task, now);
   }
 
-  #use(team: string): number {
-    return this.#placed.reduce((sum, on) => {
-      const job = this.#jobs.get(on.job);
+  #cpusInUse(team: string): number {
+    return this.#placed.reduce((sum, placed) => {
+      const job = this.#jobs.get(placed.job);
       return sum + (job?.team === team ? job.cpus : 0);
     }, 0);
   }
 
-  /** To be called periodically after the last fault: jobs that wait although there is capacity. */
-  checkWaiting(now: number, hasRoom: (job: SubmittedJob, taken: readonly PlacedTask[]) => boolean): void {
+  /** Call periodically after the last fault: reports jobs that wait although a machine has capacity for a task. */
+  checkWaiting(
+    now: number,
+    hasCapacity: (job: SubmittedJob, placed: readonly PlacedTask[]) => boolean,
+  ): void {
     for (const [id, job] of this.#jobs) {
       const { accepted, cancelRequested, final, done } = this.#historyOf(id);
-      const taken = this.#placed.filter((on) => on.job === id);
-      const ready = (job.awaits ?? []).every((needed) => this.#historyOf(needed).final === 'done');
-      const waits =
-        accepted && ready && !cancelRequested && final === null && done.size + taken.length < job.tasks;
-      const allowed = this.limitCpus === 0 || this.#use(job.team) + job.cpus <= this.limitCpus + 1e-6;
-      if (!waits || !allowed || !hasRoom(job, this.#placed)) this.#waitingSince.delete(id);
+      const placed = this.#placed.filter((task) => task.job === id);
+      const ready = (job.awaits ?? []).every((dependency) => this.#historyOf(dependency).final === 'done');
+      const isWaiting =
+        accepted && ready && !cancelRequested && final === null && done.size + placed.length < job.tasks;
+      const isWithinQuota =
+        this.limitCpus === 0 || this.#cpusInUse(job.team) + job.cpus <= this.limitCpus + 1e-6;
+      if (!isWaiting || !isWithinQuota || !hasCapacity(job, this.#placed)) this.#waitingSince.delete(id);
       else if (!this.#waitingSince.has(id)) this.#waitingSince.set(id, now);
       else if (now - (this.#waitingSince.get(id) ?? now) > MAX_WAIT_MS) {
-        this.#violate('left_waiting', `${id} waits although there is room`);
+        this.#violate('left_waiting', `${id} waits although a machine has capacity`);
         this.#waitingSince.set(id, Infinity);
       }
     }
   }
 
-  /** Whether a job has been called done or cancelled. */
+  /** Whether a response has reported a job as done or cancelled. */
   isOver(id: string): boolean {
     return this.#historyOf(id).final !== null;
   }
@@ -277,36 +284,37 @@
     return this.#placed.filter((on) => job === undefined || on.job === job).length;
   }
 
-  /** To be called periodically: cancelled tasks that should have stopped by now. */
-  checkCancelled(now: number, hangs: (machine: string) => boolean = () => false): void {
-    // What hangs executes nothing; it counts from the moment at which it goes on.
+  /** Call periodically: reports cancelled tasks that should have stopped by now. */
+  checkCancelled(now: number, isPaused: (machine: string) => boolean = () => false): void {
+    // A paused machine executes nothing; its tasks are checked again once it resumes.
     for (const { job, task, machine } of this.#placed)
-      if (!hangs(machine)) this.#checkCancelled(job, task, now);
+      if (!isPaused(machine)) this.#checkCancelled(job, task, now);
   }
 
   /** After the last fault, reads of an accepted job must be answered within a bound. */
-  checkUnanswered(calmSince: number, now: number): void {
-    for (const [id, { accepted, askedAt, answeredAt }] of this.#histories) {
-      const unanswered = now - Math.max(answeredAt, calmSince);
-      // Whoever has what they wanted asks no more.
-      const asks = askedAt > answeredAt && now - askedAt < ACTIVE_READER_MS;
-      if (accepted && asks && unanswered > MAX_UNANSWERED_MS)
+  checkUnanswered(faultsEndedAt: number, now: number): void {
+    for (const [id, { accepted, requestedAt, answeredAt }] of this.#histories) {
+      const unanswered = now - Math.max(answeredAt, faultsEndedAt);
+      // Only a user who still polls counts: the latest request is recent and has no response yet.
+      const isPolling = requestedAt > answeredAt && now - requestedAt < ACTIVE_READER_MS;
+      if (accepted && isPolling && unanswered > MAX_UNANSWERED_MS)
         this.#violate('forgotten', `${id} had no answer for ${(unanswered / 1000).toFixed(0)} s`);
     }
   }
 
   /**
-   * Classes, teams and the largest jobs of each class of which less than half was served, and those
-   * largest of which half did not begin in time; without those that can never be served.
+   * Classes, teams and the largest jobs of each class of which less than half are done, and the largest jobs of
+   * each class of which less than half began within MAX_START_DELAY_MS. Cancelled jobs, and those for which
+   * `isBroken` holds because they can never be done, are not counted.
    */
   underserved(isBroken: (id: string) => boolean = () => false): string[] {
     const groups = new Map<string, { jobs: number; done: number; begun: number }>();
     const largest = new Map<string, number>();
     const counted = [...this.#jobs.values()].filter(({ id }) => {
       const { accepted, cancelRequested, final } = this.#historyOf(id);
-      // One that needs a cancelled one is cancelled with it, and nobody's loss.
-      const cutOff = final === 'withdrawn' && this.#mayBeCancelled(id);
-      return accepted && !cancelRequested && !cutOff && !isBroken(id);
+      // A job that is cancelled because its dependency was is not counted either.
+      const isCancelledWithDependency = final === 'withdrawn' && this.#mayBeCancelled(id);
+      return accepted && !cancelRequested && !isCancelledWithDependency && !isBroken(id);
     });
     for (const { jobClass = '', tasks } of counted)
       largest.set(jobClass, Math.max(tasks, largest.get(jobClass) ?? 0));
@@ -332,6 +340,8 @@
   }
 
   unfinishedJobs(): string[] {
-    return [...this.#histories].filter(([, s]) => s.accepted && s.final === null).map(([id]) => id);
+    return [...this.#histories]
+      .filter(([, history]) => history.accepted && history.final === null)
+      .map(([id]) => id);
   }
 }
--- a/test/emulators/clock.ts
+++ b/test/emulators/clock.ts
@@ -1,7 +1,7 @@
-/** A clock that moves only when everything due has been done. */
+/** A virtual clock: time advances only after all calls that are due have run. */
 import type { Clock } from '../../src/adapters/clock.js';
 
-interface Due {
+interface ScheduledCall {
   readonly at: number;
   readonly order: number;
   readonly call: () => void;
@@ -10,21 +10,24 @@
 export class VirtualClock {
   now = 0;
   #order = 0;
-  readonly #due: Due[] = [];
+  readonly #scheduled: ScheduledCall[] = [];
 
   at(at: number, call: () => void): void {
-    const due = { at: Math.max(at, this.now), order: this.#order++, call };
+    const scheduled = { at: Math.max(at, this.now), order: this.#order++, call };
     let low = 0;
-    let high = this.#due.length;
+    let high = this.#scheduled.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      const other = this.#due[middle];
-      // Latest first, so that the next one is popped off the end.
-      if (other !== undefined && (other.at > due.at || (other.at === due.at && other.order > due.order))) {
+      const other = this.#scheduled[middle];
+      // Sorted latest first, so that the next call is popped off the end.
+      if (
+        other !== undefined &&
+        (other.at > scheduled.at || (other.at === scheduled.at && other.order > scheduled.order))
+      ) {
         low = middle + 1;
       } else high = middle;
     }
-    this.#due.splice(low, 0, due);
+    this.#scheduled.splice(low, 0, scheduled);
   }
 
   in(ms: number, call: () => void): void {
@@ -39,60 +42,61 @@
 
   async runUntil(end: number): Promise<void> {
     for (;;) {
-      const next = this.#due.at(-1);
+      const next = this.#scheduled.at(-1);
       if (next === undefined || next.at > end) break;
-      this.#due.pop();
+      this.#scheduled.pop();
       this.now = next.at;
       next.call();
-      // Lets every promise that this has settled run on before time moves.
+      // Lets the continuations of all settled promises run before time advances.
       await new Promise((resolve) => setImmediate(resolve));
     }
     this.now = end;
   }
 }
 
-/** One process's view of time: with its life, all that it waits for ends. */
+/** The clock of one process; calls that are pending when the process ends never run. */
 export class ProcessClock implements Clock {
   alive = true;
-  /** Delay of each of its timers, in milliseconds. */
+  /** Additional delay of each of its sleeps, in milliseconds. */
   lateMs = 0;
-  /** The process is paused until then. */
+  /** The process is paused until this virtual time, in milliseconds. */
   pausedUntil = 0;
 
   constructor(
-    private readonly world: VirtualClock,
-    private readonly drift: number,
-    private readonly wallError: number,
+    private readonly virtualClock: VirtualClock,
+    private readonly rate: number,
+    private readonly wallClockErrorMs: number,
   ) {}
 
   monotonicMs(): number {
-    return this.world.now * this.drift;
+    return this.virtualClock.now * this.rate;
   }
 
   epochMs(): number {
-    return 1_000_000_000_000 + this.world.now + this.wallError;
+    return 1_000_000_000_000 + this.virtualClock.now + this.wallClockErrorMs;
   }
 
   sleep(ms: number): Promise<void> {
     return new Promise((resolve) => {
-      this.world.in(ms / this.drift + this.lateMs, () => this.awake(resolve));
+      this.virtualClock.in(ms / this.rate + this.lateMs, () => this.awake(resolve));
     });
   }
 
-  /** Work takes no time here, but for a process that is slow. */
+  /** Work takes no virtual time: measurements are fixed, and larger for a process whose timers are late. */
   startMeasuring(): () => { elapsedMs: number; cpuMs: number } {
     return () => ({ elapsedMs: this.lateMs > 0 ? 20 : 5, cpuMs: 1 });
   }
 
   defer(call: () => void): void {
-    this.world.in(0, () => {
+    this.virtualClock.in(0, () => {
       this.awake(call);
     });
   }
 
-  /** Calls back once the process runs; never if it has ended. */
+  /** Calls back immediately, or when a paused process resumes; never after the process has ended. */
   awake(call: () => void): void {
-    if (this.pausedUntil > this.world.now) this.world.at(this.pausedUntil, () => this.awake(call));
+    if (this.pausedUntil > this.virtualClock.now)
+      this.virtualClock.at(this.pausedUntil, () => this.awake(call));
     else if (this.alive) call();
   }
 }
--- a/test/emulators/cloud.ts
+++ b/test/emulators/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud and the workers on its machines, as PROTOCOL tells of them. */
+/** Emulators of the cloud and of the workers on its machines, as PROTOCOL specifies them. */
 import type { Cloud, ProvisioningResult } from '../../src/adapters/cloud.js';
 import type { WorkerClient } from '../../src/adapters/worker-client.js';
 import type { ListedMachine, MachineType, Heartbeat, WorkerCommand } from '../../src/core/types.js';
@@ -31,32 +31,35 @@
   cadence?: string;
 }
 
-const readAnswer = (text: string): Json | null => asObject(JSON.parse(text === '' ? '{}' : text));
+const parseResponse = (text: string): Json | null => asObject(JSON.parse(text === '' ? '{}' : text));
 
-/** The jobs of which commands start tasks. */
-const startedBy = (cues: unknown): string[] =>
+/** The jobs whose tasks these commands start. */
+const jobsStartedBy = (cues: unknown): string[] =>
   (Array.isArray(cues) ? (cues as unknown[]) : []).flatMap((raw) => {
     const cue = asObject(raw);
     return cue?.['cue'] === 'start' ? [String(cue['movement']).replace(/\/\d+$/, '')] : [];
   });
 
-/** Delivers a report to a node and calls back with its answer. */
+/** Delivers a heartbeat to a node and calls back with its response. */
 export type Deliver = (node: string, body: unknown, reply: (status: number, body: string) => void) => void;
 
-/** What a worker is told of its surroundings. */
+/** What the simulation provides to an emulated worker. */
 export interface WorkerEnvironment {
   readonly nodes: readonly string[];
   readonly reportMs: number;
   readonly leaseMs: number;
   readonly runMs: (job: string, task: number) => number;
-  /** Whether a job was submitted with a mistake: its tasks fail on every machine. */
+  /** Whether a job is faulty: its tasks fail on every machine. */
   readonly isBroken: (job: string) => boolean;
-  /** After how long a copy of a report arrives, and at which controller; null: none does. */
+  /**
+   * Draws whether a heartbeat is duplicated: the delay of the duplicate and the node that receives it (null: the
+   * same as the original), or null for no duplicate.
+   */
   readonly copy: () => { readonly afterMs: number; readonly node: string | null } | null;
-  /** A report has been sent; whoever keeps a copy may deliver it to any controller, at any time. */
-  readonly sent?: (deliver: (node: string) => void) => void;
-  /** A task has completed. */
-  readonly completed?: (job: string) => void;
+  /** Called when a heartbeat is sent; `deliver` delivers a duplicate of it to any controller, at any later time. */
+  readonly onHeartbeatSent?: (deliver: (node: string) => void) => void;
+  /** Called when a task has completed. */
+  readonly onTaskCompleted?: (job: string) => void;
 }
 
 /** Emulator of a worker's agent: heartbeats, lease, tasks. */
@@ -71,27 +74,27 @@
   readonly tasks = new Map<string, RunningTask>();
   #node: string;
   #leaseFrom: number;
-  #inFlight = 0;
-  #round = 0;
+  #requestNumber = 0;
+  #timerRound = 0;
 
   constructor(
     readonly listed: ListedMachine,
     private readonly network: Network,
-    private readonly rules: WorkerEnvironment,
+    private readonly environment: WorkerEnvironment,
     private readonly checker: Checker,
     private readonly deliver: Deliver,
   ) {
-    this.#node = rules.nodes[Math.floor(network.draw() * rules.nodes.length)] ?? '';
+    this.#node = environment.nodes[Math.floor(network.draw() * environment.nodes.length)] ?? '';
     this.#leaseFrom = network.clock.now;
     this.#schedule();
     this.#watchLease();
   }
 
   #schedule(): void {
-    const round = ++this.#round;
+    const round = ++this.#timerRound;
     const { clock, draw } = this.network;
-    clock.in(this.rules.reportMs * (0.75 + 0.5 * draw()), () => {
-      if (round === this.#round) this.#whenAwake(() => this.#report());
+    clock.in(this.environment.reportMs * (0.75 + 0.5 * draw()), () => {
+      if (round === this.#timerRound) this.#whenAwake(() => this.#report());
     });
   }
 
@@ -101,14 +104,14 @@
     if (this.isTerminated) return;
     if (this.pausedUntil > clock.now) clock.at(this.pausedUntil, () => this.#whenAwake(call));
     else {
-      // Back beyond its lease it goes on with nothing.
+      // A machine that resumes after its lease has expired first kills its tasks.
       this.#expireLease();
       call();
     }
   }
 
   #expireLease(): void {
-    if (this.network.clock.now - this.#leaseFrom <= this.rules.leaseMs) return;
+    if (this.network.clock.now - this.#leaseFrom <= this.environment.leaseMs) return;
     this.checker.expiredTasks += [...this.tasks.values()].filter(({ stage }) => stage !== 'ended').length;
     this.killAll();
     this.session += 1;
@@ -121,7 +124,7 @@
 
   killAll(): void {
     const { now } = this.network.clock;
-    // What has not gone on since it hung is where it was then.
+    // The tasks of a machine that is still paused stopped when the pause began.
     const at = this.pausedUntil < now ? now : this.pausedFrom;
     for (const { job, task } of this.tasks.values())
       this.checker.taskGone(job, task, this.listed.name, false, Math.min(at, now));
@@ -139,7 +142,7 @@
     return this.pausedUntil > this.network.clock.now;
   }
 
-  body(): object {
+  heartbeatBody(): object {
     this.heartbeatSequence += 1;
     const { name, address, type, zone, spot } = this.listed;
     return {
@@ -164,53 +167,54 @@
     const sentAt = clock.now;
     const { session } = this;
     const node = this.#node;
-    const flight = ++this.#inFlight;
-    const body = JSON.parse(JSON.stringify(this.body())) as unknown;
-    let over = false;
+    const requestNumber = ++this.#requestNumber;
+    const body = JSON.parse(JSON.stringify(this.heartbeatBody())) as unknown;
+    let isFinished = false;
     const next = (ms: number): void => {
-      over = true;
-      const round = ++this.#round;
+      isFinished = true;
+      const round = ++this.#timerRound;
       clock.in(ms, () => {
-        if (round === this.#round) this.#whenAwake(() => this.#report());
+        if (round === this.#timerRound) this.#whenAwake(() => this.#report());
       });
     };
     clock.in(4000, () => {
-      if (over || flight !== this.#inFlight) return;
+      if (isFinished || requestNumber !== this.#requestNumber) return;
       this.#tryNextNode();
       next(1000);
     });
-    const copy = this.rules.copy();
-    if (copy !== null) clock.in(copy.afterMs, () => this.deliver(copy.node ?? node, body, () => undefined));
-    // It reaches no controller, so there is no report that a copy could be kept of.
+    const duplicate = this.environment.copy();
+    if (duplicate !== null)
+      clock.in(duplicate.afterMs, () => this.deliver(duplicate.node ?? node, body, () => undefined));
+    // The machine cannot open connections: this heartbeat is not sent, so onHeartbeatSent is not called.
     if (this.network.isOutboundBlocked(this.listed.name)) {
       this.#tryNextNode();
       next(1000);
       return;
     }
-    this.rules.sent?.((to) => this.deliver(to, body, () => undefined));
+    this.environment.onHeartbeatSent?.((to) => this.deliver(to, body, () => undefined));
     if (this.network.isPartitioned(this.listed.name, node) && this.network.draw() < 0.5) return;
     this.network.send(this.listed.name, node, () =>
       this.deliver(node, body, (status, text) => {
-        this.checker.commandsGiven(startedBy(readAnswer(text)?.['cues']), clock.now);
+        this.checker.commandsGiven(jobsStartedBy(parseResponse(text)?.['cues']), clock.now);
         this.network.send(node, this.listed.name, () =>
           this.#whenAwake(() => {
-            if (over || clock.now - sentAt > 4000) return;
-            const answer = readAnswer(text);
+            if (isFinished || clock.now - sentAt > 4000) return;
+            const response = parseResponse(text);
             if (status === 200) {
-              over = true;
-              const token = Number(answer?.['baton'] ?? 0);
+              isFinished = true;
+              const token = Number(response?.['baton'] ?? 0);
               if (session === this.session && token >= this.token) {
                 this.token = token;
                 this.#leaseFrom = Math.max(this.#leaseFrom, sentAt);
-                this.execute(answer?.['cues']);
+                this.execute(response?.['cues']);
               }
               this.#schedule();
             } else if (
               status === 421 &&
-              this.rules.nodes.includes(String(answer?.['conductor'])) &&
-              answer?.['conductor'] !== node
+              this.environment.nodes.includes(String(response?.['conductor'])) &&
+              response?.['conductor'] !== node
             ) {
-              this.#node = String(answer?.['conductor']);
+              this.#node = String(response?.['conductor']);
               next(250);
             } else {
               this.#tryNextNode();
@@ -223,7 +227,7 @@
   }
 
   #tryNextNode(): void {
-    const { nodes } = this.rules;
+    const { nodes } = this.environment;
     this.#node = nodes[(nodes.indexOf(this.#node) + 1) % nodes.length] ?? '';
   }
 
@@ -253,13 +257,14 @@
         running.stage = 'running';
         const { name: machine, zone, spot } = this.listed;
         this.checker.taskStarts(job, task, machine, zone, spot, this.network.clock.now);
-        this.network.clock.in(this.rules.runMs(job, task), () =>
+        this.network.clock.in(this.environment.runMs(job, task), () =>
           this.#whenAwake(() => {
-            const still = this.tasks.get(`${name}#${take}`) === running && running.stage === 'running';
-            if (!still) return;
-            const fails = this.isFaulty || this.rules.isBroken(job);
+            const isStillRunning =
+              this.tasks.get(`${name}#${take}`) === running && running.stage === 'running';
+            if (!isStillRunning) return;
+            const fails = this.isFaulty || this.environment.isBroken(job);
             this.#end(running, fails ? 'error' : 'done');
-            if (!fails) this.rules.completed?.(job);
+            if (!fails) this.environment.onTaskCompleted?.(job);
           }),
         );
       }),
@@ -278,15 +283,15 @@
     );
   }
 
-  /** A direct command, whenever it arrives. */
-  direct(body: unknown, reply: (report: unknown) => void): void {
+  /** Executes commands that a leader sends directly, once the machine is awake, and replies with a heartbeat. */
+  handleDirectCommands(body: unknown, reply: (report: unknown) => void): void {
     this.#whenAwake(() => {
       const raw = asObject(body);
       if (Number(raw?.['baton']) >= this.token && raw?.['watch'] === this.session) {
         this.token = Number(raw?.['baton']);
         this.execute(raw['cues']);
       }
-      reply(JSON.parse(JSON.stringify(this.body())) as unknown);
+      reply(JSON.parse(JSON.stringify(this.heartbeatBody())) as unknown);
     });
   }
 }
@@ -298,13 +303,13 @@
     string,
     { readonly listed: ListedMachine; readonly rentedAt: number; upAt: number }
   >();
-  readonly #granted = new Map<string, string[]>();
-  #next = 0;
+  readonly #provisioned = new Map<string, string[]>();
+  #nextMachineNumber = 0;
   capacity = 6;
   /** Peak number of machines. */
   peakMachines = 0;
   unavailableUntil = 0;
-  /** How late machines are listed, and that they are up. */
+  /** Delay until a new machine is listed, and delay until a booted machine is listed as running, in milliseconds. */
   listLagMs = 2000;
   stageLagMs = 0;
   #quickBootUntil = 0;
@@ -313,18 +318,18 @@
 
   constructor(
     private readonly network: Network,
-    private readonly make: (listed: ListedMachine) => Worker,
+    private readonly createWorker: (listed: ListedMachine) => Worker,
   ) {}
 
   provision(request: string, type: string, zone: string, spot: boolean, count: number): ProvisioningResult {
-    const before = this.#granted.get(request);
-    if (before !== undefined) return before;
+    const earlier = this.#provisioned.get(request);
+    if (earlier !== undefined) return earlier;
     const names: string[] = [];
     while (names.length < count && this.#machines.size < this.capacity) {
-      const name = `vm-${String(this.#next++).padStart(6, '0')}`;
+      const name = `vm-${String(this.#nextMachineNumber++).padStart(6, '0')}`;
       const listed: ListedMachine = {
         name,
-        address: `10.1.0.1:${this.#next}`,
+        address: `10.1.0.1:${this.#nextMachineNumber}`,
         type,
         zone,
         spot,
@@ -339,16 +344,16 @@
       this.network.clock.in(bootMs, () => {
         if (!this.#machines.has(name)) return;
         machine.upAt = this.network.clock.now;
-        this.workers.set(name, this.make(listed));
+        this.workers.set(name, this.createWorker(listed));
       });
     }
     this.peakMachines = Math.max(this.peakMachines, this.#machines.size);
     if (names.length === 0) return 'refused';
-    this.#granted.set(request, names);
+    this.#provisioned.set(request, names);
     return names;
   }
 
-  /** Machines provisioned meanwhile boot within two seconds, long before they are listed. */
+  /** Machines provisioned in the next `forMs` milliseconds boot within two seconds, long before they are listed. */
   bootQuickly(forMs: number): void {
     this.#quickBootUntil = this.network.clock.now + forMs;
     this.listLagMs = 6000;
@@ -361,7 +366,7 @@
     this.#delayedUntil = this.network.clock.now + forMs;
   }
 
-  /** The machine and all that is on it are gone. */
+  /** Removes a machine and kills all its tasks. */
   terminate(name: string): void {
     this.#machines.delete(name);
     const worker = this.workers.get(name);
@@ -382,52 +387,54 @@
       }));
   }
 
-  /** One node's access to the cloud and to the workers' own addresses. */
-  accessFor(node: string): Cloud & WorkerClient {
-    const tell = (request: string): void => this.network.onMessage?.(node, 'cloud', request);
-    const ask = async <T>(serve: () => T): Promise<T | null> => {
+  /** The client of one node for the cloud and for the workers' own addresses. */
+  clientFor(node: string): Cloud & WorkerClient {
+    const notifyListener = (request: string): void => this.network.onMessage?.(node, 'cloud', request);
+    const query = async <T>(serve: () => T): Promise<T | null> => {
       if (this.unavailableUntil > this.network.clock.now) {
         await this.network.clock.sleep(1000);
         return null;
       }
-      const answer = await this.network.ask<T>(node, 'cloud', 3000, (reply) => reply(serve()));
-      if (answer === null) await this.network.clock.sleep(1000);
-      return answer;
+      const response = await this.network.request<T>(node, 'cloud', 3000, (reply) => reply(serve()));
+      if (response === null) await this.network.clock.sleep(1000);
+      return response;
     };
-    const change = async <T>(serve: () => T): Promise<T | null> => {
+    const mutate = async <T>(serve: () => T): Promise<T | null> => {
       const { clock, draw } = this.network;
-      if (this.#delayedUntil <= clock.now || draw() >= this.#delayedShare) return ask(serve);
+      if (this.#delayedUntil <= clock.now || draw() >= this.#delayedShare) return query(serve);
       clock.in(2000 + 10_000 * draw(), () => void serve());
       await clock.sleep(3000);
       return null;
     };
     return {
       catalog: () => {
-        tell('catalog');
-        return ask(() => TYPES);
+        notifyListener('catalog');
+        return query(() => TYPES);
       },
       listMachines: () => {
-        tell('list');
-        return ask(() => this.list());
+        notifyListener('list');
+        return query(() => this.list());
       },
-      provision: async (...wish) => {
-        tell(`rent ${encodeProvisionRequest(...wish)}`);
-        return (await change(() => this.provision(...wish))) ?? 'unknown';
+      provision: async (...args) => {
+        notifyListener(`rent ${encodeProvisionRequest(...args)}`);
+        return (await mutate(() => this.provision(...args))) ?? 'unknown';
       },
       terminate: async (names) => {
-        tell(`return ${encodeTerminateRequest(names)}`);
+        notifyListener(`return ${encodeTerminateRequest(names)}`);
         const terminateAll = (): boolean => {
           for (const name of names) this.terminate(name);
           return true;
         };
-        return (await change(terminateAll)) ?? false;
+        return (await mutate(terminateAll)) ?? false;
       },
       probe: async (address): Promise<boolean> => {
         this.network.onMessage?.(node, address, 'connect');
         const worker = [...this.workers.values()].find(({ listed }) => listed.address === address);
         if (worker === undefined) return false;
-        const met = await this.network.ask<boolean>(node, worker.listed.name, 750, (reply) => reply(true));
-        return met === true;
+        const isReachable = await this.network.request<boolean>(node, worker.listed.name, 750, (reply) =>
+          reply(true),
+        );
+        return isReachable === true;
       },
       sendCommands: async (
         address,
@@ -440,10 +447,10 @@
         const text = encodeDirectCommands(token, session, commands);
         this.network.onMessage?.(node, address, `direct ${text}`);
         const body = JSON.parse(text) as unknown;
-        const found = await this.network.ask<unknown>(node, worker.listed.name, 3000, (reply) =>
-          worker.direct(body, reply),
+        const response = await this.network.request<unknown>(node, worker.listed.name, 3000, (reply) =>
+          worker.handleDirectCommands(body, reply),
         );
-        return found === null ? null : parseHeartbeat(found);
+        return response === null ? null : parseHeartbeat(response);
       },
     };
   }
--- a/test/emulators/faults.ts
+++ b/test/emulators/faults.ts
@@ -1,14 +1,14 @@
 /**
- * Fault injection: faults by name, and simulated runs in which two or three of them overlap. The second begins
- * while the first still has an effect, at a moment on which the outcome depends.
+ * Fault injection: named faults, and simulated runs in which two or three of them overlap. Each fault begins
+ * while the previous one still has an effect, at a moment that influences the outcome.
  */
 import type { SubmittedJob } from './checker.js';
-import { NODES, playDag, TEAMS, type Simulation } from './simulation.js';
+import { NODES, submitDag, TEAMS, type Simulation } from './simulation.js';
 
-/** Injects a fault; the result: its duration in milliseconds. */
+/** Injects a fault and returns its duration in milliseconds. */
 type Fault = (world: Simulation) => number;
 
-/** As of the emulators' settings. */
+/** The values that follow from `testSettings`. */
 const CANCEL_TIMEOUT_MS = 30_000;
 const WORKER_LEASE_MS = 10_000;
 const LEADER_LEASE_MS = 2000;
@@ -16,12 +16,12 @@
 const pick = <T>(world: Simulation, from: readonly T[]): T =>
   from[Math.floor(world.draw() * from.length)] as T;
 
-/** The node that leads, or any. */
+/** A node that leads, or any node if none does. */
 const leaderOf = (world: Simulation): string => pick(world, world.leaders()) ?? pick(world, NODES);
-const nodeAt = (name: string): number => NODES.indexOf(name);
+const nodeIndex = (name: string): number => NODES.indexOf(name);
 const between = (world: Simulation, from: number, to: number): number => from + (to - from) * world.draw();
 
-/** Some of the machines, and at least one. */
+/** A random share of the machines: at least one, if there are any. */
 function someMachines(world: Simulation, share: number): string[] {
   const names = [...world.cloud.workers.keys()];
   const some = names.filter(() => world.draw() < share);
@@ -89,20 +89,20 @@
     return ms;
   },
   'leader crash': (world) => {
-    world.crash(nodeAt(leaderOf(world)), between(world, 20, 6000));
+    world.crash(nodeIndex(leaderOf(world)), between(world, 20, 6000));
     return 6000;
   },
   'leader crash, restart within a second': (world) => {
-    world.crash(nodeAt(leaderOf(world)), between(world, 20, 1000));
+    world.crash(nodeIndex(leaderOf(world)), between(world, 20, 1000));
     return LEADER_LEASE_MS;
   },
   'flapping node': (world) => {
-    const node = nodeAt(pick(world, NODES));
+    const node = nodeIndex(pick(world, NODES));
     for (let i = 0; i < 4; i += 1) world.clock.in(700 * i, () => world.crash(node, between(world, 20, 600)));
     return 4000;
   },
   'all crash, one restarts first': (world) => {
-    const first = nodeAt(pick(world, NODES));
+    const first = nodeIndex(pick(world, NODES));
     NODES.forEach((_, i) =>
       world.crash(i, i === first ? between(world, 20, 1000) : between(world, 2000, 15_000)),
     );
@@ -110,12 +110,12 @@
   },
   'leader paused': (world) => {
     const ms = between(world, 500, 1.2 * WORKER_LEASE_MS);
-    world.pause(nodeAt(leaderOf(world)), ms);
+    world.pause(nodeIndex(leaderOf(world)), ms);
     return ms;
   },
   'slow leader': (world) => {
     const ms = between(world, 5000, 25_000);
-    const node = nodeAt(leaderOf(world));
+    const node = nodeIndex(leaderOf(world));
     world.slowDown(node, between(world, 100, 900));
     world.clock.in(ms, () => world.slowDown(node, 0));
     return ms;
@@ -199,7 +199,7 @@
     world.cancelOnCompletion(between(world, 0.3, 1), ms);
     return ms;
   },
-  // Shorter and longer than the lease, and than cancel_s.
+  // Pauses shorter and longer than the worker lease, and shorter and longer than cancel_s.
   'many cancellations, machines paused': (world) => {
     const ms = pick(world, [
       0.6 * WORKER_LEASE_MS,
@@ -232,10 +232,10 @@
   'ten failovers': (world) => {
     const every = between(world, 4000, 9000);
     for (let i = 0; i < 10; i += 1)
-      world.clock.in(i * every, () => world.crash(nodeAt(leaderOf(world)), between(world, 20, 6000)));
+      world.clock.in(i * every, () => world.crash(nodeIndex(leaderOf(world)), between(world, 20, 6000)));
     return 10 * every;
   },
-  // With its workers and a controller; from state service and cloud as well.
+  // Zone b, with its workers and its controller, is partitioned from the store and the cloud as well.
   'zone partitioned': (world) => {
     const ms = between(world, 1.05 * WORKER_LEASE_MS, 3 * WORKER_LEASE_MS);
     partitionZones(world, ms);
@@ -245,7 +245,7 @@
   },
 };
 
-/** Combinations reported from production; each is followed by any other fault. */
+/** Combinations reported from production; a randomly drawn fault follows each of them. */
 const REPORTED_COMBINATIONS: readonly (readonly string[])[] = [
   ['delayed transactions', 'leader crash'],
   ['delayed transactions', 'cancellations'],
@@ -284,11 +284,11 @@
   ['slow leader', 'cancellations'],
 ];
 
-/** When the next fault begins after this one has: moments on which the outcome depends. */
-const START_MOMENTS: readonly ((world: Simulation, lasts: number, begin: () => void) => void)[] = [
+/** When the next fault begins, after the start of the current one: moments that influence the outcome. */
+const START_MOMENTS: readonly ((world: Simulation, durationMs: number, begin: () => void) => void)[] = [
   (world, _, begin) => world.clock.in(between(world, 0, 2000), begin),
-  (world, lasts, begin) => world.clock.in(lasts * world.draw(), begin),
-  (world, lasts, begin) => world.clock.in(Math.max(0, lasts + between(world, -500, 500)), begin),
+  (world, durationMs, begin) => world.clock.in(durationMs * world.draw(), begin),
+  (world, durationMs, begin) => world.clock.in(Math.max(0, durationMs + between(world, -500, 500)), begin),
   (world, _, begin) => world.clock.in(LEADER_LEASE_MS + between(world, -500, 1000), begin),
   (world, _, begin) => world.clock.in(WORKER_LEASE_MS + between(world, -1500, 1500), begin),
   (world, _, begin) =>
@@ -301,14 +301,15 @@
   (world, _, begin) => world.state.onNextWrite('ended/', () => world.clock.in(between(world, 0, 20), begin)),
 ];
 
-/** Injects faults, each within the effects of the one before; at times users cancel meanwhile. */
-function beginFaults(world: Simulation, names: readonly string[], met: (name: string) => void): void {
-  const [name, ...more] = names;
+/** Injects faults, each during the effects of the previous one; users sometimes cancel jobs during a fault. */
+function injectFaults(world: Simulation, names: readonly string[], onFault: (name: string) => void): void {
+  const [name, ...followingFaults] = names;
   if (name === undefined) return;
-  met(name);
-  const lasts = FAULTS[name]?.(world) ?? 0;
+  onFault(name);
+  const durationMs = FAULTS[name]?.(world) ?? 0;
   if (world.draw() < 0.5) world.clock.in(between(world, 0, 3000), () => world.cancelSome(0.2));
-  if (more.length > 0) pick(world, START_MOMENTS)(world, lasts, () => beginFaults(world, more, met));
+  if (followingFaults.length > 0)
+    pick(world, START_MOMENTS)(world, durationMs, () => injectFaults(world, followingFaults, onFault));
 }
 
 /** The latest start of the first fault of a combination, and the longest runtime of a task, in milliseconds. */
@@ -316,20 +317,25 @@
 export const MAX_RUNTIME_MS = 70_000;
 
 /**
- * Draws a run with overlapping faults: jobs of a few tasks whose ends lie far apart, so that cancelled tasks
- * would run on for long, and some jobs of many short tasks.
+ * Draws a run with `combinations` groups of overlapping faults: jobs of a few tasks that end far apart, so that
+ * cancelled tasks would run on for long, and jobs of up to eight short tasks. `onFault` is called with the name of
+ * each fault when it begins.
  */
-export function drawConcurrentFaults(world: Simulation, meetings: number, met: (name: string) => void): void {
+export function drawConcurrentFaults(
+  world: Simulation,
+  combinations: number,
+  onFault: (name: string) => void,
+): void {
   const { draw, clock, cloud } = world;
   cloud.capacity = 10;
   for (let i = 0; i < 14; i += 1) {
     const id = `req-${String(i).padStart(6, '0')}`;
-    const long = draw() < 0.6;
+    const isLong = draw() < 0.6;
     const job: SubmittedJob = {
       id,
-      jobClass: long ? 'long' : 'short',
+      jobClass: isLong ? 'long' : 'short',
       team: pick(world, TEAMS),
-      tasks: long ? 1 + Math.floor(3 * draw()) : 1 + Math.floor(8 * draw()),
+      tasks: isLong ? 1 + Math.floor(3 * draw()) : 1 + Math.floor(8 * draw()),
       cpus: pick(world, [1, 2]),
       memoryGb: 2,
       spot: draw() < 0.7,
@@ -337,18 +343,19 @@
       oneZone: draw() < 0.1,
       spread: draw() < 0.15,
     };
-    if (long) world.runtimes.set(id, [2000 + 0.3 * MAX_RUNTIME_MS * draw(), MAX_RUNTIME_MS * draw()]);
+    if (isLong) world.runtimes.set(id, [2000 + 0.3 * MAX_RUNTIME_MS * draw(), MAX_RUNTIME_MS * draw()]);
     clock.in(
       LATEST_START_MS * draw() ** 1.5,
       () => void world.user(job, draw() < 0.15 ? 30_000 * draw() : null),
     );
   }
   if (draw() < 0.4)
-    for (let i = 0; i < 2; i += 1) clock.in(0.7 * LATEST_START_MS * draw(), () => void playDag(world, i, 3));
-  const names = Object.keys(FAULTS);
-  const draws = (): string[] => Array.from({ length: draw() < 0.5 ? 2 : 3 }, () => pick(world, names));
-  for (let i = 0; i < meetings; i += 1) {
-    const some = draw() < 0.5 ? [...pick(world, REPORTED_COMBINATIONS), pick(world, names)] : draws();
-    clock.in(8000 + (LATEST_START_MS - 8000) * draw(), () => beginFaults(world, some, met));
+    for (let i = 0; i < 2; i += 1)
+      clock.in(0.7 * LATEST_START_MS * draw(), () => void submitDag(world, i, 3));
+  const allNames = Object.keys(FAULTS);
+  const drawNames = (): string[] => Array.from({ length: draw() < 0.5 ? 2 : 3 }, () => pick(world, allNames));
+  for (let i = 0; i < combinations; i += 1) {
+    const names = draw() < 0.5 ? [...pick(world, REPORTED_COMBINATIONS), pick(world, allNames)] : drawNames();
+    clock.in(8000 + (LATEST_START_MS - 8000) * draw(), () => injectFaults(world, names, onFault));
   }
 }
--- a/test/emulators/fingerprint-days.ts
+++ b/test/emulators/fingerprint-days.ts
@@ -1,6 +1,6 @@
 /**
- * Seeded days whose whole traffic is hashed. A hash covers what passes the wire encoders and what the emulators
- * keep, and no internal name: it stays the same through any change that keeps the behaviour.
+ * Seeded simulated days whose whole traffic is hashed. A hash covers what passes the wire encoders and what the
+ * emulators store, but no internal names: it stays the same through every change that preserves the behaviour.
  */
 import { createHash } from 'node:crypto';
 import type { SubmittedJob } from './checker.js';
@@ -16,23 +16,23 @@
 } from './simulation.js';
 
 const DAY_MS = 90_000;
-const REST_MS = 150_000;
-const MEETINGS_MS = 240_000;
-/** How often the status pages of all controllers are taken in. */
-const PAGES_EVERY_MS = 5000;
+const RECOVERY_MS = 150_000;
+const CONCURRENT_FAULTS_MS = 240_000;
+/** Interval at which the status pages of all controllers are hashed, in milliseconds. */
+const STATUS_INTERVAL_MS = 5000;
 
-const PIPELINES: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
-const ON_CALL: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
+const DAGS: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
+const PRODUCTION_FAULTS: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
 const WIDE: RunSize = { jobs: 12, maxTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
 
-interface Kind {
+interface DayKind {
   readonly seeds: readonly number[];
   options?(seed: number): SimulationOptions;
-  /** Draws what comes; the result: how long the day is, in milliseconds. */
+  /** Draws the load and the faults; returns the length of the day in milliseconds. */
   draw(world: Simulation, seed: number): number;
 }
 
-/** Gangs and services of every priority, some of them cancelled. */
+/** Draws gangs and services of every priority, some of them cancelled. */
 function drawForms(world: Simulation): void {
   const { draw, clock } = world;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
@@ -59,29 +59,29 @@
   }
 }
 
-/** Long idle-time arrays fill a few machines; what is urgent comes later and needs their room. */
+/** Long preemptible arrays fill a few machines; urgent jobs are submitted later and need their capacity. */
 function drawPreemption(world: Simulation): void {
   const { draw, clock, cloud } = world;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
   cloud.capacity = 4;
   for (let i = 0; i < 10; i += 1) {
     const id = `req-${String(800_000 + i)}`;
-    const isIdle = i < 5;
+    const isPreemptible = i < 5;
     const job: SubmittedJob = {
       id,
-      urgency: isIdle ? pick(['normal', 'best_effort']) : pick(['prod', 'high']),
-      ...(isIdle ? { bookmarkS: 2, jobClass: `idle-${i % 2}` } : { jobClass: 'urgent' }),
+      urgency: isPreemptible ? pick(['normal', 'best_effort']) : pick(['prod', 'high']),
+      ...(isPreemptible ? { bookmarkS: 2, jobClass: `idle-${i % 2}` } : { jobClass: 'urgent' }),
       team: pick(TEAMS),
-      tasks: isIdle ? 8 + Math.floor(draw() * 8) : 1 + Math.floor(draw() * 3),
-      cpus: isIdle ? pick([1, 2, 3]) : pick([2, 4, 8]),
+      tasks: isPreemptible ? 8 + Math.floor(draw() * 8) : 1 + Math.floor(draw() * 3),
+      cpus: isPreemptible ? pick([1, 2, 3]) : pick([2, 4, 8]),
       memoryGb: 2,
       spot: true,
       zone: null,
       oneZone: false,
       spread: false,
     };
-    if (isIdle) world.runtimes.set(id, [60_000 + 60_000 * draw(), 4000 * draw()]);
-    clock.in(isIdle ? 10_000 * draw() : 40_000 + 60_000 * draw(), () => void world.user(job, null));
+    if (isPreemptible) world.runtimes.set(id, [60_000 + 60_000 * draw(), 4000 * draw()]);
+    clock.in(isPreemptible ? 10_000 * draw() : 40_000 + 60_000 * draw(), () => void world.user(job, null));
   }
 }
 
@@ -95,27 +95,27 @@
   );
   clock.in(45_000 + 20_000 * draw(), () => world.reduceLimits());
   for (let i = 0; i < 4; i += 1) clock.in(45_000 + 25_000 * draw(), crashAny);
-  return DAY_MS + REST_MS;
+  return DAY_MS + RECOVERY_MS;
 }
 
-function drawUsual(world: Simulation, faults: number, size?: RunSize): number {
+function drawDay(world: Simulation, faults: number, size?: RunSize): number {
   drawRun(world, DAY_MS, faults, size);
-  return DAY_MS + REST_MS;
+  return DAY_MS + RECOVERY_MS;
 }
 
-function drawMet(world: Simulation, seed: number): number {
+function drawOverlapping(world: Simulation, seed: number): number {
   drawConcurrentFaults(world, 1 + (seed % 3), () => undefined);
-  return MEETINGS_MS + 2 * MAX_RUNTIME_MS;
+  return CONCURRENT_FAULTS_MS + 2 * MAX_RUNTIME_MS;
 }
 
-const KINDS: Readonly<Record<string, Kind>> = {
-  quiet: { seeds: [1], draw: (world) => drawUsual(world, 0) },
+const DAY_KINDS: Readonly<Record<string, DayKind>> = {
+  quiet: { seeds: [1], draw: (world) => drawDay(world, 0) },
   faults: {
     seeds: [101, 102, 103, 104, 105, 106, 107],
     options: (seed) => ({ cpusMax: seed % 2 === 0 ? 0 : 16 }),
-    draw: (world, seed) => drawUsual(world, 3 + (seed % 12)),
+    draw: (world, seed) => drawDay(world, 3 + (seed % 12)),
   },
-  pipelines: { seeds: [201, 202, 203, 204, 205], draw: (world) => drawUsual(world, 8, PIPELINES) },
+  pipelines: { seeds: [201, 202, 203, 204, 205], draw: (world) => drawDay(world, 8, DAGS) },
   upgrade: {
     seeds: [301, 302, 303, 304],
     options: () => ({ limits: TIGHT, earlier: true }),
@@ -124,7 +124,7 @@
   'on-call': {
     seeds: [401, 402, 403, 404],
     options: () => ({ copies: true }),
-    draw: (world) => drawUsual(world, 10, ON_CALL),
+    draw: (world) => drawDay(world, 10, PRODUCTION_FAULTS),
   },
   meetings: {
     seeds: [501, 502, 503, 504, 505, 506, 507, 508],
@@ -133,13 +133,13 @@
       cpusMax: seed % 2 === 0 ? 0 : 12,
       ...(seed % 3 === 0 ? { limits: TIGHT } : {}),
     }),
-    draw: drawMet,
+    draw: drawOverlapping,
   },
   forms: {
     seeds: [601, 602, 603, 604, 605],
     draw: (world) => {
       drawForms(world);
-      return drawUsual(world, 6, { jobs: 6, maxTasks: 4, machines: 8 });
+      return drawDay(world, 6, { jobs: 6, maxTasks: 4, machines: 8 });
     },
   },
   preemption: {
@@ -147,18 +147,18 @@
     draw: (world, seed) => {
       drawRun(world, DAY_MS, seed % 2 === 0 ? 0 : 4, { jobs: 2, maxTasks: 2, machines: 4 });
       drawPreemption(world);
-      return DAY_MS + REST_MS;
+      return DAY_MS + RECOVERY_MS;
     },
   },
   sharing: {
     seeds: [701, 702, 703, 704],
     options: () => ({ sharing: true, copies: true }),
-    draw: (world) => drawUsual(world, 8, ON_CALL),
+    draw: (world) => drawDay(world, 8, PRODUCTION_FAULTS),
   },
   'sharing-meetings': {
     seeds: [801, 802],
     options: () => ({ sharing: true, copies: true }),
-    draw: drawMet,
+    draw: drawOverlapping,
   },
 };
 
@@ -168,36 +168,40 @@
 }
 
 /** All days, in the order in which they are recorded. */
-export const SEEDED_DAYS: readonly SeededDay[] = Object.entries(KINDS).flatMap(([kind, { seeds }]) =>
+export const SEEDED_DAYS: readonly SeededDay[] = Object.entries(DAY_KINDS).flatMap(([kind, { seeds }]) =>
   seeds.map((seed) => ({ seed, kind })),
 );
 
-/** Plays a day; the result: the line that is recorded of it. `note` is told each message, in order. */
+/** Simulates a day and returns its line of the record. `onLine` is called with each message, in order. */
 export async function fingerprintDay(
   { seed, kind }: SeededDay,
-  note: (line: string) => void = () => undefined,
+  onLine: (line: string) => void = () => undefined,
 ): Promise<string> {
-  const plan = KINDS[kind];
-  if (plan === undefined) throw new RangeError(`no kind of day ${kind}`);
+  const dayKind = DAY_KINDS[kind];
+  if (dayKind === undefined) throw new RangeError(`unknown kind of day: ${kind}`);
   const hash = createHash('sha256');
   let lines = 0;
   let now = (): number => 0;
-  const tap = (from: string, to: string, message: string): void => {
+  const hashMessage = (from: string, to: string, message: string): void => {
     const line = `${now()} ${from} > ${to} ${message}\n`;
     hash.update(line);
     lines += 1;
-    note(line);
+    onLine(line);
   };
-  const world = new Simulation(seeded(seed), { sharing: false, ...plan.options?.(seed), onMessage: tap });
+  const world = new Simulation(seeded(seed), {
+    sharing: false,
+    ...dayKind.options?.(seed),
+    onMessage: hashMessage,
+  });
   now = () => world.clock.now;
-  const pages = (): void => {
-    for (const page of world.statusPages()) tap('page', 'operators', JSON.stringify(page));
-    tap('ready', 'balancer', JSON.stringify(world.ready()));
-    world.clock.in(PAGES_EVERY_MS, pages);
+  const hashStatus = (): void => {
+    for (const page of world.statusPages()) hashMessage('page', 'operators', JSON.stringify(page));
+    hashMessage('ready', 'balancer', JSON.stringify(world.ready()));
+    world.clock.in(STATUS_INTERVAL_MS, hashStatus);
   };
-  world.clock.in(PAGES_EVERY_MS, pages);
-  await world.clock.runUntil(plan.draw(world, seed));
+  world.clock.in(STATUS_INTERVAL_MS, hashStatus);
+  await world.clock.runUntil(dayKind.draw(world, seed));
   for (const [key, { value, modRevision }] of [...world.state.keys].sort(([a], [b]) => (a < b ? -1 : 1)))
-    tap('state', 'end', `${key} ${modRevision} ${JSON.stringify(value)}`);
+    hashMessage('state', 'end', `${key} ${modRevision} ${JSON.stringify(value)}`);
   return `${seed} ${kind} ${lines} ${hash.digest('hex')}`;
 }
--- a/test/emulators/fingerprint.ts
+++ b/test/emulators/fingerprint.ts
@@ -1,14 +1,13 @@
 /**
- * Compares the traffic of seeded days with the recorded one. Exit codes: 0 all are the same; 1 some differ;
- * 2 wrong use.
+ * Compares the traffic of seeded days with the record. Exit codes: 0 all are the same; 1 some differ;
+ * 2 usage error.
  *
  *     npm run fingerprint                          compares all days with the record
- *     npm run fingerprint -- --seed 501 --seed 502   compares these alone
+ *     npm run fingerprint -- --seed 501 --seed 502   compares only these
  *     npm run fingerprint -- --trace 501           writes the traffic of a day to target/trace-501.txt
- *     npm run fingerprint -- --record              writes the record anew
+ *     npm run fingerprint -- --record              rewrites the record
  *
- * When a line differs, the traces of both versions tell the first message that does:
- * `cmp` or `diff` of the two files.
+ * When a line differs, `cmp` or `diff` of the traces of both versions shows the first message that differs.
  */
 import { closeSync, openSync, readFileSync, writeFileSync, writeSync } from 'node:fs';
 import { parseArgs } from 'node:util';
@@ -16,32 +15,32 @@
 
 const RECORD = 'test/data/fingerprint.txt';
 
-const say = (line: string): void => void process.stdout.write(`${line}\n`);
+const print = (line: string): void => void process.stdout.write(`${line}\n`);
 
-function wrongUse(reason: string): never {
+function exitWithUsageError(reason: string): never {
   process.stderr.write(`fingerprint: ${reason}\n`);
   process.exit(2);
 }
 
 function dayOf(seed: string): SeededDay {
   const day = SEEDED_DAYS.find((one) => String(one.seed) === seed);
-  return day ?? wrongUse(`no day has the seed ${seed}`);
+  return day ?? exitWithUsageError(`no day has the seed ${seed}`);
 }
 
 async function trace(seed: string): Promise<void> {
   const day = dayOf(seed);
   const path = `target/trace-${seed}.txt`;
   const file = openSync(path, 'w');
-  say(await fingerprintDay(day, (line) => writeSync(file, line)));
+  print(await fingerprintDay(day, (line) => writeSync(file, line)));
   closeSync(file);
-  say(`its traffic is in ${path}`);
+  print(`its traffic is in ${path}`);
 }
 
 async function record(): Promise<void> {
   const lines: string[] = [];
   for (const day of SEEDED_DAYS) {
     lines.push(await fingerprintDay(day));
-    say(lines.at(-1) ?? '');
+    print(lines.at(-1) ?? '');
   }
   writeFileSync(RECORD, `${lines.join('\n')}\n`);
 }
@@ -53,9 +52,9 @@
     const line = await fingerprintDay(day);
     const isSame = recorded.includes(line);
     if (!isSame) differing += 1;
-    say(`${isSame ? 'same   ' : 'DIFFERS'} ${line}`);
+    print(`${isSame ? 'same   ' : 'DIFFERS'} ${line}`);
   }
-  say(differing === 0 ? `all ${days.length} are as recorded` : `${differing} of ${days.length} differ`);
+  print(differing === 0 ? `all ${days.length} are as recorded` : `${differing} of ${days.length} differ`);
   return differing === 0 ? 0 : 1;
 }
 
@@ -75,5 +74,5 @@
 
 void main().then(
   (code) => process.exit(code),
-  (error: unknown) => wrongUse(error instanceof Error ? error.message : String(error)),
+  (error: unknown) => exitWithUsageError(error instanceof Error ? error.message : String(error)),
 );
--- a/test/emulators/network.ts
+++ b/test/emulators/network.ts
@@ -4,7 +4,7 @@
 /** Draws from 0 (inclusive) to 1 (exclusive). */
 export type Draw = () => number;
 
-/** Sees each message as its sender writes it on the wire, or as the emulator that takes it keeps it. */
+/** Called with each message as its sender encodes it for the wire, or as the emulator that receives it stores it. */
 export type MessageListener = (from: string, to: string, message: string) => void;
 
 /** Delivers messages on the virtual clock, with partitions and one-way faults. Durations are in milliseconds. */
@@ -33,7 +33,7 @@
     this.#inboundBlocked.set(host, this.clock.now + forMs);
   }
 
-  /** One-way fault: a host opens no connection; connections to it are answered. */
+  /** One-way fault: a host opens no connections; it still answers those that others open. */
   blockOutbound(host: string, forMs: number): void {
     this.#outboundBlocked.set(host, this.clock.now + forMs);
   }
@@ -58,18 +58,18 @@
     this.clock.at(until + slow * (0.5 + this.draw()), deliver);
   }
 
-  /** A request and its answer; null when none has come in time, though it may still be executed. */
-  ask<T>(
+  /** Sends a request and returns its response, or null after `timeoutMs`; the request may still be executed then. */
+  request<T>(
     from: string,
     to: string,
     timeoutMs: number,
-    serve: (reply: (answer: T) => void) => void,
+    serve: (reply: (response: T) => void) => void,
   ): Promise<T | null> {
     return new Promise((resolve) => {
       this.clock.in(timeoutMs, () => resolve(null));
-      // A connection that cannot be made now is never made later; one in use is held back.
+      // In a partition half of the requests need a new connection, which fails for good; the others are held back.
       if (this.isPartitioned(from, to) && this.draw() < 0.5) return;
-      this.send(from, to, () => serve((answer) => this.send(to, from, () => resolve(answer))));
+      this.send(from, to, () => serve((response) => this.send(to, from, () => resolve(response))));
     });
   }
 }
--- a/test/emulators/simulation.ts
+++ b/test/emulators/simulation.ts
@@ -1,4 +1,4 @@
-/** The whole service against the emulators on a virtual clock, with users of its own and faults drawn from a seed. */
+/** Simulates the whole service with the emulators on a virtual clock; users and faults are drawn from a seed. */
 import { pino } from 'pino';
 import { ControllerNode } from '../../src/controller/node.js';
 import { createPolicy } from '../../src/config/policy.js';
@@ -14,10 +14,10 @@
 
 export const NODES = ['n-0', 'n-1', 'n-2'];
 const ZONES = ['a', 'b', 'a'];
-/** Each has the same limit. */
+/** The teams of the test settings; all have the same quota. */
 export const TEAMS = ['crew', 'guests'];
 
-/** Limits under which jobs of a few dozen tasks need several chunks, and small ones later. */
+/** Store limits under which jobs of a few dozen tasks need several chunks, and later (`next`) small jobs, too. */
 export const TIGHT = { value_kb: 8, txn_ops: 32, next: { value_kb: 1, txn_ops: 6, write_rps: 30 } };
 
 export function testSettings(node: number, cpusMax = 0, limits: object = {}): PlatformSettings {
@@ -45,7 +45,7 @@
   });
 }
 
-/** Draws that are the same for the same seed. */
+/** Random draws that are the same for the same seed. */
 export { seededDraw as seeded } from '../../lab/random.js';
 
 /** The observations in the status of a version without failure suspicion. */
@@ -62,21 +62,21 @@
   acceptsHeartbeats: false,
 };
 
-/** Set to run any simulation with heartbeats shared among controllers. */
+/** With SHARING in the environment every simulation shares heartbeats among controllers. */
 const ALWAYS_SHARES = process.env['SHARING'] !== undefined;
 
 /** Deviations from the default simulation. */
 export interface SimulationOptions {
   readonly cpusMax?: number;
-  /** Limits of the state service, as the settings tell of them. */
+  /** Limits of the store, in the form of the settings. */
   readonly limits?: object;
-  /** What controllers log is kept, to be read. */
+  /** Keeps the log lines of all controllers in `logged`. */
   readonly keepLog?: boolean;
-  /** Duplicated heartbeats arrive late, from seconds to well over a lease, at any controller. */
+  /** Some heartbeats are duplicated; duplicates arrive at any controller, from 0.5 s to well over a lease later. */
   readonly copies?: boolean;
-  /** Followers accept heartbeats for the leader, however few the machines are. */
+  /** Followers accept heartbeats for the leader, for any number of machines. */
   readonly sharing?: boolean;
-  /** Sees all messages. */
+  /** Called with every message. */
   readonly onMessage?: MessageListener;
   /** All controllers start as the version without DAG dependencies. */
   readonly earlier?: boolean;
@@ -107,33 +107,38 @@
   readonly jobs = new Map<string, SubmittedJob>();
   readonly accepted = new Set<string>();
   readonly logged: LogLine[] = [];
-  /** Jobs submitted with a mistake. */
+  /** Jobs whose tasks fail on every machine. */
   readonly faultyJobs = new Set<string>();
-  /** How long the first task of a job runs, and each after it longer by; others by the draw. */
+  /**
+   * By job: the runtime of its first task and the additional runtime of each other task, in milliseconds. The
+   * runtimes of jobs without an entry are drawn.
+   */
   readonly runtimes = new Map<string, readonly [number, number]>();
-  /** Messages about shared reports that controllers have sent; all are lost while this is set. */
+  /** Number of intake messages that controllers have sent. */
   intakeMessages = 0;
+  /** While set, all intake messages are lost. */
   dropsIntake = false;
-  readonly #cancelling = new Set<string>();
-  readonly #bodies = new Map<string, object>();
-  /** What users were last told that was news: that a job is accepted, done or cancelled. */
-  readonly #lastStage = new Map<string, string>();
+  readonly #cancellationsRequested = new Set<string>();
+  readonly #submissions = new Map<string, object>();
+  /** The last stage of each job that caused reads after writes: the first one reported, then done or withdrawn. */
+  readonly #notedStages = new Map<string, string>();
   #readAfterWritesUntil = 0;
   #invalidRequestsUntil = 0;
   #invalidCount = 0;
-  /** So many close looks and odd requests there were. */
+  /** Number of reads right after responses, and number of invalid requests. */
   readsAfterWrites = 0;
   invalidRequests = 0;
-  #cancelOnCompletion = { share: 0, until: 0 };
-  /** Copies of reports that wait for a leader to begin. */
-  #keepDuplicates = { share: 0, until: 0 };
+  #completionCancellation = { share: 0, until: 0 };
+  /** Share of heartbeats that are duplicated for the next leader, and until when. */
+  #duplication = { share: 0, until: 0 };
+  /** Duplicated heartbeats that are held until a leader has loaded its state. */
   readonly #duplicates: ((node: string) => void)[] = [];
-  /** Copies delivered to a leader that had just begun. */
+  /** Number of heartbeats whose duplicates were released when a leader had loaded its state. */
   duplicatesDelivered = 0;
   readonly #logListeners = new Map<string, (() => void)[]>();
   readonly #controllers = new Map<string, ControllerProcess>();
-  readonly #earlierVersion = new Set<number>();
-  #refusedUntil = 0;
+  readonly #nodesOfEarlierVersion = new Set<number>();
+  #peersRefusedUntil = 0;
   #incarnations = 0;
   private readonly cpusMax: number;
 
@@ -143,52 +148,52 @@
   ) {
     this.cpusMax = options.cpusMax ?? 0;
     const cpusMax = this.cpusMax;
-    if (options.earlier === true) NODES.forEach((_, i) => this.#earlierVersion.add(i));
+    if (options.earlier === true) NODES.forEach((_, i) => this.#nodesOfEarlierVersion.add(i));
     this.network = new Network(this.clock, draw);
     this.network.onMessage = options.onMessage ?? null;
     this.state = new StateEmulator(this.network);
     this.checker = new Checker(30_000, cpusMax);
-    this.cloud = new CloudEmulator(this.network, (listed) => this.#worker(listed));
+    this.cloud = new CloudEmulator(this.network, (listed) => this.#createWorker(listed));
     for (let i = 0; i < NODES.length; i += 1) this.start(i);
-    this.#exchangeStatus();
+    this.#scheduleStatusExchange();
   }
 
-  #worker(listed: ConstructorParameters<typeof Worker>[0]): Worker {
-    const rules = {
+  #createWorker(listed: ConstructorParameters<typeof Worker>[0]): Worker {
+    const environment = {
       nodes: NODES,
       reportMs: 1000,
       leaseMs: 10_000,
       runMs: (job: string, task: number) => this.#runMs(job, task),
       isBroken: (job: string) => this.faultyJobs.has(job),
-      copy: () => this.#copy(),
-      sent: (deliver: (node: string) => void) => {
-        const { share, until } = this.#keepDuplicates;
+      copy: () => this.#drawDuplicate(),
+      onHeartbeatSent: (deliver: (node: string) => void) => {
+        const { share, until } = this.#duplication;
         if (until > this.clock.now && this.draw() < share) this.#duplicates.push(deliver);
       },
-      completed: (job: string) => {
-        const { share, until } = this.#cancelOnCompletion;
+      onTaskCompleted: (job: string) => {
+        const { share, until } = this.#completionCancellation;
         if (until > this.clock.now && this.checker.isComplete(job) && this.draw() < share)
           void this.#cancel(job);
       },
     };
-    return new Worker(listed, this.network, rules, this.checker, (node, body, reply) => {
+    return new Worker(listed, this.network, environment, this.checker, (node, body, reply) => {
       const controller = this.#controllers.get(node);
       const { onMessage } = this.network;
       onMessage?.(listed.name, node, `report ${JSON.stringify(body)}`);
-      const answer = (status: number, text: string): void => {
+      const respond = (status: number, text: string): void => {
         onMessage?.(node, listed.name, `answer ${status} ${text}`);
         reply(status, text);
       };
       if (controller?.clock.alive === true)
-        controller.clock.awake(() => controller.node.report(body, answer));
-      // Its host refuses the connection: nobody listens there any more.
+        controller.clock.awake(() => controller.node.report(body, respond));
+      // The process has ended: its host refuses the connection.
       else reply(0, '');
     });
   }
 
   #runMs(job: string, task: number): number {
-    const [first, more] = this.runtimes.get(job) ?? [2000 + 6000 * this.draw(), 0];
-    return first + (task === 0 ? 0 : more);
+    const [first, additional] = this.runtimes.get(job) ?? [2000 + 6000 * this.draw(), 0];
+    return first + (task === 0 ? 0 : additional);
   }
 
   /** The zone of a controller or a machine. */
@@ -196,26 +201,29 @@
     return this.cloud.workers.get(name)?.listed.zone ?? ZONES[NODES.indexOf(name)];
   }
 
-  /** Users of some of the accepted jobs cancel them now. */
+  /** Users cancel a random share of the accepted jobs now. */
   cancelSome(share: number): void {
     for (const id of this.accepted) if (this.draw() < share) void this.#cancel(id);
   }
 
   async #cancel(id: string): Promise<void> {
-    if (this.#cancelling.has(id)) return;
-    this.#cancelling.add(id);
+    if (this.#cancellationsRequested.has(id)) return;
+    this.#cancellationsRequested.add(id);
     this.checker.cancelRequested(id);
     while ((await this.#request('withdraw', id, {})) === null) await this.clock.sleep(1000);
   }
 
-  /** Users cancel jobs at the moment at which the last task completes. */
+  /** Users cancel a random share of jobs at the moment at which their last task completes. */
   cancelOnCompletion(share: number, forMs: number): void {
-    this.#cancelOnCompletion = { share, until: this.clock.now + forMs };
+    this.#completionCancellation = { share, until: this.clock.now + forMs };
   }
 
-  /** Duplicates of a share of the heartbeats are kept until a leader begins, and reach it, or all nodes, soon after. */
+  /**
+   * Duplicates of a share of the heartbeats are held until a leader has loaded its state; they then reach it, or all
+   * nodes, within 4 s.
+   */
   keepDuplicates(share: number, forMs: number): void {
-    this.#keepDuplicates = { share, until: this.clock.now + forMs };
+    this.#duplication = { share, until: this.clock.now + forMs };
   }
 
   #deliverDuplicates(leader: string): void {
@@ -228,16 +236,16 @@
     }
   }
 
-  /** Users read at all nodes, and repeat the submission, within milliseconds after a response. */
+  /** Users read at all nodes and repeat submissions, some also cancel, within 5 ms after a response. */
   readAfterWrites(forMs: number): void {
     this.#readAfterWritesUntil = this.clock.now + forMs;
   }
 
   #readAfterWrite(id: string, stage: string): void {
     if (this.#readAfterWritesUntil <= this.clock.now) return;
-    const body = this.#bodies.get(id);
-    const first = stage !== 'done' && stage !== 'withdrawn';
-    if (first && this.draw() < 0.15) this.clock.in(5 * this.draw(), () => void this.#cancel(id));
+    const body = this.#submissions.get(id);
+    const isUnfinished = stage !== 'done' && stage !== 'withdrawn';
+    if (isUnfinished && this.draw() < 0.15) this.clock.in(5 * this.draw(), () => void this.#cancel(id));
     for (const node of NODES) {
       this.readsAfterWrites += 1;
       this.clock.in(5 * this.draw(), () => void this.#request('show', id, {}, node));
@@ -246,12 +254,12 @@
     }
   }
 
-  /** Users repeat and cancel running or ended jobs, and submit unacceptable ones. */
+  /** Users resubmit accepted jobs, cancel ended jobs and submit invalid ones. */
   sendInvalidRequests(forMs: number): void {
     this.#invalidRequestsUntil = this.clock.now + forMs;
     const round = (): void => {
       if (this.clock.now >= this.#invalidRequestsUntil) return;
-      for (const [id, body] of this.#bodies) {
+      for (const [id, body] of this.#submissions) {
         if (this.draw() > 0.1) continue;
         this.invalidRequests += 1;
         if (this.checker.isOver(id)) void this.#request('withdraw', id, {});
@@ -267,10 +275,10 @@
     round();
   }
 
-  /** Unacceptable job descriptions: each lacks a field or asks for something that does not exist. */
+  /** Invalid job descriptions: each lacks a field, has an invalid value or asks for something that does not exist. */
   #invalidJobs(): [string, object][] {
-    const [sound] = this.#bodies.values();
-    if (sound === undefined) return [];
+    const [valid] = this.#submissions.values();
+    if (valid === undefined) return [];
     const faults: object[] = [
       { cores: 64 },
       { memGb: 1000 },
@@ -290,36 +298,36 @@
     ];
     return faults.map((fault) => {
       const nameId = `req-7${String(this.#invalidCount++).padStart(6, '0')}`;
-      return [nameId, { ...sound, hall: null, awaits: null, ...fault, nameId }];
+      return [nameId, { ...valid, hall: null, awaits: null, ...fault, nameId }];
     });
   }
 
   /** Whether a reachable machine has capacity for a task of a job now. */
-  #hasCapacity(job: SubmittedJob, taken: readonly PlacedTask[]): boolean {
-    const own = taken.filter((on) => on.job === job.id);
+  #hasCapacity(job: SubmittedJob, placed: readonly PlacedTask[]): boolean {
+    const tasksOfJob = placed.filter((task) => task.job === job.id);
     return [...this.cloud.workers.values()].some(({ listed, isPaused, isFaulty }) => {
       const { name, zone, spot } = listed;
       if (isPaused || isFaulty || this.network.isOutboundBlocked(name) || this.network.isInboundBlocked(name))
         return false;
-      const here = taken.filter((on) => on.machine === name);
-      const used = here.reduce((sum, on) => sum + (this.jobs.get(on.job)?.cpus ?? 0), 0);
-      const memory = here.reduce((sum, on) => sum + (this.jobs.get(on.job)?.memoryGb ?? 0), 0);
+      const tasksOnMachine = placed.filter((task) => task.machine === name);
+      const used = tasksOnMachine.reduce((sum, task) => sum + (this.jobs.get(task.job)?.cpus ?? 0), 0);
+      const memory = tasksOnMachine.reduce((sum, task) => sum + (this.jobs.get(task.job)?.memoryGb ?? 0), 0);
       const [type] = TYPES;
-      const inZone = own.filter((on) => on.zone === zone).length;
+      const inZone = tasksOfJob.filter((task) => task.zone === zone).length;
       return (
         used + job.cpus <= (type?.cpus ?? 0) &&
         memory + job.memoryGb <= (type?.memoryGb ?? 0) &&
         (job.spot || !spot) &&
         (job.zone === null || job.zone === zone) &&
-        (!job.oneZone || own.every((on) => on.zone === zone)) &&
+        (!job.oneZone || tasksOfJob.every((task) => task.zone === zone)) &&
         (!job.spread || inZone < Math.ceil(job.tasks / 2))
       );
     });
   }
 
-  /** From now on no job may wait for long while there is capacity. */
+  /** From now on checks every 2 s that no job waits for long while there is capacity. */
   checkWaiting(): void {
-    this.checker.checkWaiting(this.clock.now, (job, taken) => this.#hasCapacity(job, taken));
+    this.checker.checkWaiting(this.clock.now, (job, placed) => this.#hasCapacity(job, placed));
     this.clock.in(2000, () => this.checkWaiting());
   }
 
@@ -328,18 +336,18 @@
     this.#logListeners.set(msg, [...(this.#logListeners.get(msg) ?? []), call]);
   }
 
-  #copy(): { afterMs: number; node: string | null } | null {
+  #drawDuplicate(): { afterMs: number; node: string | null } | null {
     if (this.options.copies !== true || this.draw() > 0.3) return null;
     const node = this.draw() < 0.5 ? null : (NODES[Math.floor(this.draw() * NODES.length)] ?? null);
     return { afterMs: 500 + 30_000 * this.draw() ** 2, node };
   }
 
-  /** What each living node answers the load balancer. */
+  /** The readiness of each node, as the load balancer sees it. */
   ready(): boolean[] {
     return NODES.map((name) => this.#controllers.get(name)?.node.ready() === true);
   }
 
-  /** Sends every node, many times a second, what is malformed, and reports of machines that do not exist. */
+  /** Sends every node, every 10 ms, malformed requests and heartbeats of machines that do not exist. */
   flood(untilMs: number): void {
     let sent = 0;
     const round = (): void => {
@@ -347,9 +355,9 @@
       for (const { node, clock } of this.#controllers.values()) {
         if (!clock.alive) continue;
         const name = `vm-9${String(sent++).padStart(6, '0')}`;
-        const told = { skiff: name, address: '127.0.0.1:1', bench: 'small', hall: 'a', borrowed: true };
-        node.report({ ...told, watch: 1, barNo: 1, baton: 0, movements: [] }, () => undefined);
-        node.report({ ...told, movements: 'none' }, () => undefined);
+        const fields = { skiff: name, address: '127.0.0.1:1', bench: 'small', hall: 'a', borrowed: true };
+        node.report({ ...fields, watch: 1, barNo: 1, baton: 0, movements: [] }, () => undefined);
+        node.report({ ...fields, movements: 'none' }, () => undefined);
         void node.users.submit({ nameId: 7, movements: -1 });
         void node.users.submit('x'.repeat(100_000));
       }
@@ -358,14 +366,14 @@
     round();
   }
 
-  /** What each living node's status page says. */
+  /** The status pages of all running nodes. */
   statusPages(): object[] {
     return [...this.#controllers.values()].flatMap(({ clock, node }) =>
       clock.alive ? [node.describe()] : [],
     );
   }
 
-  /** The nodes that take themselves for leader. */
+  /** The nodes that consider themselves the leader. */
   leaders(): string[] {
     return NODES.filter((name) => this.#controllers.get(name)?.node.status().isLeader === true);
   }
@@ -373,18 +381,18 @@
   start(i: number): void {
     const name = NODES[i] ?? '';
     const settings = testSettings(i, this.cpusMax, this.options.limits);
-    const earlier = this.#earlierVersion.has(i);
+    const earlier = this.#nodesOfEarlierVersion.has(i);
     const Client = earlier ? EarlierStateClient : StateClient;
     const clock = new ProcessClock(this.clock, 1 + 0.001 * (this.draw() - 0.5), 200 * (this.draw() - 0.5));
-    const access = this.cloud.accessFor(name);
+    const cloudClient = this.cloud.clientFor(name);
     const node = new ControllerNode(settings, {
       state: new Client(name, this.state, timing(settings).storeTimeoutMs, clock),
-      cloud: access,
-      workers: access,
+      cloud: cloudClient,
+      workers: cloudClient,
       clock,
       log: pino(
         { level: 'info', base: null, timestamp: false },
-        { write: (line) => this.#write(name, line) },
+        { write: (line) => this.#receiveLogLine(name, line) },
       ),
       policy: createPolicy(
         settings,
@@ -402,7 +410,7 @@
     const controller = this.#controllers.get(NODES[i] ?? '');
     if (controller?.clock.alive !== true) return;
     controller.clock.alive = false;
-    // Its links break at once, and are refused from then on.
+    // Its links break immediately, and new connections to it are refused.
     for (const [name, other] of this.#controllers)
       for (const link of ['lost', 'refused'] as const)
         if (other !== controller && other.clock.alive && !this.network.isPartitioned(name, NODES[i] ?? ''))
@@ -410,15 +418,15 @@
     this.clock.in(downMs, () => this.start(i));
   }
 
-  /** Pauses a controller while its clocks run on; its timers and messages then arrive all at once. */
+  /** Pauses a controller while its clocks keep running; overdue timers and messages all arrive when it resumes. */
   pause(i: number, ms: number): void {
     const controller = this.#controllers.get(NODES[i] ?? '');
     if (controller?.clock.alive === true) controller.clock.pausedUntil = this.clock.now + ms;
   }
 
-  /** Ends a controller; it comes back as the version with pipelines. */
+  /** Stops a controller and restarts it as the version with DAG dependencies. */
   upgrade(i: number, downMs: number): void {
-    this.#earlierVersion.delete(i);
+    this.#nodesOfEarlierVersion.delete(i);
     const controller = this.#controllers.get(NODES[i] ?? '');
     if (controller?.clock.alive === true) this.crash(i, downMs);
   }
@@ -429,7 +437,7 @@
     this.state.limits = { ...strictestLimits(testSettings(0, 0, this.options.limits)), rps: state.rps };
   }
 
-  #write(node: string, line: string): void {
+  #receiveLogLine(node: string, line: string): void {
     if (process.env['TEST_LOG'] !== undefined) process.stdout.write(`${this.clock.now} ${node} ${line}`);
     if (this.options.keepLog !== true && this.#logListeners.size === 0 && this.#duplicates.length === 0)
       return;
@@ -449,35 +457,35 @@
 
   /** Connections between controllers are refused. */
   refusePeers(ms: number): void {
-    this.#refusedUntil = this.clock.now + ms;
+    this.#peersRefusedUntil = this.clock.now + ms;
     for (const [name, controller] of this.#controllers)
       for (const other of NODES)
         if (other !== name && controller.clock.alive) this.#link(controller, other, 'lost');
   }
 
   isRefused(): boolean {
-    return this.clock.now < this.#refusedUntil;
+    return this.clock.now < this.#peersRefusedUntil;
   }
 
-  /** Versions before suspicion look at no links; the benchmark plays them too. */
+  /** Versions without failure suspicion have no `onLink`; the benchmark simulates them as well. */
   #link({ node }: ControllerProcess, to: string, link: LinkState): void {
     if ('onLink' in node) node.onLink(to, link);
   }
 
-  #exchangeStatus(): void {
+  #scheduleStatusExchange(): void {
     this.clock.in(500, () => {
       for (const from of this.#controllers.keys()) this.#sendStatus(from, true);
       this.checker.checkCancelled(this.clock.now, (name) => this.cloud.workers.get(name)?.isPaused === true);
-      this.#exchangeStatus();
+      this.#scheduleStatusExchange();
     });
   }
 
-  /** What a node says to the others and, when it dials them, what its links to them show. */
-  #sendStatus(from: string, dials: boolean): void {
+  /** Sends a node's status to its peers; with `reportsLinks` the node also learns the state of its links to them. */
+  #sendStatus(from: string, reportsLinks: boolean): void {
     const controller = this.#controllers.get(from);
     if (controller === undefined || !controller.clock.alive || controller.clock.pausedUntil > this.clock.now)
       return;
-    // An earlier version says nothing of formats and pipelines.
+    // The status of an earlier version has no format, no dependencies and no observations.
     const own = controller.node.status();
     const status = controller.earlier
       ? { ...own, format: 0, dependenciesResolvedUntil: 0, ...NO_OBSERVATIONS }
@@ -486,72 +494,72 @@
     for (const [to, other] of this.#controllers) {
       if (to === from || this.network.isPartitioned(from, to)) continue;
       if (!other.clock.alive || this.isRefused()) {
-        if (dials) this.#link(controller, to, 'refused');
+        if (reportsLinks) this.#link(controller, to, 'refused');
         continue;
       }
-      if (dials) this.#link(controller, to, 'up');
+      if (reportsLinks) this.#link(controller, to, 'up');
       this.network.send(from, to, () => {
         if (!this.isRefused()) other.clock.awake(() => other.node.onPeer(status));
       });
     }
   }
 
-  /** Messages about shared reports, over a connection that keeps their order; false: there is none. */
+  /** Sends an intake message over a connection that preserves the order; returns false if there is none. */
   #sendIntake(from: string, to: string, message: IntakeMessage): boolean {
     const own = this.#controllers.get(from);
     const other = this.#controllers.get(to);
     if (own === undefined || other === undefined || !own.clock.alive || !other.clock.alive) return false;
     if (this.isRefused() || own.earlier || other.earlier) return false;
     this.intakeMessages += 1;
-    // What is lost leaves a gap in the numbers; all else arrives in order, the later with the earlier.
+    // A lost message leaves a gap in the sequence; all others arrive in order, each with those queued before it.
     if (this.dropsIntake || this.network.isInboundBlocked(to)) return true;
     const queue = own.sent.get(other) ?? [];
     own.sent.set(other, queue);
-    // Values cross the wire: nobody may share an object with another process.
+    // Values cross the wire: processes must not share objects.
     const frame = encodeIntake(message);
     this.network.onMessage?.(from, to, `intake ${Buffer.from(frame).toString('hex')}`);
     queue.push(frame);
     this.network.send(from, to, () => {
       const due = queue.splice(0, queue.indexOf(frame) + 1);
       if (this.isRefused()) return;
-      const reader = new StatusReader((told) => other.node.onIntake(told));
+      const reader = new StatusReader((received) => other.node.onIntake(received));
       for (const next of due) other.clock.awake(() => reader.push(next));
     });
     return true;
   }
 
-  /** A node that takes users' connections now, or null. */
-  #reachable(): ControllerProcess | null {
+  /** A randomly drawn running node, or null if there is none. */
+  #drawRunningNode(): ControllerProcess | null {
     const alive = [...this.#controllers.values()].filter(({ clock }) => clock.alive);
     return alive[Math.floor(this.draw() * alive.length)] ?? null;
   }
 
-  /** One request of a user; the answer is checked against the rules. */
+  /** Sends a request of a user and checks the response; returns the stage of the job, or null without success. */
   async #request(
     kind: 'submit' | 'show' | 'withdraw',
     id: string,
     body: object,
     at?: string,
   ): Promise<string | null> {
-    const controller = at === undefined ? this.#reachable() : (this.#controllers.get(at) ?? null);
+    const controller = at === undefined ? this.#drawRunningNode() : (this.#controllers.get(at) ?? null);
     if (controller === null || !controller.clock.alive) return null;
     const { users } = controller.node;
-    const askedAt = this.clock.now;
-    this.checker.requested(id, askedAt);
+    const requestedAt = this.clock.now;
+    this.checker.requested(id, requestedAt);
     const node = NODES[[...this.#controllers.values()].indexOf(controller)] ?? '';
     const { onMessage } = this.network;
     onMessage?.('user', node, `${kind} ${id} ${JSON.stringify(body)}`);
     const call = kind === 'submit' ? users.submit(body) : kind === 'show' ? users.show(id) : users.cancel(id);
-    const answer = await Promise.race([call, this.clock.sleep(5000).then(() => null)]);
-    if (answer === null || !controller.clock.alive) return null;
-    const told = JSON.parse(JSON.stringify(answer.body)) as { stage?: string };
-    onMessage?.(node, 'user', `${kind} ${id} ${answer.status} ${JSON.stringify(answer.body)}`);
-    this.checker.answered(id, answer.status, told, this.clock.now, kind, askedAt);
-    if (answer.status >= 300) return null;
-    const { stage = null } = told;
-    const before = this.#lastStage.get(id);
-    if (stage !== null && (before === undefined || this.#isFinal(stage)) && before !== stage) {
-      this.#lastStage.set(id, stage);
+    const response = await Promise.race([call, this.clock.sleep(5000).then(() => null)]);
+    if (response === null || !controller.clock.alive) return null;
+    const responseBody = JSON.parse(JSON.stringify(response.body)) as { stage?: string };
+    onMessage?.(node, 'user', `${kind} ${id} ${response.status} ${JSON.stringify(response.body)}`);
+    this.checker.answered(id, response.status, responseBody, this.clock.now, kind, requestedAt);
+    if (response.status >= 300) return null;
+    const { stage = null } = responseBody;
+    const previous = this.#notedStages.get(id);
+    if (stage !== null && (previous === undefined || this.#isFinal(stage)) && previous !== stage) {
+      this.#notedStages.set(id, stage);
       this.#readAfterWrite(id, stage);
     }
     return stage;
@@ -561,12 +569,12 @@
     return stage === 'done' || stage === 'withdrawn';
   }
 
-  /** One question about a job, by whoever is curious; the stage that is told, null without an answer. */
+  /** Sends a status query for a job; returns its stage, or null without a successful response. */
   ask(id: string, at?: string): Promise<string | null> {
     return this.#request('show', id, {}, at);
   }
 
-  /** Lets time pass until a promise is settled. */
+  /** Advances the clock until a promise is settled. */
   async until<T>(promise: Promise<T>): Promise<T> {
     let settled = false;
     void promise.finally(() => (settled = true));
@@ -574,13 +582,13 @@
     return promise;
   }
 
-  /** One request to cancel a job, at one controller; whether it was confirmed. */
+  /** Sends a request to cancel a job to one controller; returns whether the cancellation was confirmed. */
   async withdraw(id: string, at: string): Promise<boolean> {
     this.checker.cancelRequested(id);
     return (await this.#request('withdraw', id, {}, at)) === 'withdrawn';
   }
 
-  /** Submits a job until it is accepted, then follows it; cancels it after a while if asked to. */
+  /** Submits a job until it is accepted, then polls it; cancels it after `cancelAfterMs` unless that is null. */
   async user(job: SubmittedJob, cancelAfterMs: number | null): Promise<void> {
     this.checker.submitted(job);
     this.jobs.set(job.id, job);
@@ -607,7 +615,7 @@
       curtainS: job.bookmarkS === undefined ? 60 : null,
       awaits: job.awaits ?? null,
     };
-    this.#bodies.set(job.id, body);
+    this.#submissions.set(job.id, body);
     while ((await this.#request('submit', job.id, body)) === null) await this.clock.sleep(1000);
     this.accepted.add(job.id);
     let cancelAt = cancelAfterMs === null ? Infinity : this.clock.now + cancelAfterMs;
@@ -641,23 +649,23 @@
 const SMALL_RUN: RunSize = { jobs: 14, maxTasks: 6, machines: 6 };
 
 /**
- * The jobs of one pipeline, each submitted as soon as those that it needs are accepted: a
- * chain with branches, some of its jobs cancelled, and at times one job more that comes late.
+ * Submits the jobs of one DAG, each when its dependencies are accepted: a chain with branches. One of the jobs may
+ * be cancelled, and any but the first may be submitted up to 15 s late.
  */
-export async function playDag(world: Simulation, index: number, mostTasks: number): Promise<void> {
+export async function submitDag(world: Simulation, index: number, maxTasks: number): Promise<void> {
   const { draw, clock } = world;
   const ids: string[] = [];
   const length = 2 + Math.floor(draw() * 5);
   const cancelled = draw() < 0.4 ? Math.floor(draw() * length) : -1;
   for (let i = 0; i < length; i += 1) {
     const id = `req-${String(100_000 + 100 * index + i)}`;
-    const needs = [...new Set([0, 1].map(() => ids[Math.floor(draw() * ids.length)]))];
-    const awaits = needs.filter((need) => need !== undefined);
+    const dependencies = [...new Set([0, 1].map(() => ids[Math.floor(draw() * ids.length)]))];
+    const awaits = dependencies.filter((dependency) => dependency !== undefined);
     if (i > 0 && draw() < 0.2) await clock.sleep(15_000 * draw());
     ids.push(id);
-    const tasks = 1 + Math.floor(draw() * Math.min(6, mostTasks));
-    const place = { spot: draw() < 0.7, zone: null, oneZone: false, spread: false };
-    const job: SubmittedJob = { id, team: 'crew', tasks, cpus: 1, memoryGb: 1, ...place, awaits };
+    const tasks = 1 + Math.floor(draw() * Math.min(6, maxTasks));
+    const placement = { spot: draw() < 0.7, zone: null, oneZone: false, spread: false };
+    const job: SubmittedJob = { id, team: 'crew', tasks, cpus: 1, memoryGb: 1, ...placement, awaits };
     void world.user(job, i === cancelled ? 20_000 * draw() : null);
     while (!world.accepted.has(id)) await clock.sleep(100);
   }
@@ -683,17 +691,17 @@
     };
     const cancelAfter = draw() < 0.3 ? 20_000 * draw() : null;
     clock.in(lengthMs * 0.7 * draw(), () => {
-      // Whoever submitted it with a mistake finds out in the end.
+      // The user of a faulty job cancels it after 90 s.
       void world.user(job, world.faultyJobs.has(id) ? 90_000 : cancelAfter);
     });
   }
   for (let i = 0; i < (size.pipelines ?? 0); i += 1)
     clock.in(
       (size.pipelinesFromMs ?? 0) + lengthMs * 0.6 * draw(),
-      () => void playDag(world, i, size.maxTasks),
+      () => void submitDag(world, i, size.maxTasks),
     );
   const hosts = (): string[] => [...NODES, 'state', 'cloud', ...cloud.workers.keys()];
-  const troubles: (() => void)[] = [
+  const injections: (() => void)[] = [
     () => world.crash(Math.floor(draw() * 3), 1000 + 5000 * draw()),
     () => NODES.forEach((_, i) => world.crash(i, 4000)),
     () => network.partition(pick(NODES), 'state', 20_000 * draw()),
@@ -718,60 +726,67 @@
     },
     () => network.partition(pick(hosts()), pick(hosts()), 30_000 * draw()),
     () => {
-      const apart = pick(NODES);
+      const isolated = pick(NODES);
       for (const host of hosts())
-        if (host !== apart && draw() < 0.6) network.partition(apart, host, 25_000 * draw());
+        if (host !== isolated && draw() < 0.6) network.partition(isolated, host, 25_000 * draw());
     },
     () => {
-      // A leader that workers still reach, but not the state service nor its peers.
-      const apart = pick(NODES);
-      const until = 80_000 * draw();
+      // Isolates a node, possibly the leader, from the store, the cloud and its peers; workers still reach it.
+      const isolated = pick(NODES);
+      const forMs = 80_000 * draw();
       for (const host of [...NODES, 'state', 'cloud'])
-        if (host !== apart) network.partition(apart, host, until);
+        if (host !== isolated) network.partition(isolated, host, forMs);
     },
     () => (cloud.unavailableUntil = clock.now + 15_000 * draw()),
     () => world.refusePeers(40_000 * draw()),
     () => world.pause(Math.floor(draw() * 3), 10_000 * draw()),
   ];
-  const onCall: (() => void)[] = [
+  const productionInjections: (() => void)[] = [
     () => network.blockInbound(pick([...cloud.workers.keys()]) ?? '', 40_000 * draw()),
     () => {
       for (const name of cloud.workers.keys()) if (draw() < 0.4) network.blockInbound(name, 20_000 * draw());
     },
     () => world.crash(Math.floor(draw() * 3), 20 + 80 * draw()),
     () => {
-      // Down and up again several times running, and another with it.
+      // One node crashes and restarts four times in a row, and another once during that time.
       const node = Math.floor(draw() * 3);
       for (let i = 0; i < 4; i += 1) clock.in(700 * i, () => world.crash(node, 20 + 80 * draw()));
       clock.in(1000 * draw(), () => world.crash((node + 1) % 3, 20 + 80 * draw()));
     },
     () => {
-      // Workers still reach it, nobody else does: the state service refuses it, links are gone.
-      const alone = pick(world.leaders()) ?? pick(NODES);
+      // Isolates the leader from all but the workers: refused by the store, partitioned from peers and cloud.
+      const isolated = pick(world.leaders()) ?? pick(NODES);
       const forMs = 40_000 * draw();
-      state.refuse(alone, forMs);
-      for (const other of NODES) if (other !== alone) network.partition(alone, other, forMs);
-      network.partition(alone, 'cloud', forMs);
+      state.refuse(isolated, forMs);
+      for (const other of NODES) if (other !== isolated) network.partition(isolated, other, forMs);
+      network.partition(isolated, 'cloud', forMs);
     },
     () => network.blockInbound(pick(NODES), 8000 * draw()),
   ];
   if (size.onCall === true) {
-    // A guest's arrays, as many tasks as all other jobs together, that give way to what would be late.
+    // Best-effort arrays, each with as many tasks as there are other jobs, that can be preempted for urgent jobs.
     for (let i = 0; i < 3; i += 1) {
-      const place = { spot: true, zone: null, oneZone: false, spread: false, bookmarkS: 2, jobClass: 'idle' };
+      const placement = {
+        spot: true,
+        zone: null,
+        oneZone: false,
+        spread: false,
+        bookmarkS: 2,
+        jobClass: 'idle',
+      };
       const id = `req-${String(500_000 + i)}`;
-      const array = { id, team: 'crew', tasks: size.jobs, cpus: pick([2, 4]), memoryGb: 2, ...place };
+      const array = { id, team: 'crew', tasks: size.jobs, cpus: pick([2, 4]), memoryGb: 2, ...placement };
       clock.in(lengthMs * 0.4 * draw(), () => void world.user(array, null));
     }
-    // Users ask many times as often for a while.
-    const storm = (untilMs: number): void => {
+    // For 15 s users poll many times as often.
+    const pollOften = (untilMs: number): void => {
       for (const id of world.accepted) if (draw() < 0.3) void world.ask(id);
-      if (clock.now < untilMs) clock.in(100, () => storm(untilMs));
+      if (clock.now < untilMs) clock.in(100, () => pollOften(untilMs));
     };
-    clock.in(lengthMs * 0.6 * draw(), () => storm(clock.now + 15_000));
-    troubles.push(...onCall, ...onCall);
+    clock.in(lengthMs * 0.6 * draw(), () => pollOften(clock.now + 15_000));
+    injections.push(...productionInjections, ...productionInjections);
     for (let i = 0; i < size.jobs; i += 1)
       if (draw() < 0.12) world.faultyJobs.add(`req-${String(i).padStart(6, '0')}`);
   }
-  for (let i = 0; i < faults; i += 1) clock.in(5000 + lengthMs * 0.8 * draw(), () => pick(troubles)());
+  for (let i = 0; i < faults; i += 1) clock.in(5000 + lengthMs * 0.8 * draw(), () => pick(injections)());
 }
--- a/test/emulators/state.ts
+++ b/test/emulators/state.ts
@@ -23,22 +23,22 @@
 export class StateEmulator {
   revision = 1;
   readonly keys = new Map<string, StoredValue>();
-  readonly #leases = new Map<number, { life: number; endsAt: number }>();
+  readonly #leases = new Map<number, { ttlMs: number; endsAt: number }>();
   #nextLease = 1;
   readonly #changes: KeyChange[] = [];
-  #waiting: (() => void)[] = [];
+  #watchers: (() => void)[] = [];
   /** Transactions rejected for their size. */
   rejected = 0;
   #outageUntil = 0;
   limits: StoreLimits = { rps: Infinity, write_rps: Infinity, value_kb: 32, txn_ops: 32 };
-  #level = 0;
-  #levelAt = 0;
+  #tokens = 0;
+  #refilledAt = 0;
   readonly #refused = new Map<string, number>();
   #slowMs = 0;
   #slowUntil = 0;
   #delayedShare = 0;
   #delayedUntil = 0;
-  readonly #delayNext: { readonly isOne: (txn: Transaction) => boolean; readonly afterMs: number }[] = [];
+  readonly #delayNext: { readonly matches: (txn: Transaction) => boolean; readonly afterMs: number }[] = [];
   #onDelayedCommit: (() => void)[] = [];
   #lostShare = 0;
   #lostUntil = 0;
@@ -51,7 +51,7 @@
   outage(ms: number): void {
     this.#outageUntil = this.network.clock.now + ms;
     for (const lease of this.#leases.values())
-      lease.endsAt = Math.max(lease.endsAt, this.#outageUntil + lease.life);
+      lease.endsAt = Math.max(lease.endsAt, this.#outageUntil + lease.ttlMs);
   }
 
   refuse(node: string, ms: number): void {
@@ -71,33 +71,33 @@
   }
 
   /** The next matching transaction gets no response and is applied `afterMs` later. */
-  delayNextTransaction(isOne: (txn: Transaction) => boolean, afterMs: number): void {
-    this.#delayNext.push({ isOne, afterMs });
+  delayNextTransaction(matches: (txn: Transaction) => boolean, afterMs: number): void {
+    this.#delayNext.push({ matches, afterMs });
   }
 
-  /** Delay of a transaction without response; null: it is served at once. */
+  /** Delay of a transaction that gets no response, in milliseconds; null if it is served immediately. */
   transactionDelayMs(txn: Transaction): number | null {
-    const at = this.#delayNext.findIndex(({ isOne }) => isOne(txn));
+    const at = this.#delayNext.findIndex(({ matches }) => matches(txn));
     const [once] = at < 0 ? [] : this.#delayNext.splice(at, 1);
     if (once !== undefined) return once.afterMs;
     const { clock, draw } = this.network;
     return this.#delayedUntil > clock.now && draw() < this.#delayedShare ? 2000 + 10_000 * draw() : null;
   }
 
-  /** A share of transactions and lease requests is applied at once and only the response is lost. */
+  /** A share of transactions and lease requests is applied immediately, and only the response is lost. */
   loseResponses(share: number, forMs: number): void {
     this.#lostShare = share;
     this.#lostUntil = this.network.clock.now + forMs;
   }
 
   /** The next matching transaction is applied, and its response lost. */
-  loseNextResponse(isOne: (txn: Transaction) => boolean): void {
-    this.#loseNext.push(isOne);
+  loseNextResponse(matches: (txn: Transaction) => boolean): void {
+    this.#loseNext.push(matches);
   }
 
-  /** Whether the response is lost, of a transaction or (without one) of a lease request. */
+  /** Whether the response to a transaction, or without an argument to a lease request, is lost. */
   losesResponse(txn?: Transaction): boolean {
-    const at = txn === undefined ? -1 : this.#loseNext.findIndex((isOne) => isOne(txn));
+    const at = txn === undefined ? -1 : this.#loseNext.findIndex((matches) => matches(txn));
     if (at >= 0) this.#loseNext.splice(at, 1);
     const { clock, draw } = this.network;
     return at >= 0 || (this.#lostUntil > clock.now && draw() < this.#lostShare);
@@ -142,7 +142,7 @@
     for (const [id, lease] of this.#leases) {
       if (lease.endsAt > this.network.clock.now) continue;
       this.#leases.delete(id);
-      const owned = [...this.keys].filter(([, kept]) => kept.lease === id).map(([key]) => key);
+      const owned = [...this.keys].filter(([, stored]) => stored.lease === id).map(([key]) => key);
       if (owned.length > 0) this.#change(owned.map((key) => ({ remove: key })));
     }
   }
@@ -151,7 +151,7 @@
     this.revision += 1;
     for (const write of writes) {
       if ('put' in write) {
-        // Values cross the wire: nobody may share an object with the service.
+        // Values cross the wire: the store and its clients must not share objects.
         const value = JSON.parse(JSON.stringify(write.value)) as unknown;
         this.keys.set(write.put, { value, modRevision: this.revision, lease: write.lease ?? null });
         this.#changes.push({ key: write.put, value, modRevision: this.revision });
@@ -167,26 +167,26 @@
     }
     if (this.#changes.length > MAX_RETAINED_CHANGES)
       this.#changes.splice(0, this.#changes.length - MAX_RETAINED_CHANGES);
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    for (const wake of waiting) wake();
+    const watchers = this.#watchers;
+    this.#watchers = [];
+    for (const wake of watchers) wake();
     if (this.#onWrite.length === 0) return;
-    const isOf = (prefix: string): boolean =>
-      writes.some((one) => 'put' in one && one.put.startsWith(prefix));
-    const due = this.#onWrite.filter(({ prefix }) => isOf(prefix));
-    this.#onWrite = this.#onWrite.filter(({ prefix }) => !isOf(prefix));
+    const isWritten = (prefix: string): boolean =>
+      writes.some((write) => 'put' in write && write.put.startsWith(prefix));
+    const due = this.#onWrite.filter(({ prefix }) => isWritten(prefix));
+    this.#onWrite = this.#onWrite.filter(({ prefix }) => !isWritten(prefix));
     for (const { call } of due) call();
   }
 
-  /** Changes a second, with bursts of one second's worth; failing transactions count as well. */
-  #withinRate(changes: number): boolean {
+  /** Token bucket for changes per second, with bursts of one second's worth; failing transactions count as well. */
+  #takeTokens(changes: number): boolean {
     const { write_rps } = this.limits;
     if (write_rps === Infinity) return true;
     const { now } = this.network.clock;
-    this.#level = Math.min(write_rps, this.#level + ((now - this.#levelAt) / 1000) * write_rps);
-    this.#levelAt = now;
-    if (this.#level < changes) return false;
-    this.#level -= changes;
+    this.#tokens = Math.min(write_rps, this.#tokens + ((now - this.#refilledAt) / 1000) * write_rps);
+    this.#refilledAt = now;
+    if (this.#tokens < changes) return false;
+    this.#tokens -= changes;
     return true;
   }
 
@@ -203,7 +203,7 @@
       this.rejected += 1;
       return { kind: 'rejected' };
     }
-    if (!this.#withinRate(txn.mutations.length)) return { kind: 'refused' };
+    if (!this.#takeTokens(txn.mutations.length)) return { kind: 'refused' };
     for (const write of txn.mutations) {
       if ('put' in write && write.lease !== undefined && !this.#leases.has(write.lease))
         return { kind: 'rejected' };
@@ -218,8 +218,8 @@
 
   read(key: string): Entry | null {
     this.expire();
-    const kept = this.keys.get(key);
-    return kept === undefined ? null : { key, value: kept.value, modRevision: kept.modRevision };
+    const stored = this.keys.get(key);
+    return stored === undefined ? null : { key, value: stored.value, modRevision: stored.modRevision };
   }
 
   list(prefix: string): Entry[] {
@@ -234,7 +234,7 @@
       }));
   }
 
-  /** What has changed since a revision. */
+  /** The changes after a revision, or `tooOld` if they are no longer retained. */
   since(prefix: string, after: number): Exclude<WatchResult, { readonly kind: 'unknown' }> {
     this.expire();
     const oldest = this.#changes[0]?.modRevision ?? 0;
@@ -249,32 +249,32 @@
     prefix: string,
     after: number,
     waitMs: number,
-    down: () => boolean,
-    reply: (found: WatchResult) => void,
+    isDown: () => boolean,
+    reply: (result: WatchResult) => void,
   ): void {
     const { clock } = this.network;
     const until = clock.now + waitMs;
-    let answered = false;
-    const look = (): void => {
-      if (answered) return;
+    let hasReplied = false;
+    const poll = (): void => {
+      if (hasReplied) return;
       this.expire();
-      if (down()) {
-        clock.in(100, look);
+      if (isDown()) {
+        clock.in(100, poll);
         return;
       }
-      const found = this.since(prefix, after);
-      if (found.kind === 'tooOld' || found.changes.length > 0 || clock.now >= until) {
-        answered = true;
-        reply(found);
-      } else if (!this.#waiting.includes(look)) this.#waiting.push(look);
+      const result = this.since(prefix, after);
+      if (result.kind === 'tooOld' || result.changes.length > 0 || clock.now >= until) {
+        hasReplied = true;
+        reply(result);
+      } else if (!this.#watchers.includes(poll)) this.#watchers.push(poll);
     };
-    clock.in(waitMs, look);
-    look();
+    clock.in(waitMs, poll);
+    poll();
   }
 
-  grant(life: number): number {
+  grant(ttlMs: number): number {
     const id = this.#nextLease++;
-    this.#leases.set(id, { life, endsAt: this.network.clock.now + life });
+    this.#leases.set(id, { ttlMs, endsAt: this.network.clock.now + ttlMs });
     return id;
   }
 
@@ -288,14 +288,14 @@
     this.expire();
     const lease = this.#leases.get(id);
     if (lease === undefined) return false;
-    lease.endsAt = this.network.clock.now + lease.life;
+    lease.endsAt = this.network.clock.now + lease.ttlMs;
     return true;
   }
 }
 
 /** The connection of one node to the store. */
 export class StateClient implements KeyValueStore {
-  #contactAt: number | null = null;
+  #lastContactAt: number | null = null;
 
   constructor(
     private readonly node: string,
@@ -305,74 +305,80 @@
   ) {}
 
   /** Resolves while the process runs: later if it is paused, never if it has ended. */
-  #whenAwake<T>(answer: T): Promise<T> {
-    return new Promise((resolve) => this.clock.awake(() => resolve(answer)));
+  #whenAwake<T>(response: T): Promise<T> {
+    return new Promise((resolve) => this.clock.awake(() => resolve(response)));
   }
 
-  async #ask<T>(request: string, serve: () => T, lost = false): Promise<T | 'down' | null> {
+  async #request<T>(request: string, serve: () => T, isResponseLost = false): Promise<T | 'down' | null> {
     this.service.network.onMessage?.(this.node, 'state', request);
     const sentAt = this.clock.monotonicMs();
-    const answer = await this.service.network.ask<T | 'down'>(this.node, 'state', this.timeoutMs, (reply) => {
-      const { clock } = this.service.network;
-      const answer = (): void => {
-        const served = this.service.isDown(this.node) ? 'down' : serve();
-        if (lost) return;
-        const lag = this.service.responseDelayMs();
-        if (lag > 0) clock.in(lag, () => reply(served));
-        else reply(served);
-      };
-      const lag = this.service.responseDelayMs();
-      if (lag > 0) clock.in(lag, answer);
-      else answer();
-    });
-    if (answer !== null && answer !== 'down') this.#contactAt = Math.max(this.#contactAt ?? sentAt, sentAt);
-    return this.#whenAwake(answer);
+    const response = await this.service.network.request<T | 'down'>(
+      this.node,
+      'state',
+      this.timeoutMs,
+      (reply) => {
+        const { clock } = this.service.network;
+        const handle = (): void => {
+          const result = this.service.isDown(this.node) ? 'down' : serve();
+          if (isResponseLost) return;
+          const delayMs = this.service.responseDelayMs();
+          if (delayMs > 0) clock.in(delayMs, () => reply(result));
+          else reply(result);
+        };
+        const delayMs = this.service.responseDelayMs();
+        if (delayMs > 0) clock.in(delayMs, handle);
+        else handle();
+      },
+    );
+    if (response !== null && response !== 'down')
+      this.#lastContactAt = Math.max(this.#lastContactAt ?? sentAt, sentAt);
+    return this.#whenAwake(response);
   }
 
   lastContactAt(): number | null {
-    return this.#contactAt;
+    return this.#lastContactAt;
   }
 
   applyLimits(): void {
-    // The service itself enforces its limits.
+    // The emulator itself enforces its limits.
   }
 
   async read(key: string): Promise<ReadResult> {
-    const answer = await this.#ask(`read ${key}`, () => ({ entry: this.service.read(key) }));
-    return answer === null || answer === 'down' ? 'unknown' : answer;
+    const response = await this.#request(`read ${key}`, () => ({ entry: this.service.read(key) }));
+    return response === null || response === 'down' ? 'unknown' : response;
   }
 
   async list(prefix: string): Promise<{ entries: Entry[]; revision: number } | 'unknown'> {
-    const answer = await this.#ask(`list ${prefix}`, () => ({
+    const response = await this.#request(`list ${prefix}`, () => ({
       entries: this.service.list(prefix),
       revision: this.service.revision,
     }));
-    return answer === null || answer === 'down' ? 'unknown' : answer;
+    return response === null || response === 'down' ? 'unknown' : response;
   }
 
   async commit(txn: Transaction): Promise<CommitResult> {
-    const lateBy = this.service.transactionDelayMs(txn);
-    if (lateBy !== null) return this.#commitDelayed(txn, lateBy);
-    const lost = this.service.losesResponse(txn);
-    const answer = await this.#ask(
+    const delayMs = this.service.transactionDelayMs(txn);
+    if (delayMs !== null) return this.#commitDelayed(txn, delayMs);
+    const isResponseLost = this.service.losesResponse(txn);
+    const response = await this.#request(
       `transaction ${encodeTransaction(txn)}`,
-      () => (lost ? this.service.commitWithoutResponse(txn) : this.service.commit(txn)),
-      lost,
+      () => (isResponseLost ? this.service.commitWithoutResponse(txn) : this.service.commit(txn)),
+      isResponseLost,
     );
-    if (answer === null) return { kind: 'unknown' };
-    return answer === 'down' ? { kind: 'refused' } : answer;
+    if (response === null) return { kind: 'unknown' };
+    return response === 'down' ? { kind: 'refused' } : response;
   }
 
   async #commitDelayed(txn: Transaction, afterMs: number): Promise<CommitResult> {
     const { clock, onMessage } = this.service.network;
     onMessage?.(this.node, 'state', `transaction ${encodeTransaction(txn)}`);
-    // Values cross the wire: what the caller makes of its own later changes nothing.
+    // Values cross the wire: later changes to the caller's object must not affect the transaction.
     const sent = JSON.parse(JSON.stringify(txn)) as Transaction;
-    const carryOut = (): void => {
-      if (this.service.isDown(this.node)) clock.in(500, carryOut);
+    const apply = (): void => {
+      if (this.service.isDown(this.node)) clock.in(500, apply);
       else this.service.commitDelayed(sent);
     };
-    clock.in(afterMs, carryOut);
+    clock.in(afterMs, apply);
     await clock.sleep(this.timeoutMs);
     return this.#whenAwake({ kind: 'unknown' });
   }
@@ -380,7 +386,7 @@
   async watch(prefix: string, after: number, waitMs: number): Promise<WatchResult> {
     const sentAt = this.clock.monotonicMs();
     this.service.network.onMessage?.(this.node, 'state', `watch ${prefix} ${after} ${waitMs}`);
-    const found = await this.service.network.ask<WatchResult>(
+    const result = await this.service.network.request<WatchResult>(
       this.node,
       'state',
       waitMs + this.timeoutMs,
@@ -388,35 +394,37 @@
         this.service.watch(prefix, after, waitMs, () => this.service.isDown(this.node), reply);
       },
     );
-    if (found !== null) this.#contactAt = Math.max(this.#contactAt ?? sentAt, sentAt);
-    return this.#whenAwake(found ?? { kind: 'unknown' });
+    if (result !== null) this.#lastContactAt = Math.max(this.#lastContactAt ?? sentAt, sentAt);
+    return this.#whenAwake(result ?? { kind: 'unknown' });
   }
 
   async changesSince(prefix: string, after: number): Promise<WatchResult> {
-    const answer = await this.#ask(`changes ${prefix} ${after}`, () => this.service.since(prefix, after));
-    return answer === null || answer === 'down' ? { kind: 'unknown' } : answer;
+    const response = await this.#request(`changes ${prefix} ${after}`, () =>
+      this.service.since(prefix, after),
+    );
+    return response === null || response === 'down' ? { kind: 'unknown' } : response;
   }
 
-  async grant(lifeMs: number): Promise<number | null> {
-    const answer = await this.#ask(
-      `grant ${lifeMs}`,
-      () => this.service.grant(lifeMs),
+  async grant(ttlMs: number): Promise<number | null> {
+    const response = await this.#request(
+      `grant ${ttlMs}`,
+      () => this.service.grant(ttlMs),
       this.service.losesResponse(),
     );
-    return answer === 'down' ? null : answer;
+    return response === 'down' ? null : response;
   }
 
   async revoke(lease: number): Promise<void> {
-    await this.#ask(`revoke ${lease}`, () => this.service.revoke(lease), this.service.losesResponse());
+    await this.#request(`revoke ${lease}`, () => this.service.revoke(lease), this.service.losesResponse());
   }
 
   async renew(lease: number): Promise<boolean | null> {
-    const answer = await this.#ask(
+    const response = await this.#request(
       `renew ${lease}`,
       () => this.service.renew(lease),
       this.service.losesResponse(),
     );
-    return answer === 'down' ? null : answer;
+    return response === 'down' ? null : response;
   }
 }
 
@@ -430,15 +438,15 @@
   return { ...entry, value };
 }
 
-function withoutLater(found: WatchResult): WatchResult {
-  if (found.kind !== 'changes') return found;
+function withoutLaterChanges(result: WatchResult): WatchResult {
+  if (result.kind !== 'changes') return result;
   return {
-    ...found,
-    changes: found.changes.map((change) => ({ ...change, ...withoutLaterFields(change) })),
+    ...result,
+    changes: result.changes.map((change) => ({ ...change, ...withoutLaterFields(change) })),
   };
 }
 
-/** The view of a controller version without DAG dependencies on the same data. */
+/** The store client of a version without DAG dependencies: it sees no later keys or fields. */
 export class EarlierStateClient extends StateClient {
   override async read(key: string): Promise<ReadResult> {
     if (LATER_KEYS.test(key)) return { entry: null };
@@ -454,17 +462,17 @@
   }
 
   override async watch(prefix: string, after: number, waitMs: number): Promise<WatchResult> {
-    return withoutLater(await super.watch(prefix, after, waitMs));
+    return withoutLaterChanges(await super.watch(prefix, after, waitMs));
   }
 
   override async changesSince(prefix: string, after: number): Promise<WatchResult> {
-    return withoutLater(await super.changesSince(prefix, after));
+    return withoutLaterChanges(await super.changesSince(prefix, after));
   }
 
   override async commit(txn: Transaction): Promise<CommitResult> {
     const key = txn.mutations
       .map((write) => ('put' in write ? write.put : write.remove))
-      .find((k) => LATER_KEYS.test(k));
+      .find((written) => LATER_KEYS.test(written));
     return key === undefined ? super.commit(txn) : { kind: 'refused' };
   }
 }
