--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -10,82 +10,87 @@
   expectCleanEnd,
   FROM,
   LEASE,
-  reachOnly,
+  partitionMachinesFromAllBut,
 } from './emulators/busy-cluster.js';
 import { drawConcurrentFaults, MAX_RUNTIME_MS, partitionZones } from './emulators/faults.js';
 import { NODES, seeded, TIGHT, Simulation } from './emulators/simulation.js';
 
-// The leader cannot learn of a cancellation that another controller confirms, and then nobody can tell it.
+// The store refuses the leader while another controller confirms a cancellation, and is then down for all nodes: the
+// leader cannot learn of the cancellation.
 test.each([
   ['one follower', 0, 'none'],
   ['the other follower', 1, 'none'],
-  ['one follower, machines reach only the leader', 0, 'alone'],
-  ['one follower, the leader restarts within a second', 1, 'back'],
-  ['one follower, the one in the other zone is refused too', 0, 'deputy'],
-])('cancelled tasks stop in a store outage: cancellation confirmed by %s', async (_, follower, more) => {
-  // The deputy is to stand alone in its zone, so that another seed's leader serves.
-  const { world, leader, others, ids } = await startBusyCluster(more === 'deputy' ? DEPUTY_SEED : 3);
+  ['one follower, machines reach only the leader', 0, 'leaderOnly'],
+  ['one follower, the leader restarts within a second', 1, 'leaderRestarts'],
+  ['one follower, the one in the other zone is refused too', 0, 'deputyRefused'],
+])('cancelled tasks stop in a store outage: cancellation confirmed by %s', async (_, follower, variant) => {
+  // The deputy must be the only controller in its zone, so this variant needs a seed with another leader.
+  const { world, leader, others, ids } = await startBusyCluster(
+    variant === 'deputyRefused' ? DEPUTY_SEED : 3,
+  );
   const { clock, state, checker } = world;
-  const told: string[] = [];
-  const tell = (what: string): number => told.push(`${((clock.now - FROM) / 1000).toFixed(1)} s  ${what}`);
+  const trace: string[] = [];
+  const record = (line: string): number => trace.push(`${((clock.now - FROM) / 1000).toFixed(1)} s  ${line}`);
   const outage = 2 * CANCEL;
-  const blind = NODES[leader] ?? '';
-  const confirms = NODES[more === 'deputy' ? 2 : (others[follower] ?? 0)] ?? '';
-  if (more === 'deputy') {
-    expect(blind).toBe('n-0');
+  const refusedLeader = NODES[leader] ?? '';
+  const confirmingNode = NODES[variant === 'deputyRefused' ? 2 : (others[follower] ?? 0)] ?? '';
+  if (variant === 'deputyRefused') {
+    expect(refusedLeader).toBe('n-0');
     partitionZones(world, 2 * outage);
     await clock.runUntil(clock.now + 8000);
     state.refuse('n-1', outage);
   }
-  state.refuse(blind, outage);
-  tell(`the state service refuses ${blind}, which leads`);
-  if (more === 'alone') reachOnly(world, blind, outage);
+  state.refuse(refusedLeader, outage);
+  record(`the state service refuses ${refusedLeader}, which leads`);
+  if (variant === 'leaderOnly') partitionMachinesFromAllBut(world, refusedLeader, outage);
   await clock.runUntil(clock.now + 100);
   const [kept = '', ...cancelled] = ids;
-  for (const id of cancelled) expect(await world.until(world.withdraw(id, confirms))).toBe(true);
-  tell(`${confirms} has confirmed that ${cancelled.join(' and ')} are cancelled`);
+  for (const id of cancelled) expect(await world.until(world.withdraw(id, confirmingNode))).toBe(true);
+  record(`${confirmingNode} has confirmed that ${cancelled.join(' and ')} are cancelled`);
   const confirmedAt = clock.now;
   state.outage(outage);
-  tell('the state service is down for all');
-  const out = (): number => cancelled.reduce((sum, id) => sum + checker.placedTasks(id), 0);
-  // The test would show nothing if somebody had stopped them in time to know.
-  expect(out()).toBe(6);
-  if (more === 'back') clock.in(4000, () => world.crash(leader, 700));
-  let before = -1;
+  record('the state service is down for all');
+  const runningCancelledTasks = (): number => cancelled.reduce((sum, id) => sum + checker.placedTasks(id), 0);
+  // The test shows nothing unless all six cancelled tasks still run when the outage begins.
+  expect(runningCancelledTasks()).toBe(6);
+  if (variant === 'leaderRestarts') clock.in(4000, () => world.crash(leader, 700));
+  let previous = -1;
   for (let at = 0; at < CANCEL; at += 500) {
     await clock.runUntil(confirmedAt + at);
-    if (out() !== before)
-      tell(`${out()} of their tasks are on machines, ${checker.placedTasks(kept)} of another job`);
-    before = out();
-    // Answered for as long as may be: what is not cancelled is not lost to a short outage.
-    if (at === LEASE && more === 'none') expect(out()).toBeGreaterThan(0);
+    if (runningCancelledTasks() !== previous)
+      record(
+        `${runningCancelledTasks()} of their tasks are on machines, ${checker.placedTasks(kept)} of another job`,
+      );
+    previous = runningCancelledTasks();
+    // Heartbeats are answered for as long as is safe, so that a short outage costs no running tasks.
+    if (at === LEASE && variant === 'none') expect(runningCancelledTasks()).toBeGreaterThan(0);
   }
-  expect(out()).toBe(0);
-  if (follower === 0 && more === 'none')
-    await expect(`${told.join('\n')}\n`).toMatchFileSnapshot('traces/store-outage-cancellations.txt');
+  expect(runningCancelledTasks()).toBe(0);
+  if (follower === 0 && variant === 'none')
+    await expect(`${trace.join('\n')}\n`).toMatchFileSnapshot('traces/store-outage-cancellations.txt');
   await expectCleanEnd(world, 400_000);
 });
 
-test('a cancellation learned while a write of its job is reconciled stops its tasks at once', () => {
-  const bench = new CoreHarness();
+test('a cancellation learned while a write of its job is reconciled stops its tasks immediately', () => {
+  const harness = new CoreHarness();
   const commitOf = (effects: readonly Effect[]): number =>
     effects.flatMap((effect) => (effect.kind === 'commit' ? [effect.id] : []))[0] ?? 0;
-  bench.hear(report('m', 1));
-  bench.add(job('req-1', 2, 4, 50));
+  harness.hear(report('m', 1));
+  harness.add(job('req-1', 2, 4, 50));
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')] as const;
-  bench.hear(report('m', 2));
-  bench.hear(report('m', 3, running));
-  // One of two tasks has ended; the write of it gets no answer, and nor does the look for what came of it.
+  harness.hear(report('m', 2));
+  harness.hear(report('m', 3, running));
+  // One of two tasks has ended; the write of its end gets no response, nor does the read that reconciles it.
   const ended = [task('req-1/0', 1, 'exited', 'done'), running[1]] as const;
-  bench.hear(report('m', 4, ended));
-  bench.now += bench.state.config.timing.exitBatchDelayMs;
-  const id = commitOf(bench.raw({ kind: 'tick' }));
-  bench.raw({ kind: 'committed', id, outcome: { kind: 'unknown' } });
-  bench.raw({ kind: 'reconciled', found: null });
-  // The watch is answered: its user was told that the job is cancelled, and the view is proven anew.
-  bench.raw({ kind: 'jobRemoved', id: 'req-1' }, { kind: 'viewConfirmed', sentAt: bench.now });
-  const told = bench.raw({ kind: 'heartbeat', reply: 70, heartbeat: report('m', 5, ended) });
-  expect(told).toContainEqual(
+  harness.hear(report('m', 4, ended));
+  harness.now += harness.state.config.timing.exitBatchDelayMs;
+  const id = commitOf(harness.raw({ kind: 'tick' }));
+  harness.raw({ kind: 'committed', id, outcome: { kind: 'unknown' } });
+  harness.raw({ kind: 'reconciled', found: null });
+  // The watch responds: the job was cancelled by its user, and the view is confirmed again.
+  harness.raw({ kind: 'jobRemoved', id: 'req-1' }, { kind: 'viewConfirmed', sentAt: harness.now });
+  const effects = harness.raw({ kind: 'heartbeat', reply: 70, heartbeat: report('m', 5, ended) });
+  expect(effects).toContainEqual(
     expect.objectContaining({
       body: expect.objectContaining({
         commands: expect.arrayContaining([
@@ -96,41 +101,41 @@
   );
 });
 
-// Machines whose leases expired in an outage are alive: they are not terminated when the store is back.
+// Machines whose leases expired in an outage are alive: they must not be terminated when the store recovers.
 test('machines that kept reporting through a store outage are not silent at its end', () => {
-  const bench = new CoreHarness();
-  const { workerLeaseMs, tickMs } = bench.state.config.timing;
+  const harness = new CoreHarness();
+  const { workerLeaseMs, tickMs } = harness.state.config.timing;
   const names = ['m', 'n', 'o', 'p'];
-  const hear = (seq: number, session: number): Effect[] =>
-    names.flatMap((name) => bench.hear(report(name, seq, [], { agentEpoch: session })));
-  hear(1, 1);
-  bench.add(job('req-1', 4, 8, 90));
-  hear(2, 1);
-  const lapses = bench.state.leadership?.authorityUntil ?? 0;
-  bench.isViewConfirmed = false;
-  for (let seq = 3; bench.now < lapses + 2 * workerLeaseMs; seq += 1) {
-    bench.now += 3000;
-    const session = bench.now > lapses + workerLeaseMs ? 2 : 1;
-    const told = names.flatMap((name, i) => {
+  const sendHeartbeats = (seq: number, session: number): Effect[] =>
+    names.flatMap((name) => harness.hear(report(name, seq, [], { agentEpoch: session })));
+  sendHeartbeats(1, 1);
+  harness.add(job('req-1', 4, 8, 90));
+  sendHeartbeats(2, 1);
+  const authorityEnd = harness.state.leadership?.authorityUntil ?? 0;
+  harness.isViewConfirmed = false;
+  for (let seq = 3; harness.now < authorityEnd + 2 * workerLeaseMs; seq += 1) {
+    harness.now += 3000;
+    const session = harness.now > authorityEnd + workerLeaseMs ? 2 : 1;
+    const effects = names.flatMap((name, i) => {
       const running = session === 1 ? [task(`req-1/${i}`, 1, 'running')] : [];
-      return bench.hear(report(name, seq, running, { agentEpoch: session }));
+      return harness.hear(report(name, seq, running, { agentEpoch: session }));
     });
-    const answered = told.some((effect) => effect.kind === 'reply' && effect.body.kind === 'commands');
-    expect(answered).toBe(bench.now < lapses);
-    // Nobody is judged meanwhile either.
-    expect(bench.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
+    const answered = effects.some((effect) => effect.kind === 'reply' && effect.body.kind === 'commands');
+    expect(answered).toBe(harness.now < authorityEnd);
+    // No machine is terminated during the outage either.
+    expect(harness.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
   }
-  bench.isViewConfirmed = true;
-  bench.now += tickMs;
-  bench.do({ kind: 'viewConfirmed', sentAt: bench.now });
-  // The first of them comes at once, the others in their rhythm.
-  bench.hear(report('m', 90, [], { agentEpoch: 2 }));
-  expect(bench.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
-  bench.now += 1000;
-  const again = names.flatMap((name) =>
-    CoreHarness.starts(bench.hear(report(name, 99, [], { agentEpoch: 2 }))),
+  harness.isViewConfirmed = true;
+  harness.now += tickMs;
+  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
+  // The first machine reports immediately, the others a second later.
+  harness.hear(report('m', 90, [], { agentEpoch: 2 }));
+  expect(harness.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
+  harness.now += 1000;
+  const restarted = names.flatMap((name) =>
+    CoreHarness.starts(harness.hear(report(name, 99, [], { agentEpoch: 2 }))),
   );
-  expect(again.sort()).toEqual([0, 1, 2, 3].map((i) => `req-1/${i}#2`));
+  expect(restarted.sort()).toEqual([0, 1, 2, 3].map((i) => `req-1/${i}#2`));
 });
 
 // 1. A transaction without a response is applied late, after newer ones.
@@ -147,7 +152,7 @@
   await world.clock.runUntil(FROM + 18_000);
   for (const node of NODES) expect(await world.until(world.ask(id, node))).toBe('done');
   await world.clock.runUntil(FROM + 30_000);
-  // Nobody answers by what it remembers.
+  // No controller may answer from its memory: all of them restart.
   for (const node of [0, 1, 2]) world.crash(node, 500);
   await world.clock.runUntil(FROM + 45_000);
   for (const node of NODES) expect(await world.until(world.ask(id, node))).toBe('done');
@@ -157,8 +162,16 @@
 test('delayed transactions: claims applied after newer ones of the same chunk survive a failover', async () => {
   const world = new Simulation(seeded(4), { keepLog: true });
   const id = 'req-000000';
-  // A task fills a machine, and machines come one after another.
-  const place = { team: 'crew', cpus: 8, memoryGb: 1, spot: true, zone: null, oneZone: false, spread: false };
+  // Each task fills a machine, and the machines boot one after another.
+  const placement = {
+    team: 'crew',
+    cpus: 8,
+    memoryGb: 1,
+    spot: true,
+    zone: null,
+    oneZone: false,
+    spread: false,
+  };
   world.cloud.capacity = 4;
   world.runtimes.set(id, [90_000, 0]);
   const claims: number[] = [];
@@ -172,20 +185,20 @@
       claims.push(world.clock.now);
     return outcome;
   };
-  const late = 9000;
+  const delayMs = 9000;
   let sentAt = Infinity;
   world.state.delayNextTransaction(({ mutations }) => {
-    const isOne = mutations.some((write) => 'put' in write && write.put.startsWith('run/'));
-    if (isOne) sentAt = world.clock.now;
-    return isOne;
-  }, late);
-  void world.user({ ...place, id, tasks: 4 }, null);
+    const isClaim = mutations.some((write) => 'put' in write && write.put.startsWith('run/'));
+    if (isClaim) sentAt = world.clock.now;
+    return isClaim;
+  }, delayMs);
+  void world.user({ ...placement, id, tasks: 4 }, null);
   while (sentAt === Infinity) await world.clock.runUntil(world.clock.now + 100);
-  await world.clock.runUntil(sentAt + late - 100);
-  // Newer ones of the same chunk have been written, and tasks started by them.
+  await world.clock.runUntil(sentAt + delayMs - 100);
+  // Newer claims of the same chunk have been written, and their tasks have been started.
   expect(claims.length).toBeGreaterThan(0);
   expect(world.checker.placedTasks(id)).toBe(4);
-  await world.clock.runUntil(sentAt + late + 50);
+  await world.clock.runUntil(sentAt + delayMs + 50);
   world.crash(NODES.indexOf(world.leaders()[0] ?? ''), 3000);
   await expectCleanEnd(world, 300_000);
   expect(world.checker.started).toBe(4);
@@ -196,11 +209,11 @@
   const { world, ids } = await startBusyCluster(3, { jobs: 2, runs: [22_000, 14_000] });
   const { clock, checker } = world;
   const started = checker.started;
-  // The first tasks end; their leader ends before it has written that down, and so does the next.
+  // The first tasks end; their leader crashes before it has written that, and so does the next one.
   for (let i = 0; i < 2; i += 1) {
     const before = checker.placedTasks();
     while (checker.placedTasks() === before) await clock.runUntil(clock.now + 50);
-    // Long enough for its leader to hear of it, too short for that to be written.
+    // Long enough for the leader to receive the heartbeat, too short for it to commit the end.
     await clock.runUntil(clock.now + 1300);
     for (const id of ids)
       if (checker.placedTasks(id) > 0) expect(await world.until(world.ask(id))).not.toBe('done');
@@ -213,38 +226,38 @@
 
 // 3. A stale heartbeat arrives after newer ones.
 test('stale heartbeats: a new leader does not take the end of an earlier attempt for the current one', () => {
-  const bench = new CoreHarness();
-  const claims = { 0: { attempt: 2, machine: 'm', agentEpoch: 3, createdAt: bench.now } };
-  bench.takeOver(job('req-1', 1, 4, 50), claims);
-  bench.now += 3000;
-  bench.hear(report('n', 1));
-  const claim = (): unknown => [...(bench.state.jobs.get('req-1')?.claims.values() ?? [])];
+  const harness = new CoreHarness();
+  const claims = { 0: { attempt: 2, machine: 'm', agentEpoch: 3, createdAt: harness.now } };
+  harness.takeOver(job('req-1', 1, 4, 50), claims);
+  harness.now += 3000;
+  harness.hear(report('n', 1));
+  const claim = (): unknown => [...(harness.state.jobs.get('req-1')?.claims.values() ?? [])];
   const held = [expect.objectContaining({ machine: 'm', attempt: 2 })];
-  // Of an earlier attempt, of an earlier session, in the wrong order, with the token of the leader before.
-  const old = (seq: number, session: number, exit: 'stopped' | 'error'): Effect[] =>
-    bench.hear(
+  // Heartbeats of an earlier attempt, an earlier session, out of order, and with the token of the previous leader.
+  const sendStale = (seq: number, session: number, exit: 'stopped' | 'error'): Effect[] =>
+    harness.hear(
       report('m', seq, [task('req-1/0', 1, 'exited', exit)], { agentEpoch: session, token: TERM - 1 }),
     );
-  old(40, 3, 'stopped');
+  sendStale(40, 3, 'stopped');
   expect(claim()).toEqual(held);
-  old(90, 2, 'error');
-  old(12, 3, 'error');
-  bench.hear(report('m', 30, [], { agentEpoch: 3, token: TERM - 1 }));
+  sendStale(90, 2, 'error');
+  sendStale(12, 3, 'error');
+  harness.hear(report('m', 30, [], { agentEpoch: 3, token: TERM - 1 }));
   expect(claim()).toEqual(held);
-  expect(bench.state.machines.get('m')).toMatchObject({ agentEpoch: 3, heartbeatSequence: 40 });
+  expect(harness.state.machines.get('m')).toMatchObject({ agentEpoch: 3, heartbeatSequence: 40 });
 });
 
 // 4. A leader is partitioned from the store and its peers; workers and users still reach it.
 test('a leader partitioned with its workers and users: cancelled tasks stop in time, no stale read', async () => {
   const { world, leader, others, ids } = await startBusyCluster();
   const { clock, checker } = world;
-  const alone = NODES[leader] ?? '';
-  const cut = 70_000;
+  const isolated = NODES[leader] ?? '';
+  const partitionMs = 70_000;
   for (const host of [...others.map((node) => NODES[node] ?? ''), 'state', 'cloud'])
-    world.network.partition(alone, host, cut);
-  reachOnly(world, alone, cut);
+    world.network.partition(isolated, host, partitionMs);
+  partitionMachinesFromAllBut(world, isolated, partitionMs);
   await clock.runUntil(FROM + 6000);
-  const [next = ''] = world.leaders().filter((node) => node !== alone);
+  const [next = ''] = world.leaders().filter((node) => node !== isolated);
   expect(next).not.toBe('');
   for (const id of ids) expect(await world.until(world.withdraw(id, next))).toBe(true);
   expect(checker.placedTasks()).toBe(9);
@@ -252,7 +265,7 @@
   const answers: (string | null)[] = [];
   while (clock.now < from + CANCEL) {
     await clock.runUntil(clock.now + 1000);
-    for (const id of ids) answers.push(await world.until(world.ask(id, alone)));
+    for (const id of ids) answers.push(await world.until(world.ask(id, isolated)));
   }
   expect(answers.filter((stage) => stage !== null)).toEqual([]);
   expect(world.ready()[leader]).toBe(false);
@@ -260,48 +273,48 @@
   await expectCleanEnd(world);
 });
 
-// 5. A command or its response is delayed for seconds, and the machine then resumes.
+// 5. A machine is paused for seconds, so that commands and responses are delayed, and then resumes.
 test.each([
   ['within its lease', 0.7 * LEASE],
   ['across its lease', 1.2 * LEASE],
-])('a machine paused %s during a leader crash runs nothing twice', async (_, hangs) => {
+])('a machine paused %s during a leader crash runs nothing twice', async (_, pauseMs) => {
   const { world, leader } = await startBusyCluster();
   const { clock, cloud, checker } = world;
   const [name = ''] = cloud.workers.keys();
   const worker = cloud.workers.get(name);
-  worker?.pause(hangs);
+  worker?.pause(pauseMs);
   const attempts = new Map(
     [...(worker?.tasks.values() ?? [])].map(({ job: id, task: n, take }) => [`${id}/${n}`, take]),
   );
   expect(attempts.size).toBeGreaterThan(0);
   await clock.runUntil(FROM + 1000);
   world.crash(leader, 20_000);
-  await clock.runUntil(FROM + hangs + 1000);
-  const back = [...(cloud.workers.get(name)?.tasks.values() ?? [])];
-  // Back within its lease it goes on with what it had, and nobody has it anew.
-  if (hangs < LEASE && cloud.workers.has(name)) expect(back.length).toBe(attempts.size);
-  for (const { job: id, task: n, take } of back)
+  await clock.runUntil(FROM + pauseMs + 1000);
+  const tasksAfterPause = [...(cloud.workers.get(name)?.tasks.values() ?? [])];
+  // A machine that resumes within its lease continues its tasks, and none of them is started again elsewhere.
+  if (pauseMs < LEASE && cloud.workers.has(name)) expect(tasksAfterPause.length).toBe(attempts.size);
+  for (const { job: id, task: n, take } of tasksAfterPause)
     expect(take).toBeGreaterThanOrEqual(attempts.get(`${id}/${n}`) ?? 1);
   await expectCleanEnd(world);
   expect(checker.placedTasks()).toBe(0);
 });
 
-// 6. Leaders end while machines with long tasks cannot be reached. Whether a worker finds a controller within its
-// lease after such a cut is a matter of its own rhythm; what the service does must not add to what is lost by it.
+// 6. Leaders crash while machines with long tasks are unreachable. Whether a worker finds a controller within its lease
+// after such a partition depends on the times of its retries; the service itself must not cause further losses.
 test.each([3, 4, 5, 6, 7, 8])(
   'claims of unreachable machines survive three failovers, and no task is restarted needlessly (%d)',
   async (seed) => {
     const { world } = await startBusyCluster(seed);
     const { clock, cloud, checker } = world;
     const started = checker.started;
-    const away = 0.85 * LEASE;
+    const partitionMs = 0.85 * LEASE;
     for (const name of cloud.workers.keys())
-      for (const node of NODES) world.network.partition(name, node, away);
+      for (const node of NODES) world.network.partition(name, node, partitionMs);
     for (let i = 0; i < 3; i += 1) {
       await clock.runUntil(clock.now + 2200);
       world.crash(NODES.indexOf(world.leaders()[0] ?? ''), 4000);
     }
-    await clock.runUntil(FROM + away);
+    await clock.runUntil(FROM + partitionMs);
     expect(checker.placedTasks()).toBe(9);
     await expectCleanEnd(world);
     expect(checker.started).toBe(started + checker.expiredTasks);
@@ -330,15 +343,15 @@
   await expectCleanEnd(world);
 });
 
-// 8. All controllers crash, and one restarts, also within a second.
+// 8. All controllers crash and one restarts, in some cases within a second.
 test.each([100, 900, 5000])(
-  'after a crash of all, one node back alone after %d ms serves; tasks go on',
-  async (after) => {
+  'after a crash of all nodes, one that restarts alone after %d ms serves; tasks continue',
+  async (restartMs) => {
     const { world, ids } = await startBusyCluster();
     const { clock, checker } = world;
     const started = checker.started;
-    for (const node of [0, 1, 2]) world.crash(node, node === 1 ? after : 40_000);
-    await clock.runUntil(FROM + after + 6000);
+    for (const node of [0, 1, 2]) world.crash(node, node === 1 ? restartMs : 40_000);
+    await clock.runUntil(FROM + restartMs + 6000);
     expect(world.leaders()).toEqual(['n-1']);
     expect(world.ready()[1]).toBe(true);
     for (const id of ids) expect(await world.until(world.ask(id, 'n-1'))).toBe('running');
@@ -348,24 +361,30 @@
   },
 );
 
-/** The last trouble of a meeting day is over by then; after it all that was accepted ends. */
-const CALM = 240_000;
-const END = CALM + 3 * MAX_RUNTIME_MS;
+/** By then all faults of a run are over, in milliseconds. */
+const FAULTS_END_MS = 240_000;
+/** By then every accepted job has ended, in milliseconds. */
+const END_MS = FAULTS_END_MS + 3 * MAX_RUNTIME_MS;
 
-async function playMeetings(seed: number, meetings: number): Promise<{ world: Simulation; met: string[] }> {
+async function simulateConcurrentFaults(
+  seed: number,
+  combinations: number,
+): Promise<{ world: Simulation; injected: string[] }> {
   const cpusMax = seed % 2 === 0 ? 0 : 12;
-  // A third of the days have small values and transactions from the start on.
+  // A third of the runs have tight limits on values and transactions from the start.
   const world = new Simulation(seeded(seed), {
     copies: true,
     cpusMax,
     ...(seed % 3 === 0 ? { limits: TIGHT } : {}),
   });
-  const met: string[] = [];
-  drawConcurrentFaults(world, meetings, (name) => met.push(`${(world.clock.now / 1000).toFixed(1)} ${name}`));
-  world.clock.in(CALM, () => world.checkWaiting());
-  await world.clock.runUntil(END);
-  world.checker.checkUnanswered(CALM, END);
-  return { world, met };
+  const injected: string[] = [];
+  drawConcurrentFaults(world, combinations, (name) =>
+    injected.push(`${(world.clock.now / 1000).toFixed(1)} ${name}`),
+  );
+  world.clock.in(FAULTS_END_MS, () => world.checkWaiting());
+  await world.clock.runUntil(END_MS);
+  world.checker.checkUnanswered(FAULTS_END_MS, END_MS);
+  return { world, injected };
 }
 
 test('under two or three concurrent faults no rule is violated and every accepted job ends', async () => {
@@ -373,11 +392,14 @@
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 1, max: 3 }),
-      async (seed, meetings) => {
-        const { world, met } = await playMeetings(seed, meetings);
-        expect({ met, broken: world.checker.violations }).toEqual({ met, broken: [] });
-        expect({ met, unfinished: world.checker.unfinishedJobs() }).toEqual({ met, unfinished: [] });
-        expect({ met, underserved: world.checker.underserved() }).toEqual({ met, underserved: [] });
+      async (seed, combinations) => {
+        const { world, injected } = await simulateConcurrentFaults(seed, combinations);
+        expect({ injected, broken: world.checker.violations }).toEqual({ injected, broken: [] });
+        expect({ injected, unfinished: world.checker.unfinishedJobs() }).toEqual({
+          injected,
+          unfinished: [],
+        });
+        expect({ injected, underserved: world.checker.underserved() }).toEqual({ injected, underserved: [] });
       },
     ),
     {
--- a/test/emulators/busy-cluster.ts
+++ b/test/emulators/busy-cluster.ts
@@ -1,12 +1,13 @@
-/** A simulation in which all tasks of a few long jobs run: the initial state of the tests of faults. */
+/** A simulation in which all tasks of a few long jobs are running: the initial state of fault tests. */
 import { expect } from 'vitest';
 import { NODES, seeded, Simulation } from './simulation.js';
 
-/** The emulators' cancel_s and the lease of a worker, in milliseconds. */
+/** The values of cancel_s and of the worker lease in `testSettings`, in milliseconds. */
 export const CANCEL = 30_000;
 export const LEASE = 10_000;
+/** The virtual time at which `startBusyCluster` returns, in milliseconds. */
 export const FROM = 20_000;
-/** In the simulation of this seed n-0 leads. */
+/** With this seed n-0 is elected leader. */
 export const DEPUTY_SEED = 7;
 
 interface BusyCluster {
@@ -17,7 +18,7 @@
   readonly ids: readonly string[];
 }
 
-/** Long jobs of three tasks, all of them running, under one leader. */
+/** Starts long jobs, by default three of three tasks each, and returns when all their tasks run. */
 export async function startBusyCluster(
   seed = 3,
   {
@@ -25,7 +26,7 @@
     runs = [60_000, 30_000] as readonly [number, number],
     machines = 6,
     tasks = 3,
-    /** Duplicates of the heartbeats of the first `copies` milliseconds are kept for the next leader. */
+    /** Duplicates of the heartbeats sent in the first `copies` milliseconds are held for the next leader. */
     copies = 0,
     /** Followers accept heartbeats for the leader. */
     sharing = false,
@@ -35,10 +36,18 @@
   if (copies > 0) world.keepDuplicates(1, copies);
   world.cloud.capacity = machines;
   const ids = Array.from({ length: jobs }, (_, i) => `req-${String(i).padStart(6, '0')}`);
-  const place = { team: 'crew', cpus: 2, memoryGb: 1, spot: true, zone: null, oneZone: false, spread: false };
+  const placement = {
+    team: 'crew',
+    cpus: 2,
+    memoryGb: 1,
+    spot: true,
+    zone: null,
+    oneZone: false,
+    spread: false,
+  };
   for (const id of ids) {
     world.runtimes.set(id, runs);
-    void world.user({ ...place, id, tasks }, null);
+    void world.user({ ...placement, id, tasks }, null);
   }
   await world.clock.runUntil(FROM);
   expect(world.checker.placedTasks()).toBe(jobs * tasks);
@@ -46,13 +55,16 @@
   return { world, leader, others: [0, 1, 2].filter((node) => node !== leader), ids };
 }
 
-/** Limits all machines to one node: heartbeats to the others and their responses are held back. */
-export function reachOnly(world: Simulation, node: string, ms: number): void {
-  for (const name of world.cloud.workers.keys())
-    for (const other of NODES) if (other !== node) world.network.partition(name, other, ms);
+/**
+ * Partitions all machines from every node but one: heartbeats to the others, and the responses to them, are held
+ * back until the partition ends.
+ */
+export function partitionMachinesFromAllBut(world: Simulation, node: string, ms: number): void {
+  for (const machine of world.cloud.workers.keys())
+    for (const other of NODES) if (other !== node) world.network.partition(machine, other, ms);
 }
 
-/** Lets the run end; no rule may be violated and every accepted job must end. */
+/** Runs the simulation for another `ms`; no rule may be violated and every accepted job must end. */
 export async function expectCleanEnd(world: Simulation, ms = 250_000): Promise<void> {
   await world.clock.runUntil(world.clock.now + ms);
   expect(world.checker.violations).toEqual([]);
--- a/test/emulators/core-harness.ts
+++ b/test/emulators/core-harness.ts
@@ -30,7 +30,7 @@
   tasks: number,
   cpus: number,
   estimateS: number,
-  more: Partial<JobSpec> = {},
+  overrides: Partial<JobSpec> = {},
 ): JobSpec {
   return {
     id,
@@ -54,7 +54,7 @@
     saveS: 0,
     deadlineS: null,
     submittedAt: 0,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -62,7 +62,7 @@
   machine: string,
   seq: number,
   tasks: readonly ReportedTask[] = [],
-  more: Partial<Heartbeat> = {},
+  overrides: Partial<Heartbeat> = {},
 ): Heartbeat {
   return {
     machine,
@@ -75,7 +75,7 @@
     token: TERM,
     terminationNoticeS: null,
     tasks,
-    ...more,
+    ...overrides,
   };
 }
 
@@ -131,15 +131,15 @@
   }
 }
 
-/** A core that leads, on a manual clock. */
+/** The core of a leader on a clock that the test advances. */
 export class CoreHarness {
   readonly state: CoreState;
   readonly lines: string[] = [];
   now = 100_000;
-  /** Whether the store answers: each batch then begins with a confirmation of the view. */
+  /** Whether the store responds: if so, each batch begins with a confirmation of the view. */
   isViewConfirmed = true;
   #modRevision = TERM_REVISION;
-  #reply = 0;
+  #replyId = 0;
 
   constructor(cpusMax = 0, types: MachineType[] = [EIGHT], limits: object = {}) {
     const settings = testSettings(0, cpusMax, limits);
@@ -169,41 +169,41 @@
     return { monotonicMs: this.now, epochMs: this.now };
   }
 
-  /** One batch; commits are not answered. */
-  raw(...given: Command[]): Effect[] {
+  /** Steps the core with one batch of commands and returns its effects; its commits get no outcome. */
+  raw(...batch: Command[]): Effect[] {
     const commands: Command[] = this.isViewConfirmed
-      ? [{ kind: 'viewConfirmed', sentAt: this.now }, ...given]
-      : [...given];
-    const tell = (mark: string, line: string | null): void => {
+      ? [{ kind: 'viewConfirmed', sentAt: this.now }, ...batch]
+      : [...batch];
+    const record = (mark: string, line: string | null): void => {
       if (line !== null)
         this.lines.push(`${((this.now - 102_000) / 1000).toFixed(1).padStart(6)} ${mark} ${line}`);
     };
-    for (const command of commands) tell('>', describeCommand(command));
+    for (const command of commands) record('>', describeCommand(command));
     const effects = step(this.state, commands, this.time());
-    for (const effect of effects) tell('<', describeEffect(effect));
+    for (const effect of effects) record('<', describeEffect(effect));
     return effects;
   }
 
-  /** One batch whose commits are applied at once, and what follows from that. */
+  /** Steps the core with one batch of commands, applies the commits that follow and returns all effects. */
   do(...commands: Command[]): Effect[] {
-    const all = this.raw(...commands);
-    for (let commit = all.find((effect) => effect.kind === 'commit'); commit?.kind === 'commit';) {
+    const effects = this.raw(...commands);
+    for (let commit = effects.find((effect) => effect.kind === 'commit'); commit?.kind === 'commit';) {
       const next = this.raw({
         kind: 'committed',
         id: commit.id,
         outcome: { kind: 'applied', revision: ++this.#modRevision },
       });
-      all.push(...next);
+      effects.push(...next);
       commit = next.find((effect) => effect.kind === 'commit');
     }
-    return all;
+    return effects;
   }
 
   add(spec: JobSpec): Effect[] {
     return this.do({ kind: 'jobAdded', job: { value: spec, modRevision: ++this.#modRevision } });
   }
 
-  /** A new leader that knows one job and its claims from the store alone. */
+  /** Makes the core a new leader that has loaded one job and its claims from the store. */
   takeOver(spec: JobSpec, claims: Readonly<Record<string, Claim>>): void {
     const { id, team, cpus, gpus, memoryGb } = spec;
     const record = { team, cpus, gpus, memoryGb, done: '', attempts: {}, claims };
@@ -220,12 +220,12 @@
     });
   }
 
-  /** One heartbeat, its commits applied. */
-  hear(from: Heartbeat): Effect[] {
-    return this.do({ kind: 'heartbeat', reply: ++this.#reply, heartbeat: from });
+  /** Delivers one heartbeat and applies the commits that follow. */
+  hear(heartbeat: Heartbeat): Effect[] {
+    return this.do({ kind: 'heartbeat', reply: ++this.#replyId, heartbeat });
   }
 
-  /** The tasks that a batch of effects starts, as `job/task#attempt`. */
+  /** The tasks started by the commands in these effects, as `job/task#attempt`. */
   static starts(effects: readonly Effect[]): string[] {
     return effects.flatMap((effect) =>
       effect.kind === 'reply' && effect.body.kind === 'commands'
--- a/test/simulated-runs.test.ts
+++ b/test/simulated-runs.test.ts
@@ -1,31 +1,36 @@
-/** Simulated runs of the whole service with drawn faults; an independent checker verifies every rule of the protocol. */
+/** Simulated runs of the whole service with random faults; an independent checker verifies the protocol rules. */
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { Checker } from './emulators/checker.js';
 import { drawRun, seeded, TIGHT, Simulation, type RunSize } from './emulators/simulation.js';
 
-const DAY = 90_000;
-/** Long enough after the last fault for every lease, boot and return. */
-const REST = 150_000;
+const DAY_MS = 90_000;
+/** Time after the last fault: enough for every lease, boot and termination of a machine, in milliseconds. */
+const RECOVERY_MS = 150_000;
 
-async function playDay(seed: number, faults: number, cpusMax: number, size?: RunSize): Promise<Simulation> {
+async function simulateDay(
+  seed: number,
+  faults: number,
+  cpusMax: number,
+  size?: RunSize,
+): Promise<Simulation> {
   const world = new Simulation(seeded(seed), { cpusMax, copies: size?.onCall === true });
-  drawRun(world, DAY, faults, size);
-  await world.clock.runUntil(DAY + REST);
-  // The last trouble lasts no longer than this.
-  if (size?.onCall === true) world.checker.checkUnanswered(DAY + 40_000, DAY + REST);
+  drawRun(world, DAY_MS, faults, size);
+  await world.clock.runUntil(DAY_MS + RECOVERY_MS);
+  // The faults are taken to be over 40 s after the end of the day; from then on requests must be answered.
+  if (size?.onCall === true) world.checker.checkUnanswered(DAY_MS + 40_000, DAY_MS + RECOVERY_MS);
   return world;
 }
 
 test('without faults every job completes and no rule is violated', async () => {
-  const world = await playDay(1, 0, 0);
+  const world = await simulateDay(1, 0, 0);
   expect(world.checker.violations).toEqual([]);
   expect(world.checker.unfinishedJobs()).toEqual([]);
   expect(world.checker.started).toBeGreaterThan(20);
 });
 
 test('a team at its quota never exceeds it and completes all its jobs', async () => {
-  const world = await playDay(2, 0, 6);
+  const world = await simulateDay(2, 0, 6);
   expect(world.checker.violations).toEqual([]);
   expect(world.checker.unfinishedJobs()).toEqual([]);
 });
@@ -36,7 +41,7 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 3, max: 14 }),
       async (seed, faults) => {
-        const world = await playDay(seed, faults, seed % 2 === 0 ? 0 : 16);
+        const world = await simulateDay(seed, faults, seed % 2 === 0 ? 0 : 16);
         expect(world.checker.violations).toEqual([]);
         expect(world.checker.unfinishedJobs()).toEqual([]);
       },
@@ -45,17 +50,17 @@
   );
 }, 900_000);
 
-// At this size chunks of one job, transactions and takeovers hold hundreds of claims: what a
-// small day never fills.
+// At this size the chunks of one job, the transactions and the takeovers hold hundreds of claims; smaller runs never
+// fill them.
 test('with 160 machines, thousands of tasks and faults no rule is violated', async () => {
-  const world = await playDay(11, 10, 0, { jobs: 200, maxTasks: 60, machines: 160 });
+  const world = await simulateDay(11, 10, 0, { jobs: 200, maxTasks: 60, machines: 160 });
   expect(world.checker.violations).toEqual([]);
   expect(world.checker.unfinishedJobs()).toEqual([]);
   expect(world.cloud.peakMachines).toBeGreaterThan(100);
   expect(world.checker.started).toBeGreaterThan(3000);
 }, 300_000);
 
-const PIPELINES: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
+const DAGS: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
 
 test('with job DAGs, cancellations and faults no rule is violated and every job ends', async () => {
   await fc.assert(
@@ -63,7 +68,7 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 0, max: 12 }),
       async (seed, faults) => {
-        const world = await playDay(seed, faults, 0, PIPELINES);
+        const world = await simulateDay(seed, faults, 0, DAGS);
         expect(world.checker.violations).toEqual([]);
         expect(world.checker.unfinishedJobs()).toEqual([]);
       },
@@ -73,14 +78,14 @@
 }, 900_000);
 
 /**
- * An upgrade: all controllers begin as the version before, end and come back new one by one,
- * die in between, and some time after the last the state service's limits shrink.
+ * An upgrade: all controllers start as the earlier version and are restarted as the new one, one by one, with crashes
+ * in between; some time after the last restart the limits of the store are reduced.
  */
-async function playUpgrade(seed: number, faults: number): Promise<Simulation> {
+async function simulateUpgrade(seed: number, faults: number): Promise<Simulation> {
   const world = new Simulation(seeded(seed), { limits: TIGHT, earlier: true });
   const { draw, clock } = world;
   const wide: RunSize = { jobs: 12, maxTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
-  drawRun(world, DAY, faults, wide);
+  drawRun(world, DAY_MS, faults, wide);
   for (let i = 0; i < 4; i += 1) clock.in(40_000 * draw(), () => world.crash(Math.floor(draw() * 3), 2000));
   [2, 0, 1].forEach((node, i) =>
     clock.in(10_000 + i * (2000 + 10_000 * draw()), () => world.upgrade(node, 4000)),
@@ -88,7 +93,7 @@
   clock.in(45_000 + 20_000 * draw(), () => world.reduceLimits());
   for (let i = 0; i < 4; i += 1)
     clock.in(45_000 + 25_000 * draw(), () => world.crash(Math.floor(draw() * 3), 2000));
-  await clock.runUntil(DAY + REST);
+  await clock.runUntil(DAY_MS + RECOVERY_MS);
   return world;
 }
 
@@ -98,10 +103,10 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 0, max: 6 }),
       async (seed, faults) => {
-        const world = await playUpgrade(seed, faults);
+        const world = await simulateUpgrade(seed, faults);
         expect(world.checker.violations).toEqual([]);
         expect(world.checker.unfinishedJobs()).toEqual([]);
-        // Nothing is left of the records of before, nor of any ended job.
+        // No claim records are left, neither those of the earlier version nor those of ended jobs.
         expect([...world.state.keys.keys()].filter((key) => key.startsWith('run/'))).toEqual([]);
       },
     ),
@@ -109,15 +114,15 @@
   );
 }, 900_000);
 
-const ON_CALL: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
+const PRODUCTION_FAULTS: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
 
-test('combinations of faults seen in production violate no rule, lose no job and serve every share', async () => {
+test('combinations of faults seen in production violate no rule, lose no job and starve no class, team or large job', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 2, max: 14 }),
       async (seed, faults) => {
-        const world = await playDay(seed, faults, 0, ON_CALL);
+        const world = await simulateDay(seed, faults, 0, PRODUCTION_FAULTS);
         expect(world.checker.violations).toEqual([]);
         expect(world.checker.unfinishedJobs()).toEqual([]);
         expect(world.checker.underserved((id) => world.faultyJobs.has(id))).toEqual([]);
@@ -131,7 +136,7 @@
   );
 }, 900_000);
 
-const planted = (): Checker => {
+const checkerWithJobs = (): Checker => {
   const checker = new Checker(30_000, 0);
   const place = { team: 'crew', cpus: 1, memoryGb: 1, spot: true, zone: null, oneZone: false, spread: false };
   for (const [id, jobClass, tasks] of [
@@ -146,19 +151,19 @@
 };
 
 test('the checker rejects histories with an unanswered job, a starved class or a starved large job', () => {
-  const forgotten = planted();
-  forgotten.requested('req-1', 99_000);
-  forgotten.answered('req-1', 503, {}, 99_000, 'show');
-  forgotten.checkUnanswered(30_000, 100_000);
-  expect(forgotten.violations).toEqual([]);
-  forgotten.checkUnanswered(20_000, 100_000);
-  expect(forgotten.violations).toEqual(['forgotten: req-1 had no answer for 80 s']);
-  const late = planted();
-  late.taskStarts('req-1', 0, 'm', 'a', true, 241_000);
-  late.taskStarts('req-2', 0, 'm', 'a', true, 1000);
-  late.taskGone('req-2', 0, 'm', true, 2000);
-  late.answered('req-2', 200, { stage: 'done' }, 3000, 'show');
-  expect(late.underserved()).toEqual([
+  const unanswered = checkerWithJobs();
+  unanswered.requested('req-1', 99_000);
+  unanswered.answered('req-1', 503, {}, 99_000, 'show');
+  unanswered.checkUnanswered(30_000, 100_000);
+  expect(unanswered.violations).toEqual([]);
+  unanswered.checkUnanswered(20_000, 100_000);
+  expect(unanswered.violations).toEqual(['forgotten: req-1 had no answer for 80 s']);
+  const starved = checkerWithJobs();
+  starved.taskStarts('req-1', 0, 'm', 'a', true, 241_000);
+  starved.taskStarts('req-2', 0, 'm', 'a', true, 1000);
+  starved.taskGone('req-2', 0, 'm', true, 2000);
+  starved.answered('req-2', 200, { stage: 'done' }, 3000, 'show');
+  expect(starved.underserved()).toEqual([
     'class idle: 1 of 3 served',
     'team crew: 1 of 3 served',
     'largest of idle: 0 of 2 served',
