--- a/test/emulators/checker.ts
+++ b/test/emulators/checker.ts
@@ -65,7 +65,7 @@
   readonly #placed: PlacedTask[] = [];
   readonly #waitingSince = new Map<string, number>();
   /** Jobs that can never run or lack a required field: no controller may accept them. */
-  readonly #unacceptable = new Set<string>();
+  readonly #invalidJobs = new Set<string>();
   started = 0;
   /** Tasks that workers killed at lease expiry. */
   expiredTasks = 0;
@@ -117,26 +117,26 @@
     );
   }
 
-  submitted(job: SubmittedJob): void {
+  recordSubmission(job: SubmittedJob): void {
     this.#jobs.set(job.id, job);
     this.#historyOf(job.id);
   }
 
   /** Records the submission of a job that can never run or lacks a required field. */
-  submittedUnacceptable(id: string): void {
-    this.#unacceptable.add(id);
+  recordInvalidSubmission(id: string): void {
+    this.#invalidJobs.add(id);
   }
 
-  requested(id: string, now: number): void {
+  recordRequest(id: string, now: number): void {
     this.#historyOf(id).requestedAt = now;
   }
 
-  cancelRequested(id: string): void {
+  recordCancellationRequest(id: string): void {
     this.#historyOf(id).cancelRequested = true;
   }
 
   /** Records the response to a request about a job and checks it against the rules. */
-  answered(
+  recordResponse(
     id: string,
     status: number,
     body: unknown,
@@ -147,7 +147,7 @@
     const history = this.#historyOf(id);
     if (status < 500) history.answeredAt = now;
     if (status === 200 || status === 201) {
-      if (this.#unacceptable.has(id)) {
+      if (this.#invalidJobs.has(id)) {
         this.#violate('accepted_invalid', id);
         return;
       }
@@ -184,7 +184,7 @@
   }
 
   /** Records that a controller has commanded a worker to start tasks of these jobs. */
-  commandsGiven(starts: readonly string[], now: number): void {
+  recordCommands(starts: readonly string[], now: number): void {
     for (const id of starts) {
       const at = this.#historyOf(id).cancelledAt;
       if (at !== null && now > at + MAX_CANCELLATION_LAG_MS)
@@ -192,7 +192,14 @@
     }
   }
 
-  taskStarts(job: string, task: number, machine: string, zone: string, spot: boolean, now: number): void {
+  recordTaskStart(
+    job: string,
+    task: number,
+    machine: string,
+    zone: string,
+    spot: boolean,
+    now: number,
+  ): void {
     this.started += 1;
     this.#historyOf(job).startedAt ??= now;
     const spec = this.#jobs.get(job);
@@ -271,7 +278,7 @@
     if (at !== null && now > at + this.cancelMs) this.#violate('ran_cancelled', `${job}/${task}`);
   }
 
-  taskGone(job: string, task: number, machine: string, completed: boolean, now: number): void {
+  recordTaskEnd(job: string, task: number, machine: string, completed: boolean, now: number): void {
     const at = this.#placed.findIndex((on) => on.job === job && on.task === task && on.machine === machine);
     if (at < 0) return;
     this.#placed.splice(at, 1);
--- a/test/emulators/clock.ts
+++ b/test/emulators/clock.ts
@@ -82,7 +82,7 @@
     });
   }
 
-  /** Work takes no virtual time: measurements are fixed, and larger for a process whose timers are late. */
+  /** Work takes no virtual time: measurements are constant, with a longer elapsed time if timers are late. */
   startMeasuring(): () => { elapsedMs: number; cpuMs: number } {
     return () => ({ elapsedMs: this.lateMs > 0 ? 20 : 5, cpuMs: 1 });
   }
--- a/test/emulators/cloud.ts
+++ b/test/emulators/cloud.ts
@@ -94,7 +94,7 @@
     const round = ++this.#timerRound;
     const { clock, draw } = this.network;
     clock.in(this.environment.reportMs * (0.75 + 0.5 * draw()), () => {
-      if (round === this.#timerRound) this.#whenAwake(() => this.#report());
+      if (round === this.#timerRound) this.#whenAwake(() => this.#sendHeartbeat());
     });
   }
 
@@ -127,7 +127,7 @@
     // The tasks of a machine that is still paused stopped when the pause began.
     const at = this.pausedUntil < now ? now : this.pausedFrom;
     for (const { job, task } of this.tasks.values())
-      this.checker.taskGone(job, task, this.listed.name, false, Math.min(at, now));
+      this.checker.recordTaskEnd(job, task, this.listed.name, false, Math.min(at, now));
     this.tasks.clear();
   }
 
@@ -162,7 +162,7 @@
     };
   }
 
-  #report(): void {
+  #sendHeartbeat(): void {
     const { clock } = this.network;
     const sentAt = clock.now;
     const { session } = this;
@@ -174,7 +174,7 @@
       isFinished = true;
       const round = ++this.#timerRound;
       clock.in(ms, () => {
-        if (round === this.#timerRound) this.#whenAwake(() => this.#report());
+        if (round === this.#timerRound) this.#whenAwake(() => this.#sendHeartbeat());
       });
     };
     clock.in(4000, () => {
@@ -185,7 +185,7 @@
     const duplicate = this.environment.copy();
     if (duplicate !== null)
       clock.in(duplicate.afterMs, () => this.deliver(duplicate.node ?? node, body, () => undefined));
-    // The machine cannot open connections: this heartbeat is not sent, so onHeartbeatSent is not called.
+    // The machine cannot open connections: the heartbeat is not sent, so onHeartbeatSent is not called.
     if (this.network.isOutboundBlocked(this.listed.name)) {
       this.#tryNextNode();
       next(1000);
@@ -195,7 +195,7 @@
     if (this.network.isPartitioned(this.listed.name, node) && this.network.draw() < 0.5) return;
     this.network.send(this.listed.name, node, () =>
       this.deliver(node, body, (status, text) => {
-        this.checker.commandsGiven(jobsStartedBy(parseResponse(text)?.['cues']), clock.now);
+        this.checker.recordCommands(jobsStartedBy(parseResponse(text)?.['cues']), clock.now);
         this.network.send(node, this.listed.name, () =>
           this.#whenAwake(() => {
             if (isFinished || clock.now - sentAt > 4000) return;
@@ -256,7 +256,7 @@
         if (this.tasks.get(`${name}#${take}`) !== running || running.stage === 'ended') return;
         running.stage = 'running';
         const { name: machine, zone, spot } = this.listed;
-        this.checker.taskStarts(job, task, machine, zone, spot, this.network.clock.now);
+        this.checker.recordTaskStart(job, task, machine, zone, spot, this.network.clock.now);
         this.network.clock.in(this.environment.runMs(job, task), () =>
           this.#whenAwake(() => {
             const isStillRunning =
@@ -274,7 +274,7 @@
   #end(running: RunningTask, cadence: string): void {
     running.stage = 'ended';
     running.cadence = cadence;
-    this.checker.taskGone(
+    this.checker.recordTaskEnd(
       running.job,
       running.task,
       this.listed.name,
--- a/test/emulators/election-explorer.ts
+++ b/test/emulators/election-explorer.ts
@@ -18,7 +18,7 @@
 import { testSettings } from './simulation.js';
 
 const NODES = ['n-0', 'n-1', 'n-2'];
-const TIMES = timing(testSettings(0));
+const TIMING = timing(testSettings(0));
 
 type PendingRequest = Exclude<ElectionEffect, { kind: 'elected' | 'lost' | 'leaderObserved' }>;
 type Transaction = Extract<ElectionEffect, { kind: 'campaign' | 'nameSuccessor' }>;
@@ -101,7 +101,12 @@
   }
 
   #newElection(state: ModelState, name: string): ElectionState {
-    return createElection(name, `life-${state.incarnations++}`, TIMES, name === 'n-2' ? 4 * TIMES.tickMs : 0);
+    return createElection(
+      name,
+      `life-${state.incarnations++}`,
+      TIMING,
+      name === 'n-2' ? 4 * TIMING.tickMs : 0,
+    );
   }
 
   dispatch(state: ModelState, node: Node, event: ElectionEvent): void {
--- a/test/emulators/faults.ts
+++ b/test/emulators/faults.ts
@@ -34,10 +34,10 @@
 
 /** Partitions zone b from zone a, both ways. */
 export function partitionZones(world: Simulation, ms: number): void {
-  const inB = (name: string): boolean => world.zoneOf(name) === 'b';
+  const isInZoneB = (name: string): boolean => world.zoneOf(name) === 'b';
   const hosts = [...NODES, ...world.cloud.workers.keys()];
-  for (const one of hosts.filter(inB))
-    for (const other of hosts) if (!inB(other)) world.network.partition(one, other, ms);
+  for (const one of hosts.filter(isInZoneB))
+    for (const other of hosts) if (!isInZoneB(other)) world.network.partition(one, other, ms);
 }
 
 const FAULTS: Readonly<Record<string, Fault>> = {
@@ -48,12 +48,12 @@
   },
   // The leader still answers workers while other controllers confirm cancellations that it cannot learn of.
   'store refuses the leader, then all': (world) => {
-    const after = between(world, 300, LEADER_LEASE_MS + 500);
+    const delayMs = between(world, 300, LEADER_LEASE_MS + 500);
     const ms = between(world, 0.9 * CANCEL_TIMEOUT_MS, 1.8 * CANCEL_TIMEOUT_MS);
-    world.state.refuse(leaderOf(world), after + ms);
-    for (let i = 0; i < 3; i += 1) world.clock.in(after * world.draw(), () => world.cancelSome(0.4));
-    world.clock.in(after, () => world.state.outage(ms));
-    return after + ms;
+    world.state.refuse(leaderOf(world), delayMs + ms);
+    for (let i = 0; i < 3; i += 1) world.clock.in(delayMs * world.draw(), () => world.cancelSome(0.4));
+    world.clock.in(delayMs, () => world.state.outage(ms));
+    return delayMs + ms;
   },
   'store refuses a node': (world) => {
     const ms = between(world, 2000, CANCEL_TIMEOUT_MS);
@@ -132,9 +132,9 @@
   },
   'machines reach only one node': (world) => {
     const ms = between(world, 5000, 40_000);
-    const kept = world.draw() < 0.7 ? leaderOf(world) : pick(world, NODES);
+    const reachableNode = world.draw() < 0.7 ? leaderOf(world) : pick(world, NODES);
     for (const name of someMachines(world, 0.6))
-      for (const node of NODES) if (node !== kept) world.network.partition(name, node, ms);
+      for (const node of NODES) if (node !== reachableNode) world.network.partition(name, node, ms);
     return ms;
   },
   'machines unreachable': (world) => {
@@ -188,7 +188,7 @@
     for (const name of someMachines(world, 0.4)) world.network.blockOutbound(name, ms);
     return ms;
   },
-  'machines boot at once': (world) => {
+  'machines boot quickly': (world) => {
     const ms = between(world, 10_000, 40_000);
     world.cloud.bootQuickly(ms);
     for (const name of someMachines(world, 0.4)) world.cloud.terminate(name);
@@ -230,10 +230,10 @@
     return ms;
   },
   'ten failovers': (world) => {
-    const every = between(world, 4000, 9000);
+    const intervalMs = between(world, 4000, 9000);
     for (let i = 0; i < 10; i += 1)
-      world.clock.in(i * every, () => world.crash(nodeIndex(leaderOf(world)), between(world, 20, 6000)));
-    return 10 * every;
+      world.clock.in(i * intervalMs, () => world.crash(nodeIndex(leaderOf(world)), between(world, 20, 6000)));
+    return 10 * intervalMs;
   },
   // Zone b, with its workers and its controller, is partitioned from the store and the cloud as well.
   'zone partitioned': (world) => {
@@ -272,8 +272,8 @@
   ['machines unreachable', 'many cancellations, machines paused', 'leader crash'],
   ['machines send nothing', 'leader crash'],
   ['machines send nothing', 'many cancellations, machines paused', 'leader crash'],
-  ['machines boot at once', 'delayed transactions', 'leader crash'],
-  ['machines boot at once', 'lost responses', 'leader crash, restart within a second'],
+  ['machines boot quickly', 'delayed transactions', 'leader crash'],
+  ['machines boot quickly', 'lost responses', 'leader crash, restart within a second'],
   ['duplicated heartbeats for the next leader', 'leader crash'],
   ['duplicated heartbeats for the next leader', 'machines unreachable', 'leader crash'],
   ['all down for longer than a lease', 'cancellations'],
--- a/test/emulators/fingerprint.ts
+++ b/test/emulators/fingerprint.ts
@@ -23,7 +23,7 @@
 }
 
 function dayOf(seed: string): SeededDay {
-  const day = SEEDED_DAYS.find((one) => String(one.seed) === seed);
+  const day = SEEDED_DAYS.find((candidate) => String(candidate.seed) === seed);
   return day ?? exitWithUsageError(`no day has the seed ${seed}`);
 }
 
--- a/test/emulators/simulation.ts
+++ b/test/emulators/simulation.ts
@@ -163,7 +163,7 @@
       nodes: NODES,
       reportMs: 1000,
       leaseMs: 10_000,
-      runMs: (job: string, task: number) => this.#runMs(job, task),
+      runMs: (job: string, task: number) => this.#runtimeMs(job, task),
       isBroken: (job: string) => this.faultyJobs.has(job),
       copy: () => this.#drawDuplicate(),
       onHeartbeatSent: (deliver: (node: string) => void) => {
@@ -191,7 +191,7 @@
     });
   }
 
-  #runMs(job: string, task: number): number {
+  #runtimeMs(job: string, task: number): number {
     const [first, additional] = this.runtimes.get(job) ?? [2000 + 6000 * this.draw(), 0];
     return first + (task === 0 ? 0 : additional);
   }
@@ -209,7 +209,7 @@
   async #cancel(id: string): Promise<void> {
     if (this.#cancellationsRequested.has(id)) return;
     this.#cancellationsRequested.add(id);
-    this.checker.cancelRequested(id);
+    this.checker.recordCancellationRequest(id);
     while ((await this.#request('withdraw', id, {})) === null) await this.clock.sleep(1000);
   }
 
@@ -267,7 +267,7 @@
       }
       for (const [id, body] of this.#invalidJobs()) {
         this.invalidRequests += 1;
-        this.checker.submittedUnacceptable(id);
+        this.checker.recordInvalidSubmission(id);
         void this.#request('submit', id, body);
       }
       this.clock.in(700, round);
@@ -378,10 +378,10 @@
     return NODES.filter((name) => this.#controllers.get(name)?.node.status().isLeader === true);
   }
 
-  start(i: number): void {
-    const name = NODES[i] ?? '';
-    const settings = testSettings(i, this.cpusMax, this.options.limits);
-    const earlier = this.#nodesOfEarlierVersion.has(i);
+  start(nodeIndex: number): void {
+    const name = NODES[nodeIndex] ?? '';
+    const settings = testSettings(nodeIndex, this.cpusMax, this.options.limits);
+    const earlier = this.#nodesOfEarlierVersion.has(nodeIndex);
     const Client = earlier ? EarlierStateClient : StateClient;
     const clock = new ProcessClock(this.clock, 1 + 0.001 * (this.draw() - 0.5), 200 * (this.draw() - 0.5));
     const cloudClient = this.cloud.clientFor(name);
@@ -406,29 +406,33 @@
     node.start();
   }
 
-  crash(i: number, downMs: number): void {
-    const controller = this.#controllers.get(NODES[i] ?? '');
+  crash(nodeIndex: number, downMs: number): void {
+    const controller = this.#controllers.get(NODES[nodeIndex] ?? '');
     if (controller?.clock.alive !== true) return;
     controller.clock.alive = false;
     // Its links break immediately, and new connections to it are refused.
     for (const [name, other] of this.#controllers)
       for (const link of ['lost', 'refused'] as const)
-        if (other !== controller && other.clock.alive && !this.network.isPartitioned(name, NODES[i] ?? ''))
-          this.#link(other, NODES[i] ?? '', link);
-    this.clock.in(downMs, () => this.start(i));
+        if (
+          other !== controller &&
+          other.clock.alive &&
+          !this.network.isPartitioned(name, NODES[nodeIndex] ?? '')
+        )
+          this.#reportLinkState(other, NODES[nodeIndex] ?? '', link);
+    this.clock.in(downMs, () => this.start(nodeIndex));
   }
 
   /** Pauses a controller while its clocks keep running; overdue timers and messages all arrive when it resumes. */
-  pause(i: number, ms: number): void {
-    const controller = this.#controllers.get(NODES[i] ?? '');
+  pause(nodeIndex: number, ms: number): void {
+    const controller = this.#controllers.get(NODES[nodeIndex] ?? '');
     if (controller?.clock.alive === true) controller.clock.pausedUntil = this.clock.now + ms;
   }
 
   /** Stops a controller and restarts it as the version with DAG dependencies. */
-  upgrade(i: number, downMs: number): void {
-    this.#nodesOfEarlierVersion.delete(i);
-    const controller = this.#controllers.get(NODES[i] ?? '');
-    if (controller?.clock.alive === true) this.crash(i, downMs);
+  upgrade(nodeIndex: number, downMs: number): void {
+    this.#nodesOfEarlierVersion.delete(nodeIndex);
+    const controller = this.#controllers.get(NODES[nodeIndex] ?? '');
+    if (controller?.clock.alive === true) this.crash(nodeIndex, downMs);
   }
 
   /** From now on the store enforces the limits that the settings announce. */
@@ -450,8 +454,8 @@
   }
 
   /** Slows a controller down: each of its timers fires `lateMs` later. */
-  slowDown(i: number, lateMs: number): void {
-    const controller = this.#controllers.get(NODES[i] ?? '');
+  slowDown(nodeIndex: number, lateMs: number): void {
+    const controller = this.#controllers.get(NODES[nodeIndex] ?? '');
     if (controller !== undefined) controller.clock.lateMs = lateMs;
   }
 
@@ -460,15 +464,15 @@
     this.#peersRefusedUntil = this.clock.now + ms;
     for (const [name, controller] of this.#controllers)
       for (const other of NODES)
-        if (other !== name && controller.clock.alive) this.#link(controller, other, 'lost');
+        if (other !== name && controller.clock.alive) this.#reportLinkState(controller, other, 'lost');
   }
 
-  isRefused(): boolean {
+  arePeersRefused(): boolean {
     return this.clock.now < this.#peersRefusedUntil;
   }
 
   /** Versions without failure suspicion have no `onLink`; the benchmark simulates them as well. */
-  #link({ node }: ControllerProcess, to: string, link: LinkState): void {
+  #reportLinkState({ node }: ControllerProcess, to: string, link: LinkState): void {
     if ('onLink' in node) node.onLink(to, link);
   }
 
@@ -493,13 +497,13 @@
     this.network.onMessage?.(from, 'peers', `status ${Buffer.from(encodeStatus(status)).toString('hex')}`);
     for (const [to, other] of this.#controllers) {
       if (to === from || this.network.isPartitioned(from, to)) continue;
-      if (!other.clock.alive || this.isRefused()) {
-        if (reportsLinks) this.#link(controller, to, 'refused');
+      if (!other.clock.alive || this.arePeersRefused()) {
+        if (reportsLinks) this.#reportLinkState(controller, to, 'refused');
         continue;
       }
-      if (reportsLinks) this.#link(controller, to, 'up');
+      if (reportsLinks) this.#reportLinkState(controller, to, 'up');
       this.network.send(from, to, () => {
-        if (!this.isRefused()) other.clock.awake(() => other.node.onPeer(status));
+        if (!this.arePeersRefused()) other.clock.awake(() => other.node.onPeer(status));
       });
     }
   }
@@ -509,7 +513,7 @@
     const own = this.#controllers.get(from);
     const other = this.#controllers.get(to);
     if (own === undefined || other === undefined || !own.clock.alive || !other.clock.alive) return false;
-    if (this.isRefused() || own.earlier || other.earlier) return false;
+    if (this.arePeersRefused() || own.earlier || other.earlier) return false;
     this.intakeMessages += 1;
     // A lost message leaves a gap in the sequence; all others arrive in order, each with those queued before it.
     if (this.dropsIntake || this.network.isInboundBlocked(to)) return true;
@@ -521,7 +525,7 @@
     queue.push(frame);
     this.network.send(from, to, () => {
       const due = queue.splice(0, queue.indexOf(frame) + 1);
-      if (this.isRefused()) return;
+      if (this.arePeersRefused()) return;
       const reader = new StatusReader((received) => other.node.onIntake(received));
       for (const next of due) other.clock.awake(() => reader.push(next));
     });
@@ -545,7 +549,7 @@
     if (controller === null || !controller.clock.alive) return null;
     const { users } = controller.node;
     const requestedAt = this.clock.now;
-    this.checker.requested(id, requestedAt);
+    this.checker.recordRequest(id, requestedAt);
     const node = NODES[[...this.#controllers.values()].indexOf(controller)] ?? '';
     const { onMessage } = this.network;
     onMessage?.('user', node, `${kind} ${id} ${JSON.stringify(body)}`);
@@ -554,7 +558,7 @@
     if (response === null || !controller.clock.alive) return null;
     const responseBody = JSON.parse(JSON.stringify(response.body)) as { stage?: string };
     onMessage?.(node, 'user', `${kind} ${id} ${response.status} ${JSON.stringify(response.body)}`);
-    this.checker.answered(id, response.status, responseBody, this.clock.now, kind, requestedAt);
+    this.checker.recordResponse(id, response.status, responseBody, this.clock.now, kind, requestedAt);
     if (response.status >= 300) return null;
     const { stage = null } = responseBody;
     const previous = this.#notedStages.get(id);
@@ -584,13 +588,13 @@
 
   /** Sends a request to cancel a job to one controller; returns whether the cancellation was confirmed. */
   async withdraw(id: string, at: string): Promise<boolean> {
-    this.checker.cancelRequested(id);
+    this.checker.recordCancellationRequest(id);
     return (await this.#request('withdraw', id, {}, at)) === 'withdrawn';
   }
 
   /** Submits a job until it is accepted, then polls it; cancels it after `cancelAfterMs` unless that is null. */
   async user(job: SubmittedJob, cancelAfterMs: number | null): Promise<void> {
-    this.checker.submitted(job);
+    this.checker.recordSubmission(job);
     this.jobs.set(job.id, job);
     const body = {
       nameId: job.id,
@@ -623,7 +627,7 @@
       await this.clock.sleep(1000 + 2000 * this.draw());
       if (this.draw() < 0.1) await this.#request('submit', job.id, body);
       if (this.clock.now >= cancelAt) {
-        this.checker.cancelRequested(job.id);
+        this.checker.recordCancellationRequest(job.id);
         if ((await this.#request('withdraw', job.id, {})) !== null) cancelAt = Infinity;
       }
       if (this.draw() < 0.05) await this.#request('show', `req-9${job.id.slice(4)}`, {});
--- a/test/simulated-runs.test.ts
+++ b/test/simulated-runs.test.ts
@@ -144,25 +144,25 @@
     ['req-2', 'idle', 1],
     ['req-3', 'idle', 9],
   ] as const) {
-    checker.submitted({ ...place, id, jobClass, tasks });
-    checker.answered(id, 201, { stage: 'pending' }, 0, 'submit');
+    checker.recordSubmission({ ...place, id, jobClass, tasks });
+    checker.recordResponse(id, 201, { stage: 'pending' }, 0, 'submit');
   }
   return checker;
 };
 
 test('the checker rejects histories with an unanswered job, a starved class or a starved large job', () => {
   const unanswered = checkerWithJobs();
-  unanswered.requested('req-1', 99_000);
-  unanswered.answered('req-1', 503, {}, 99_000, 'show');
+  unanswered.recordRequest('req-1', 99_000);
+  unanswered.recordResponse('req-1', 503, {}, 99_000, 'show');
   unanswered.checkUnanswered(30_000, 100_000);
   expect(unanswered.violations).toEqual([]);
   unanswered.checkUnanswered(20_000, 100_000);
   expect(unanswered.violations).toEqual(['forgotten: req-1 had no answer for 80 s']);
   const starved = checkerWithJobs();
-  starved.taskStarts('req-1', 0, 'm', 'a', true, 241_000);
-  starved.taskStarts('req-2', 0, 'm', 'a', true, 1000);
-  starved.taskGone('req-2', 0, 'm', true, 2000);
-  starved.answered('req-2', 200, { stage: 'done' }, 3000, 'show');
+  starved.recordTaskStart('req-1', 0, 'm', 'a', true, 241_000);
+  starved.recordTaskStart('req-2', 0, 'm', 'a', true, 1000);
+  starved.recordTaskEnd('req-2', 0, 'm', true, 2000);
+  starved.recordResponse('req-2', 200, { stage: 'done' }, 3000, 'show');
   expect(starved.underserved()).toEqual([
     'class idle: 1 of 3 served',
     'team crew: 1 of 3 served',
