--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -22,7 +22,7 @@
   ['the other follower', 1, 'none'],
   ['one follower, machines reach only the leader', 0, 'leaderOnly'],
   ['one follower, the leader restarts within a second', 1, 'leaderRestarts'],
-  ['one follower, the one in the other zone is refused too', 0, 'deputyRefused'],
+  ['one follower, the store also refuses the follower in the other zone', 0, 'deputyRefused'],
 ])('cancelled tasks stop in a store outage: cancellation confirmed by %s', async (_, follower, variant) => {
   // The deputy must be the only controller in its zone, so this variant needs a seed with another leader.
   const { world, leader, others, ids } = await startBusyCluster(
--- a/test/emulators/election-explorer.ts
+++ b/test/emulators/election-explorer.ts
@@ -392,7 +392,7 @@
   }
 }
 
-/** The key of a state; it is the same for states that differ only in how large their revisions, terms and leases are. */
+/** The key of a state. States that differ only in the size of their revisions, terms and leases have the same key. */
 function stateKey(state: ModelState): string {
   const { store } = state;
   const revisions = new Set<number>([
@@ -427,11 +427,11 @@
     return (n) => sorted.indexOf(n);
   };
   const [modRevisionRank, termRank, leaseRank] = [rank(revisions), rank(terms), rank(leases)];
-  const record = (one: LeaderRecord): string =>
-    `${one.node}${one.incarnation}${termRank(one.term)}${one.successor ?? ''}`;
-  const transaction = (one: Transaction): string =>
-    `${one.kind}${record(one.record)}${leaseRank(one.lease)},${modRevisionRank(one.leaderRevision)},${modRevisionRank(one.termRevision)}`;
-  const whole = JSON.stringify([
+  const record = (leaderRecord: LeaderRecord): string =>
+    `${leaderRecord.node}${leaderRecord.incarnation}${termRank(leaderRecord.term)}${leaderRecord.successor ?? ''}`;
+  const transaction = (txn: Transaction): string =>
+    `${txn.kind}${record(txn.record)}${leaseRank(txn.lease)},${modRevisionRank(txn.leaderRevision)},${modRevisionRank(txn.termRevision)}`;
+  const serialized = JSON.stringify([
     state.faults,
     store.leader && [
       record(store.leader.record),
@@ -471,7 +471,7 @@
       ]),
     ]),
   ]);
-  return createHash('sha1').update(whole).digest('base64');
+  return createHash('sha1').update(serialized).digest('base64');
 }
 
 export interface Bounds {
--- a/test/emulators/simulation.ts
+++ b/test/emulators/simulation.ts
@@ -21,14 +21,14 @@
 export const TIGHT = { value_kb: 8, txn_ops: 32, next: { value_kb: 1, txn_ops: 6, write_rps: 30 } };
 
 export function testSettings(node: number, cpusMax = 0, limits: object = {}): PlatformSettings {
-  const at = (i: number, port: number): string => `127.0.0.1:${port + i}`;
+  const address = (i: number, port: number): string => `127.0.0.1:${port + i}`;
   return parseSettings({
     host_name: NODES[node],
     zone: ZONES[node],
-    public_addr: at(node, 7000),
-    peer_bind: at(node, 7100),
+    public_addr: address(node, 7000),
+    peer_bind: address(node, 7100),
     others: NODES.flatMap((name, i) =>
-      i === node ? [] : [{ host_name: name, zone: ZONES[i], peer_addr: at(i, 7100) }],
+      i === node ? [] : [{ host_name: name, zone: ZONES[i], peer_addr: address(i, 7100) }],
     ),
     endpoints: { cloud: '127.0.0.1:7200', state: '127.0.0.1:7300' },
     cluster: {
--- a/test/simulated-runs.test.ts
+++ b/test/simulated-runs.test.ts
@@ -138,13 +138,21 @@
 
 const checkerWithJobs = (): Checker => {
   const checker = new Checker(30_000, 0);
-  const place = { team: 'crew', cpus: 1, memoryGb: 1, spot: true, zone: null, oneZone: false, spread: false };
+  const placement = {
+    team: 'crew',
+    cpus: 1,
+    memoryGb: 1,
+    spot: true,
+    zone: null,
+    oneZone: false,
+    spread: false,
+  };
   for (const [id, jobClass, tasks] of [
     ['req-1', 'idle', 9],
     ['req-2', 'idle', 1],
     ['req-3', 'idle', 9],
   ] as const) {
-    checker.recordSubmission({ ...place, id, jobClass, tasks });
+    checker.recordSubmission({ ...placement, id, jobClass, tasks });
     checker.recordResponse(id, 201, { stage: 'pending' }, 0, 'submit');
   }
   return checker;
