--- a/src/core/autoscaling/demand-history.ts
+++ b/src/core/autoscaling/demand-history.ts
@@ -83,8 +83,8 @@
 
 /** Stores the demand history once per worker lease, so that the next leader can start from it. */
 export function saveDemandHistory(state: CoreState, now: Now, effects: Effect[]): void {
-  const lead = state.leadership;
-  if (lead === null || now.monotonicMs < state.nextDemandSaveAt) return;
+  const leadership = state.leadership;
+  if (leadership === null || now.monotonicMs < state.nextDemandSaveAt) return;
   state.nextDemandSaveAt = now.monotonicMs + state.config.timing.workerLeaseMs;
   const classes = demandRecords(state);
   if (classes.length === 0) return;
@@ -94,7 +94,7 @@
     effects.push({
       kind: 'saveDemandHistory',
       transaction: {
-        preconditions: [{ key: TERM_KEY, modRevision: lead.modRevision }],
+        preconditions: [{ key: TERM_KEY, modRevision: leadership.modRevision }],
         mutations: [{ put: isSplit ? demandKey(index) : DEMAND_KEY, value: { classes: part } }],
       },
     }),
--- a/src/core/autoscaling/scale-out.ts
+++ b/src/core/autoscaling/scale-out.ts
@@ -29,13 +29,13 @@
 /** Sends the provisioning requests for all instances of a kind in one step, so that they boot concurrently. */
 function provision(
   state: CoreState,
-  lead: Leadership,
+  leadership: Leadership,
   { kind, count }: RequestedKind,
   now: Now,
   effects: Effect[],
 ): void {
   for (let left = count; left > 0; left -= MAX_INSTANCES_PER_REQUEST) {
-    const requestId = `t${lead.term}-${state.nextRequest++}`;
+    const requestId = `t${leadership.term}-${state.nextRequest++}`;
     const instances = {
       type: kind.type.name,
       zone: kind.zone,
@@ -53,8 +53,8 @@
  * too late. Classes that cannot wait for a machine to boot get headroom before their jobs arrive.
  */
 export function scaleOut(state: CoreState, now: Now, effects: Effect[]): void {
-  const lead = state.leadership;
-  if (lead === null || state.machineTypes.size === 0) return;
+  const leadership = state.leadership;
+  if (leadership === null || state.machineTypes.size === 0) return;
   updateDemandHistory(state, now);
   const queue = waitingJobs(state, now);
   const plan = createCapacityPlan(state, now);
@@ -64,5 +64,5 @@
   for (const { machine, isUsed } of plan.machines)
     if (machine !== null && isUsed) state.plannedMachines.add(machine);
   if (now.monotonicMs < state.provisionNotBefore) return;
-  for (const requested of plan.requested.values()) provision(state, lead, requested, now, effects);
+  for (const requested of plan.requested.values()) provision(state, leadership, requested, now, effects);
 }
--- a/src/core/command-handlers.ts
+++ b/src/core/command-handlers.ts
@@ -47,7 +47,7 @@
   effects: Effect[],
 ): void {
   recheckAwaitingCommit(state);
-  if (settleCommit(state, id, outcome, now, effects) === 'deposed')
+  if (settleCommit(state, id, outcome, now, effects) === 'superseded')
     resign(state, 'the term has been raised', effects);
 }
 
--- a/src/core/fleet/health-summary.ts
+++ b/src/core/fleet/health-summary.ts
@@ -19,9 +19,9 @@
 /** A zone is partitioned only if at least this many of its machines are silent. */
 const MIN_PARTITION_MACHINES = 3;
 /** Heartbeat intervals that a new leader gives machines for their first heartbeat, once some have reported. */
-const FIRST_REPORT_INTERVALS = 3;
+const FIRST_HEARTBEAT_INTERVALS = 3;
 /** Heartbeat intervals that a new leader gives machines for their first heartbeat, while none has reported. */
-const FIRST_REPORT_INTERVALS_WITHOUT_CONTACT = 1.5;
+const FIRST_HEARTBEAT_INTERVALS_WITHOUT_CONTACT = 1.5;
 
 interface ZoneCounts {
   /** Machines that are expected to report, and how many of them do. */
@@ -67,7 +67,7 @@
   readonly state: CoreState;
   readonly now: Now;
   /** Whether this leader has had time to receive a first heartbeat of every machine. */
-  readonly isFirstReportDue: boolean;
+  readonly isFirstHeartbeatDue: boolean;
   readonly fleet: FleetCounts;
   readonly zones: Map<string, ZoneCounts>;
 }
@@ -127,7 +127,7 @@
   if (isReporting) zone.reporting += 1;
   // The silence of a machine for a whole lease is its own fault, and no evidence about this node's contact.
   const isExpected =
-    lastHeartbeatAt === null ? pass.isFirstReportDue : lastHeartbeatAt > now.monotonicMs - workerLeaseMs;
+    lastHeartbeatAt === null ? pass.isFirstHeartbeatDue : lastHeartbeatAt > now.monotonicMs - workerLeaseMs;
   if (!isExpected) return;
   fleet.expected += 1;
   if (isReporting) fleet.reporting += 1;
@@ -163,13 +163,13 @@
   const leaderSince = state.leadership?.since ?? now.monotonicMs;
   // A leader without any contact needs a shorter wait than one whose machines report one after another.
   const hasContact = state.health !== null && state.health.neverReported < state.health.running;
-  const firstReportMs =
-    (hasContact ? FIRST_REPORT_INTERVALS : FIRST_REPORT_INTERVALS_WITHOUT_CONTACT) *
+  const firstHeartbeatMs =
+    (hasContact ? FIRST_HEARTBEAT_INTERVALS : FIRST_HEARTBEAT_INTERVALS_WITHOUT_CONTACT) *
     state.config.timing.maxHeartbeatIntervalMs;
   return {
     state,
     now,
-    isFirstReportDue: now.monotonicMs - leaderSince > firstReportMs,
+    isFirstHeartbeatDue: now.monotonicMs - leaderSince > firstHeartbeatMs,
     fleet: {
       expected: 0,
       reporting: 0,
--- a/src/core/fleet/machines.ts
+++ b/src/core/fleet/machines.ts
@@ -5,7 +5,7 @@
 import type { TerminationReason } from './termination-reasons.js';
 
 /** A machine without heartbeats for this many of the longest heartbeat intervals gets no new tasks. */
-const SCHEDULABLE_REPORT_AGE_FACTOR = 2;
+const MAX_HEARTBEAT_AGE_INTERVALS = 2;
 
 function createMachine(name: string, discoveryOrder: number, now: Now): Machine {
   return {
@@ -70,7 +70,7 @@
     machine.reclaimedAt === null &&
     machine.lastHeartbeatAt !== null &&
     now.monotonicMs - machine.lastHeartbeatAt <
-      SCHEDULABLE_REPORT_AGE_FACTOR * state.config.timing.maxHeartbeatIntervalMs &&
+      MAX_HEARTBEAT_AGE_INTERVALS * state.config.timing.maxHeartbeatIntervalMs &&
     state.machineTypes.has(machine.type)
   );
 }
--- a/src/core/fleet/token-announcement.ts
+++ b/src/core/fleet/token-announcement.ts
@@ -19,12 +19,16 @@
 }
 
 /** Adds the direct calls allowed since the last refill to the budget, and returns it. */
-function refillCallBudget(state: CoreState, lead: Leadership, now: Now): Leadership['directCallBudget'] {
+function refillCallBudget(
+  state: CoreState,
+  leadership: Leadership,
+  now: Now,
+): Leadership['directCallBudget'] {
   const { timing, maxDirectCallsPerInterval } = state.config;
-  const { directCallBudget } = lead;
-  const hasSettled = now.monotonicMs - lead.since > timing.maxHeartbeatIntervalMs;
+  const { directCallBudget } = leadership;
+  const hasSettled = now.monotonicMs - leadership.since > timing.maxHeartbeatIntervalMs;
   if (!hasSettled) {
-    if (lead.previousLeaderMayBeAlive === true && directCallBudget.at === lead.since) {
+    if (leadership.previousLeaderMayBeAlive === true && directCallBudget.at === leadership.since) {
       directCallBudget.left = Math.ceil(EARLY_CALL_SHARE * maxDirectCallsPerInterval);
       directCallBudget.at = now.monotonicMs;
     }
@@ -61,9 +65,9 @@
  * that calls all of them together has no time left to process their heartbeats before their leases expire.
  */
 export function announceToken(state: CoreState, now: Now, effects: Effect[]): void {
-  const lead = state.leadership;
-  if (lead === null) return;
-  const budget = refillCallBudget(state, lead, now);
+  const leadership = state.leadership;
+  if (leadership === null) return;
+  const budget = refillCallBudget(state, leadership, now);
   if (budget.left < 1) return;
   for (const machine of state.machines.values()) {
     if (budget.left < 1) return;
@@ -74,7 +78,7 @@
       kind: 'sendCommands',
       machine: machine.name,
       address: machine.address,
-      token: lead.term,
+      token: leadership.term,
       agentEpoch: presumedAgentEpoch(machine),
       commands: [],
     });
--- a/src/core/fleet/worker-commands.ts
+++ b/src/core/fleet/worker-commands.ts
@@ -72,9 +72,9 @@
 
 /** Answers a machine's pending heartbeat with its commands; sends nothing if there is none, or no leadership. */
 export function answerHeartbeat(state: CoreState, machine: Machine, effects: Effect[]): void {
-  const lead = state.leadership;
+  const leadership = state.leadership;
   const pending = takePendingHeartbeat(state, machine);
-  if (pending === null || lead === null) return;
+  if (pending === null || leadership === null) return;
   const commands = commandsFor(state, machine);
   settleAttention(state, machine);
   const starts = commands.filter(({ op }) => op === 'start');
@@ -86,6 +86,6 @@
   effects.push({
     kind: 'reply',
     reply: pending.reply,
-    body: { kind: 'commands', token: lead.term, commands },
+    body: { kind: 'commands', token: leadership.term, commands },
   });
 }
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -10,7 +10,7 @@
 import type { JobSpec } from '../types.js';
 
 /** Time from the placement of a task until it runs, in maximum heartbeat intervals. */
-const START_HEARTBEATS = 1.5;
+const START_INTERVALS = 1.5;
 
 /** Whether all jobs that a job depends on are done. */
 export const isReady = (job: JobState): boolean => job.pendingDependencies.size === 0;
@@ -39,7 +39,7 @@
  * queue under overload would serve every job just too late.
  */
 export const startLatency = (state: CoreState): number =>
-  START_HEARTBEATS * state.config.timing.maxHeartbeatIntervalMs;
+  START_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
 
 /** Updates the task counts after a change to a job. */
 export function updateTaskCounts(state: CoreState, job: JobState): void {
--- a/src/core/persistence/commit.ts
+++ b/src/core/persistence/commit.ts
@@ -116,7 +116,7 @@
 }
 
 /**
- * Applies the outcome of the commit in flight; the outcome of any other id is ignored. Returns `deposed` if another
+ * Applies the outcome of the commit in flight; the outcome of any other id is ignored. Returns `superseded` if another
  * controller has raised the term, so that this one is no longer the leader.
  */
 export function settleCommit(
@@ -125,9 +125,9 @@
   outcome: CommitOutcome,
   now: Now,
   effects: Effect[],
-): 'kept' | 'deposed' {
+): 'leading' | 'superseded' {
   const { commit } = state;
-  if (commit === null || commit.id !== id) return 'kept';
+  if (commit === null || commit.id !== id) return 'leading';
   state.commit = null;
   switch (outcome.kind) {
     case 'applied':
@@ -140,12 +140,12 @@
       state.commitNotBefore = now.monotonicMs + state.config.timing.tickMs;
       break;
     case 'failed':
-      if (outcome.keys.includes(TERM_KEY)) return 'deposed';
+      if (outcome.keys.includes(TERM_KEY)) return 'superseded';
       beginReconciliation(state, commit, effects);
       break;
     case 'unknown':
       beginReconciliation(state, commit, effects);
       break;
   }
-  return 'kept';
+  return 'leading';
 }
--- a/src/core/placement/easy.ts
+++ b/src/core/placement/easy.ts
@@ -35,7 +35,7 @@
 const MAX_PREEMPTING_JOBS = 4;
 
 /** Time of a preemption in maximum heartbeat intervals: stop sent, checkpoint saved, end proven, start sent. */
-const PREEMPTION_HEARTBEATS = 4;
+const PREEMPTION_INTERVALS = 4;
 
 /**
  * Makes one pass over the queue: places the tasks that may start, and records the head job's
@@ -115,7 +115,7 @@
  * objective is at risk, or it would exceed its maximum wait in spite of a starvation reservation.
  */
 function mayPreempt({ state, now, reservations }: PlacementPass, job: JobState): boolean {
-  const preemptionMs = PREEMPTION_HEARTBEATS * state.config.timing.maxHeartbeatIntervalMs;
+  const preemptionMs = PREEMPTION_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
   // With a reservation, a job preempts others only if waiting for their expected ends would take too long.
   const missesMaxWait = (): boolean => {
     const startsAt = reservations.find(({ job: owner }) => owner === job)?.shadowTime ?? Infinity;
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -20,7 +20,7 @@
 /** Share of the spot machines' capacity that the first job of a class keeps from preemption for objectives. */
 const PROTECTED_SPOT_SHARE = 0.25;
 /** Time to stop a task, apart from saving its checkpoint, in maximum heartbeat intervals. */
-const STOP_HEARTBEATS = 2;
+const STOP_INTERVALS = 2;
 
 /** Run time in milliseconds that a task loses if it is stopped now. */
 function preemptionLossMs({ job, runningSince, stage }: LiveClaim, now: Now): number {
@@ -40,7 +40,7 @@
   const { form, checkpointS, saveS } = job.spec;
   if (stopRequested || job.finalStage !== null || form === 'gang') return false;
   const { maxHeartbeatIntervalMs } = state.config.timing;
-  const stopMs = saveS * 1000 + STOP_HEARTBEATS * maxHeartbeatIntervalMs;
+  const stopMs = saveS * 1000 + STOP_INTERVALS * maxHeartbeatIntervalMs;
   if (expectedEnd(state, claim, now) <= now.monotonicMs + stopMs) return false;
   const ranMs = runningSince === null ? 0 : now.monotonicMs - runningSince;
   // A start that is revoked immediately is of no value to the user.
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -27,7 +27,7 @@
  * tasks would be placed on machines that neither hold their images nor suit their requests, and each pass delays the
  * heartbeats still to be received. It places tasks in any case once `maxPlacementDelayMs` have passed.
  */
-function hasEnoughReports(state: CoreState, { since }: Leadership, now: Now): boolean {
+function hasEnoughHeartbeats(state: CoreState, { since }: Leadership, now: Now): boolean {
   if (now.monotonicMs >= since + state.config.policy.maxPlacementDelayMs) return true;
   const { health } = state;
   return (
@@ -83,7 +83,7 @@
   scaleIn(state, now, effects);
 }
 
-function logUnexpectedReports(state: CoreState, effects: Effect[]): void {
+function logUnexpectedMachines(state: CoreState, effects: Effect[]): void {
   const unexpected = state.unexpected.splice(0);
   if (unexpected.length === 0) return;
   log(effects, 'unexpected machines reported', {
@@ -105,7 +105,7 @@
   if (leadership === null) return effects;
   const isTick = commands.some(({ kind }) => kind === 'tick');
   const isReconciled = commands.some(({ kind }) => kind === 'reconciled');
-  const mayPlace = leadership.isTransferring !== true && hasEnoughReports(state, leadership, now);
+  const mayPlace = leadership.isTransferring !== true && hasEnoughHeartbeats(state, leadership, now);
   if (mayPlace && isPassDue(state, isTick, now)) placeWaitingJobs(state, isTick, now);
   requestStoreAccess(state, now, effects);
   answerHeartbeats(state, now, isTick || isReconciled, effects);
@@ -117,6 +117,6 @@
   const hadTimeToReport = now.monotonicMs >= leadership.since + state.config.timing.maxHeartbeatIntervalMs;
   scale(state, mayPlace && hadTimeToReport, now, effects);
   saveDemandHistory(state, now, effects);
-  logUnexpectedReports(state, effects);
+  logUnexpectedMachines(state, effects);
   return effects;
 }
