--- a/test/correlated-failures.test.ts
+++ b/test/correlated-failures.test.ts
@@ -30,33 +30,35 @@
     deadlineMultiples: [1, 1.5],
     finishTargetsMs: [100_000],
   });
-  const bench = new CoreHarness();
-  (bench.state.config.objectives as Map<string, ClassObjectives>).set(
+  const harness = new CoreHarness();
+  (harness.state.config.objectives as Map<string, ClassObjectives>).set(
     'rush',
     objectives.get('rush') as ClassObjectives,
   );
-  bench.add(job('req-1', 1, 2, 20, { jobClass: 'rush', priority: 1, deadlineS: 50, submittedAt: bench.now }));
-  const [rush] = bench.state.jobs.values();
+  harness.add(
+    job('req-1', 1, 2, 20, { jobClass: 'rush', priority: 1, deadlineS: 50, submittedAt: harness.now }),
+  );
+  const [rush] = harness.state.jobs.values();
   if (rush === undefined) throw new Error('no job');
-  expect(isStartSensitive(bench.state, rush.spec)).toBe(true);
+  expect(isStartSensitive(harness.state, rush.spec)).toBe(true);
   const lostAfter = (s: number): number => {
-    const now = { monotonicMs: bench.now + 1000 * s, epochMs: bench.now + 1000 * s };
-    return countLostObjectives(bench.state, rush, now).lost;
+    const now = { monotonicMs: harness.now + 1000 * s, epochMs: harness.now + 1000 * s };
+    return countLostObjectives(harness.state, rush, now).lost;
   };
   expect([0, 2, 40, 60, 90].map(lostAfter)).toEqual([0, 1, 2, 4, 5]);
-  expect(latestStart(bench.state, rush, bench.time())).toBeLessThanOrEqual(bench.now + 3000);
+  expect(latestStart(harness.state, rush, harness.time())).toBeLessThanOrEqual(harness.now + 3000);
 });
 
 // A partition delays requests to the cloud: terminations requested by a partitioned leader would take effect when
 // the partition ends, on machines that its successor uses.
 test('a leader whose view is stale requests nothing from the cloud', () => {
-  const bench = new CoreHarness();
+  const harness = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
-  for (const name of names) bench.hear(report(name, 1));
-  bench.isViewConfirmed = false;
-  bench.now += 3 * bench.state.config.timing.silenceTimeoutMs;
-  bench.state.leadership = {
-    ...(bench.state.leadership ?? {
+  for (const name of names) harness.hear(report(name, 1));
+  harness.isViewConfirmed = false;
+  harness.now += 3 * harness.state.config.timing.silenceTimeoutMs;
+  harness.state.leadership = {
+    ...(harness.state.leadership ?? {
       term: 5,
       modRevision: 100,
       since: 0,
@@ -65,13 +67,13 @@
     }),
     authorityUntil: Infinity,
   };
-  bench.add(job('req-1', 9, 8, 50));
-  expect([terminatedBy(bench.do({ kind: 'tick' })), provisionedCount(bench.do({ kind: 'tick' }))]).toEqual([
-    [],
-    0,
-  ]);
-  bench.isViewConfirmed = true;
-  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual(names);
+  harness.add(job('req-1', 9, 8, 50));
+  expect([
+    terminatedBy(harness.do({ kind: 'tick' })),
+    provisionedCount(harness.do({ kind: 'tick' })),
+  ]).toEqual([[], 0]);
+  harness.isViewConfirmed = true;
+  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual(names);
 });
 
 const PARTITIONED_MACHINES = ['p', 'q', 'r', 's'];
@@ -81,17 +83,17 @@
  * `hasContact`: the leader still receives heartbeats from machine m, of zone a.
  */
 function createPartitionedZone(deadlineS: number | null, hasContact = true): CoreHarness {
-  const bench = new CoreHarness();
-  for (const name of PARTITIONED_MACHINES) bench.hear(report(name, 1, [], { zone: 'b' }));
-  bench.add(job('req-1', 4, 8, 20, { deadlineS, submittedAt: bench.now }));
-  for (const name of PARTITIONED_MACHINES) bench.hear(report(name, 2, [], { zone: 'b' }));
+  const harness = new CoreHarness();
+  for (const name of PARTITIONED_MACHINES) harness.hear(report(name, 1, [], { zone: 'b' }));
+  harness.add(job('req-1', 4, 8, 20, { deadlineS, submittedAt: harness.now }));
+  for (const name of PARTITIONED_MACHINES) harness.hear(report(name, 2, [], { zone: 'b' }));
   for (const name of PARTITIONED_MACHINES) {
-    const [claim] = bench.state.machines.get(name)?.claims.values() ?? [];
-    bench.hear(report(name, 3, [task(`req-1/${claim?.task}`, 1, 'running')], { zone: 'b' }));
+    const [claim] = harness.state.machines.get(name)?.claims.values() ?? [];
+    harness.hear(report(name, 3, [task(`req-1/${claim?.task}`, 1, 'running')], { zone: 'b' }));
   }
-  bench.now += bench.state.config.timing.silenceTimeoutMs + 500;
-  if (hasContact) bench.hear(report('m', 1));
-  return bench;
+  harness.now += harness.state.config.timing.silenceTimeoutMs + 500;
+  if (hasContact) harness.hear(report('m', 1));
+  return harness;
 }
 
 // After lease expiry no task in the zone is running any more, so waiting for the zone gains nothing.
@@ -111,19 +113,19 @@
     modRevision,
   }));
   const terminatedAfterFailover = (silentZones: Map<string, number>): string[] => {
-    const bench = new CoreHarness();
-    bench.now = previousLeader.now;
-    const { layout, legacyChunkTasks } = bench.state;
+    const harness = new CoreHarness();
+    harness.now = previousLeader.now;
+    const { layout, legacyChunkTasks } = harness.state;
     const term = {
       term: 6,
       modRevision: 200,
-      viewConfirmedAt: bench.now,
+      viewConfirmedAt: harness.now,
       layout,
       legacyChunkTasks,
       chunks: [],
       demandHistory: [],
     };
-    bench.do({ kind: 'becomeLeader', ...term, jobs, silentZones });
+    harness.do({ kind: 'becomeLeader', ...term, jobs, silentZones });
     const listed = PARTITIONED_MACHINES.map((name) => ({
       name,
       address: '10.0.0.9:1',
@@ -133,16 +135,16 @@
       stage: 'running' as const,
       ageS: 99,
     }));
-    bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: listed });
+    harness.do({ kind: 'machinesListed', askedAt: harness.now, machines: listed });
     PARTITIONED_MACHINES.forEach((name, i) => {
-      const machine = bench.state.machines.get(name);
-      const owner = bench.state.jobs.get('req-1');
+      const machine = harness.state.machines.get(name);
+      const owner = harness.state.jobs.get('req-1');
       if (machine !== undefined && owner !== undefined)
-        claimTask(bench.state, owner, i, machine, bench.time(), Infinity);
+        claimTask(harness.state, owner, i, machine, harness.time(), Infinity);
     });
-    bench.now += 3 * timing.maxHeartbeatIntervalMs + 500;
-    bench.hear(report('m', 1, [], { token: 6 }));
-    return terminatedBy(bench.do({ kind: 'tick' }));
+    harness.now += 3 * timing.maxHeartbeatIntervalMs + 500;
+    harness.hear(report('m', 1, [], { token: 6 }));
+    return terminatedBy(harness.do({ kind: 'tick' }));
   };
   expect(terminatedAfterFailover(new Map())).toEqual([]);
   expect(terminatedAfterFailover(new Map([['b', previousLeader.now - timing.silenceTimeoutMs]]))).toEqual(
@@ -152,28 +154,28 @@
 
 // A task that cannot end before the machine is reclaimed is moved before it is lost.
 test('a machine with a termination notice is drained of tasks that cannot finish, and terminated when reclaimed', () => {
-  const bench = new CoreHarness();
-  for (const name of ['m', 'n', 'o', 'p']) bench.hear(report(name, 1));
-  bench.add(job('req-1', 2, 4, 100));
-  const startAnswer = bench.hear(report('m', 2));
+  const harness = new CoreHarness();
+  for (const name of ['m', 'n', 'o', 'p']) harness.hear(report(name, 1));
+  harness.add(job('req-1', 2, 4, 100));
+  const startAnswer = harness.hear(report('m', 2));
   expect(CoreHarness.starts(startAnswer)).toHaveLength(2);
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')];
-  bench.hear(report('m', 3, running, { terminationNoticeS: 20 }));
-  bench.do({ kind: 'tick' });
-  const stopAnswer = bench.hear(report('m', 4, running, { terminationNoticeS: 19 }));
+  harness.hear(report('m', 3, running, { terminationNoticeS: 20 }));
+  harness.do({ kind: 'tick' });
+  const stopAnswer = harness.hear(report('m', 4, running, { terminationNoticeS: 19 }));
   expect(JSON.stringify(stopAnswer).match(/"op":"stop"/g)).toHaveLength(2);
-  bench.hear(report('m', 5, [task('req-1/0', 1, 'exited', 'stopped')], { terminationNoticeS: 18 }));
-  bench.now += 18_000 + 2 * bench.state.config.timing.maxHeartbeatIntervalMs;
-  for (const name of ['n', 'o', 'p']) bench.hear(report(name, 2));
-  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual(['m']);
+  harness.hear(report('m', 5, [task('req-1/0', 1, 'exited', 'stopped')], { terminationNoticeS: 18 }));
+  harness.now += 18_000 + 2 * harness.state.config.timing.maxHeartbeatIntervalMs;
+  for (const name of ['n', 'o', 'p']) harness.hear(report(name, 2));
+  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual(['m']);
 });
 
 // Requests in small batches would delay a scale-out of hundreds of machines by seconds.
 test('scale-out requests all planned machines at once, evenly over zones of equal price', () => {
-  const bench = new CoreHarness(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
-  bench.now += 1000;
-  bench.add(job('req-1', 200, 8, 50));
-  const requests = bench.do({ kind: 'tick' }).filter((effect) => effect.kind === 'provision');
+  const harness = new CoreHarness(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
+  harness.now += 1000;
+  harness.add(job('req-1', 200, 8, 50));
+  const requests = harness.do({ kind: 'tick' }).filter((effect) => effect.kind === 'provision');
   const zones = new Map<string, number>();
   for (const { zone, count } of requests) zones.set(zone, (zones.get(zone) ?? 0) + count);
   expect(Object.fromEntries(zones)).toEqual({ a: 100, b: 100 });
@@ -185,56 +187,56 @@
 
 // Without probes, a dead machine is detected only after the time that a live worker may need to try all controllers.
 test('a machine that fails two probes while most machines of its zone report is terminated', () => {
-  const bench = new CoreHarness();
-  const { maxHeartbeatIntervalMs, shortSilenceTimeoutMs } = bench.state.config.timing;
+  const harness = new CoreHarness();
+  const { maxHeartbeatIntervalMs, shortSilenceTimeoutMs } = harness.state.config.timing;
   const others = ['n', 'o', 'p'];
   let seq = 0;
   const sendHeartbeats = (...names: string[]): void => {
     seq += 1;
-    for (const name of names) bench.hear(report(name, seq));
+    for (const name of names) harness.hear(report(name, seq));
   };
   const settleProbe = (machine: string, isReachable: boolean | null): void => {
-    bench.do({ kind: 'probed', machine, isReachable });
+    harness.do({ kind: 'probed', machine, isReachable });
   };
-  const startedAt = bench.now;
+  const startedAt = harness.now;
   sendHeartbeats('m', ...others);
-  bench.now += 1.3 * maxHeartbeatIntervalMs;
+  harness.now += 1.3 * maxHeartbeatIntervalMs;
   // No machine of its zone has reported: that may be a partition, and is no evidence against a single machine.
-  expect(probedMachines(bench.do({ kind: 'tick' }))).toEqual([]);
+  expect(probedMachines(harness.do({ kind: 'tick' }))).toEqual([]);
   sendHeartbeats(...others);
-  expect(probedMachines(bench.do({ kind: 'tick' }))).toEqual(['m']);
+  expect(probedMachines(harness.do({ kind: 'tick' }))).toEqual(['m']);
   // Only one probe at a time; an inconclusive or successful probe is no evidence against the machine.
-  expect(probedMachines(bench.do({ kind: 'tick' }))).toEqual([]);
+  expect(probedMachines(harness.do({ kind: 'tick' }))).toEqual([]);
   for (const isReachable of [false, null, true, false]) {
     settleProbe('m', isReachable);
-    expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual([]);
+    expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual([]);
   }
   // A period in which no machine of the zone reports resets the count of failed probes.
-  bench.now += 1.2 * maxHeartbeatIntervalMs;
-  bench.do({ kind: 'tick' });
+  harness.now += 1.2 * maxHeartbeatIntervalMs;
+  harness.do({ kind: 'tick' });
   sendHeartbeats(...others);
   settleProbe('m', false);
-  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual([]);
+  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual([]);
   settleProbe('m', false);
-  expect(bench.now - startedAt).toBeLessThan(shortSilenceTimeoutMs);
-  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual(['m']);
+  expect(harness.now - startedAt).toBeLessThan(shortSilenceTimeoutMs);
+  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual(['m']);
 });
 
 // A heartbeat that is in flight when a probe fails is newer evidence than the probe.
 test('a probe result is discarded once the machine reports again', () => {
-  const bench = new CoreHarness();
-  const { maxHeartbeatIntervalMs } = bench.state.config.timing;
-  for (const name of ['m', 'n', 'o']) bench.hear(report(name, 1));
-  bench.now += 1.3 * maxHeartbeatIntervalMs;
-  for (const name of ['n', 'o']) bench.hear(report(name, 2));
-  bench.do({ kind: 'tick' });
-  bench.do({ kind: 'probed', machine: 'm', isReachable: false });
-  bench.hear(report('m', 2));
-  bench.now += 1.3 * maxHeartbeatIntervalMs;
-  for (const name of ['n', 'o']) bench.hear(report(name, 3));
-  bench.do({ kind: 'tick' });
-  bench.do({ kind: 'probed', machine: 'm', isReachable: false });
-  expect(terminatedBy(bench.do({ kind: 'tick' }))).toEqual([]);
+  const harness = new CoreHarness();
+  const { maxHeartbeatIntervalMs } = harness.state.config.timing;
+  for (const name of ['m', 'n', 'o']) harness.hear(report(name, 1));
+  harness.now += 1.3 * maxHeartbeatIntervalMs;
+  for (const name of ['n', 'o']) harness.hear(report(name, 2));
+  harness.do({ kind: 'tick' });
+  harness.do({ kind: 'probed', machine: 'm', isReachable: false });
+  harness.hear(report('m', 2));
+  harness.now += 1.3 * maxHeartbeatIntervalMs;
+  for (const name of ['n', 'o']) harness.hear(report(name, 3));
+  harness.do({ kind: 'tick' });
+  harness.do({ kind: 'probed', machine: 'm', isReachable: false });
+  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual([]);
 });
 
 // Retries without a budget would multiply the load on a failing service.
--- a/test/fault-attribution.test.ts
+++ b/test/fault-attribution.test.ts
@@ -7,7 +7,7 @@
 
 /** Machines of 8 CPUs. Tasks of `faultyJobs` fail on every machine, and every task fails on `faultyMachines`. */
 class TestFleet {
-  readonly bench = new CoreHarness();
+  readonly harness = new CoreHarness();
   readonly #exitedTasks = new Map<string, ReportedTask[]>();
   readonly #sequences = new Map<string, number>();
   readonly faultyJobs = new Set<string>();
@@ -21,7 +21,7 @@
 
   add(...given: Parameters<typeof job>): void {
     const [id, tasks, cpus, estimateS, more] = given;
-    this.bench.add(job(id, tasks, cpus, estimateS, { ...more, submittedAt: this.bench.now }));
+    this.harness.add(job(id, tasks, cpus, estimateS, { ...more, submittedAt: this.harness.now }));
   }
 
   /** Each machine reports once that its tasks of the previous round failed or completed. Returns the tasks started. */
@@ -31,7 +31,7 @@
       if (this.terminated.has(name)) continue;
       const seq = (this.#sequences.get(name) ?? 0) + 1;
       this.#sequences.set(name, seq);
-      const effects = this.bench.hear(report(name, seq, this.#exitedTasks.get(name) ?? []));
+      const effects = this.harness.hear(report(name, seq, this.#exitedTasks.get(name) ?? []));
       const exited: ReportedTask[] = [];
       for (const start of CoreHarness.starts(effects)) {
         const [key = '', attempt = ''] = start.split('#');
@@ -43,8 +43,8 @@
       this.#exitedTasks.set(name, exited);
       this.#recordTerminations(effects);
     }
-    this.bench.now += 1000;
-    this.#recordTerminations(this.bench.do({ kind: 'tick' }));
+    this.harness.now += 1000;
+    this.#recordTerminations(this.harness.do({ kind: 'tick' }));
     return started;
   }
 
@@ -54,7 +54,7 @@
   }
 
   isFaulty(id: string): boolean {
-    const found = this.bench.state.jobs.get(id);
+    const found = this.harness.state.jobs.get(id);
     return found !== undefined && isFaultyJob(found);
   }
 }
@@ -75,7 +75,7 @@
 
 test('evidence against a machine is withdrawn once the job fails on other machines too', () => {
   const fleet = new TestFleet(['m', 'n', 'o', 'p', 'q']);
-  const { state } = fleet.bench;
+  const { state } = fleet.harness;
   const machine = (name: string) => state.machines.get(name);
   fleet.faultyJobs.add('req-1');
   fleet.add('req-1', 1, 8, 20);
@@ -115,7 +115,7 @@
 
 test('a faulty job is retried one task at a time with backoff, and reserves no resources', () => {
   const fleet = new TestFleet(MACHINES);
-  const { state } = fleet.bench;
+  const { state } = fleet.harness;
   fleet.faultyJobs.add('req-1');
   fleet.add('req-1', 200, 8, 20);
   while (!fleet.isFaulty('req-1')) fleet.runRound();
@@ -147,9 +147,9 @@
   for (let i = 0; i < 12; i += 1) fleet.runRound();
   expect(fleet.isFaulty('req-1')).toBe(true);
   // The trace keeps only the last 30 lines before the job is fixed.
-  fleet.bench.lines.splice(0, fleet.bench.lines.length - 30);
+  fleet.harness.lines.splice(0, fleet.harness.lines.length - 30);
   fleet.faultyJobs.clear();
-  for (let i = 0; i < 40 && fleet.bench.state.jobs.has('req-1'); i += 1) fleet.runRound();
-  expect(fleet.bench.state.jobs.has('req-1')).toBe(false);
-  await fleet.bench.expectTrace('recovered-job');
+  for (let i = 0; i < 40 && fleet.harness.state.jobs.has('req-1'); i += 1) fleet.runRound();
+  expect(fleet.harness.state.jobs.has('req-1')).toBe(false);
+  await fleet.harness.expectTrace('recovered-job');
 });
--- a/test/stale-reads.test.ts
+++ b/test/stale-reads.test.ts
@@ -395,28 +395,28 @@
 
 // Otherwise, a task would start although another controller has confirmed the cancellation of its job.
 test('a leader whose view is stale does not start tasks claimed earlier', () => {
-  const bench = new CoreHarness();
-  bench.hear(report('m', 1));
-  bench.add(job('req-1', 1, 4, 50));
-  bench.isViewConfirmed = false;
-  bench.now += bench.state.config.timing.leaderLeaseMs + 1;
-  const staleViewEffects = bench.hear(report('m', 2));
+  const harness = new CoreHarness();
+  harness.hear(report('m', 1));
+  harness.add(job('req-1', 1, 4, 50));
+  harness.isViewConfirmed = false;
+  harness.now += harness.state.config.timing.leaderLeaseMs + 1;
+  const staleViewEffects = harness.hear(report('m', 2));
   expect(staleViewEffects.some((effect) => effect.kind === 'reply' && effect.body.kind === 'commands')).toBe(
     true,
   );
   expect(CoreHarness.starts(staleViewEffects)).toEqual([]);
-  bench.isViewConfirmed = true;
-  bench.now += 1000;
-  expect(CoreHarness.starts(bench.hear(report('m', 3)))).toEqual(['req-1/0#1']);
+  harness.isViewConfirmed = true;
+  harness.now += 1000;
+  expect(CoreHarness.starts(harness.hear(report('m', 3)))).toEqual(['req-1/0#1']);
 });
 
 // An answer to a direct call does not renew the worker's lease, whose expiry stops the machine's tasks.
 test('a machine that reaches no controller and whose lease has expired is terminated although it answers direct calls', () => {
-  const bench = new CoreHarness();
-  const { silenceTimeoutMs, tickMs, workerLeaseMs } = bench.state.config.timing;
-  for (const name of ['n', 'o', 'p']) bench.hear(report(name, 1));
-  bench.takeOver(job('req-1', 1, 4, 50), {
-    0: { attempt: 1, machine: 'm', agentEpoch: 1, createdAt: bench.now },
+  const harness = new CoreHarness();
+  const { silenceTimeoutMs, tickMs, workerLeaseMs } = harness.state.config.timing;
+  for (const name of ['n', 'o', 'p']) harness.hear(report(name, 1));
+  harness.takeOver(job('req-1', 1, 4, 50), {
+    0: { attempt: 1, machine: 'm', agentEpoch: 1, createdAt: harness.now },
   });
   const listed = {
     name: 'm',
@@ -427,23 +427,23 @@
     stage: 'running',
     ageS: 9,
   } as const;
-  bench.do({ kind: 'machinesListed', askedAt: bench.now, machines: [listed] });
-  const since = bench.now;
+  harness.do({ kind: 'machinesListed', askedAt: harness.now, machines: [listed] });
+  const since = harness.now;
   let terminatedAt = 0;
   for (
     let seq = 2;
-    bench.now < since + 2 * workerLeaseMs + 3 * silenceTimeoutMs && terminatedAt === 0;
+    harness.now < since + 2 * workerLeaseMs + 3 * silenceTimeoutMs && terminatedAt === 0;
     seq += 1
   ) {
-    bench.now += tickMs * 4;
-    for (const name of ['n', 'o', 'p']) bench.hear(report(name, seq));
-    const epoch = bench.now - since > workerLeaseMs ? 2 : 1;
+    harness.now += tickMs * 4;
+    for (const name of ['n', 'o', 'p']) harness.hear(report(name, seq));
+    const epoch = harness.now - since > workerLeaseMs ? 2 : 1;
     const tasks = epoch === 1 ? [task('req-1/0', 1, 'running')] : [];
-    bench.do({ kind: 'directAnswer', heartbeat: report('m', seq, tasks, { agentEpoch: epoch }) });
-    const isTerminated = bench
+    harness.do({ kind: 'directAnswer', heartbeat: report('m', seq, tasks, { agentEpoch: epoch }) });
+    const isTerminated = harness
       .do({ kind: 'tick' })
       .some((effect) => effect.kind === 'terminate' && effect.machines.includes('m'));
-    if (isTerminated) terminatedAt = bench.now;
+    if (isTerminated) terminatedAt = harness.now;
   }
   // Until its lease expires, another controller may be in contact with it; it is terminated soon after that.
   expect(terminatedAt - since).toBeGreaterThan(workerLeaseMs);
@@ -454,19 +454,19 @@
 test('a machine that has not reported to the leader is terminated sooner if it holds cancelled tasks', () => {
   const { shortSilenceTimeoutMs, tickMs } = new CoreHarness().state.config.timing;
   const terminationDelayMs = (cancelled: boolean): number => {
-    const bench = new CoreHarness();
-    bench.takeOver(job('req-1', 1, 4, 50), {
-      0: { attempt: 1, machine: 'm', agentEpoch: 1, createdAt: bench.now },
+    const harness = new CoreHarness();
+    harness.takeOver(job('req-1', 1, 4, 50), {
+      0: { attempt: 1, machine: 'm', agentEpoch: 1, createdAt: harness.now },
     });
-    for (const name of ['n', 'o', 'p']) bench.hear(report(name, 1));
-    if (cancelled) bench.do({ kind: 'jobRemoved', id: 'req-1' });
-    const since = bench.now;
-    for (let seq = 2; bench.now < since + 60_000; seq += 1) {
-      bench.now += tickMs;
-      for (const name of ['n', 'o', 'p']) bench.hear(report(name, seq));
-      const effects = bench.do({ kind: 'tick' });
+    for (const name of ['n', 'o', 'p']) harness.hear(report(name, 1));
+    if (cancelled) harness.do({ kind: 'jobRemoved', id: 'req-1' });
+    const since = harness.now;
+    for (let seq = 2; harness.now < since + 60_000; seq += 1) {
+      harness.now += tickMs;
+      for (const name of ['n', 'o', 'p']) harness.hear(report(name, seq));
+      const effects = harness.do({ kind: 'tick' });
       if (effects.some((effect) => effect.kind === 'terminate' && effect.machines.includes('m')))
-        return bench.now - since;
+        return harness.now - since;
     }
     return Infinity;
   };
