--- a/src/core/fleet/failure-detection.ts
+++ b/src/core/fleet/failure-detection.ts
@@ -20,7 +20,7 @@
 const MAX_BOOT_FACTOR = 3;
 /** Boot time of a machine of unknown type, in seconds. */
 const DEFAULT_BOOT_S = 60;
-/** A machine past its termination notice is gone after this many of the longest heartbeat intervals of silence. */
+/** A machine past its termination notice is gone after a silence of this many maximum heartbeat intervals. */
 const RECLAIMED_SILENCE_INTERVALS = 1.5;
 /** Share of the silence timeout after which a silent machine that holds tasks of ended jobs is terminated. */
 const ENDED_WORK_TIMEOUT_SHARE = 0.5;
@@ -42,7 +42,7 @@
 
 /**
  * Whether at least half of a hanging machine's tasks lose no objective if they wait for another `waitMs` instead
- * of running again elsewhere now. Its host accepts connections, so the worker may resume at any moment within
+ * of running again elsewhere now. The machine accepts connections, so its worker may resume at any moment within
  * its lease.
  */
 function isWorthWaiting(state: CoreState, machine: Machine, waitMs: number, now: Now): boolean {
@@ -137,7 +137,10 @@
   return isTimedOut ? TerminationReason.neverReported : null;
 }
 
-/** Longest silence of a machine that has reported before, in milliseconds. */
+/**
+ * Longest silence of a machine that has reported before, in milliseconds. `hangs`: it accepts connections, so it gets
+ * the longer timeout if waiting is worthwhile.
+ */
 function silenceTimeoutMs(pass: DetectionPass, machine: Machine, silentMs: number, hangs: boolean): number {
   const { state, now, health } = pass;
   const { timing } = state.config;
--- a/src/core/fleet/heartbeats.ts
+++ b/src/core/fleet/heartbeats.ts
@@ -1,7 +1,7 @@
 /**
  * Heartbeat processing: what a worker's heartbeat with status proves about its machine. A heartbeat ends a claim
  * only if it proves that the task is gone: it reports the task's exit, it begins a new agent epoch, or it is
- * authoritative and does not list the task.
+ * authoritative (it carries this leader's token and does not answer a direct call) and does not list the task.
  */
 import type { Effect } from '../effects.js';
 import { log } from '../log.js';
@@ -35,7 +35,7 @@
       // A worker begins a new agent epoch without any task of the previous one: it has killed them.
       releaseClaim(state, claim, false);
     } else if (isAuthoritative && !listed.has(`${key}#${claim.attempt}`)) {
-      // This heartbeat is newer than any start sent, and no earlier leader's response can
+      // This heartbeat is newer than any start sent, and no earlier leader's answer can
       // still be accepted: the task is not on the machine.
       if (claim.stage !== null || isObsolete(claim)) releaseClaim(state, claim, false);
     }
@@ -71,9 +71,9 @@
 }
 
 /**
- * Records that a machine has answered a direct command. Unless its lease has expired, another controller may be
+ * Records that a machine has answered a direct call. Unless its lease has expired, another controller may be
  * answering its heartbeats, so it counts as relayed. Without this exception, a machine whose heartbeats reach no
- * controller would count as relayed for as long as it answers direct commands.
+ * controller would count as relayed for as long as it answers direct calls.
  */
 function recordDirectAnswer(machine: Machine, hasNewEpoch: boolean, now: Now): void {
   machine.leaseExpired ||= hasNewEpoch;
@@ -106,7 +106,7 @@
 }
 
 /**
- * Applies a heartbeat. `isDirectAnswer`: it is the answer to a direct command, and was not sent by the worker on
+ * Applies a heartbeat. `isDirectAnswer`: it is the answer to a direct call, and was not sent by the worker on
  * its own. Returns false, without any effect on the machine's state, if the machine has been terminated or the
  * heartbeat is not newer than the latest one.
  */
@@ -129,8 +129,8 @@
   machine.address = heartbeat.address;
   machine.agentEpoch = heartbeat.agentEpoch;
   machine.heartbeatSequence = heartbeat.sequence;
-  // The answer to a direct command may overtake a start that is still on its way in the
-  // response to a heartbeat, so only heartbeats prove that a task is absent.
+  // The answer to a direct call may overtake a start that is still in flight in the
+  // answer to a heartbeat, so only heartbeats prove that a task is absent.
   const isAuthoritative = !isDirectAnswer && heartbeat.token === (state.leadership?.term ?? 0);
   if (isDirectAnswer) recordDirectAnswer(machine, hasNewEpoch, now);
   else recordContact(state, machine, isAuthoritative, now);
--- a/src/core/fleet/keepalives.ts
+++ b/src/core/fleet/keepalives.ts
@@ -25,7 +25,7 @@
   machine.lastHeartbeatAt = Math.max(machine.lastHeartbeatAt, now.monotonicMs - keepalive.ageMs);
   machine.failedProbes = 0;
   machine.leaseExpired = false;
-  // The follower answers at once, and forwards the next heartbeat if that one is late.
+  // The follower has answered the heartbeat itself, so its arrival time counts as the time of the answer, too.
   machine.lastAnsweredAt = machine.lastHeartbeatAt;
   machine.unacknowledgedStarts = [];
   machine.unresponsiveSince = null;
--- a/src/core/fleet/probes.ts
+++ b/src/core/fleet/probes.ts
@@ -1,7 +1,7 @@
 /**
- * Probes: connection attempts to machines whose heartbeat is overdue. A machine whose host accepts no connection
- * while most machines of its zone report counts as dead: its tasks need not wait for as long as a worker without
- * contact to its controller may take to find another one.
+ * Probes: connection attempts to machines whose heartbeat is overdue. A machine that accepts no connection while most
+ * machines of its zone report counts as dead: its tasks need not wait for as long as a worker without contact to its
+ * controller may take to find another one.
  */
 import type { Effect } from '../effects.js';
 import type { Machine, Now } from '../model.js';
@@ -9,9 +9,9 @@
 
 /** Consecutive failed probes after which a machine counts as unreachable; a single probe may fail by chance. */
 const MIN_FAILED_PROBES = 2;
-/** A heartbeat is overdue after this many of the longest heartbeat intervals. */
+/** A heartbeat is overdue after this many maximum heartbeat intervals. */
 const OVERDUE_INTERVALS = 1.25;
-/** After a successful probe, the host counts as up for this many of the longest heartbeat intervals. */
+/** After a successful probe, a machine counts as reachable for this many maximum heartbeat intervals. */
 const REACHABLE_INTERVALS = 2;
 
 const isOverdue = (state: CoreState, machine: Machine, now: Now): boolean =>
@@ -22,7 +22,7 @@
 export const isExpectedToReport = ({ terminationReason, lastHeartbeatAt, claims }: Machine): boolean =>
   terminationReason === null && (lastHeartbeatAt !== null || claims.size > 0);
 
-/** Whether a machine's heartbeat is overdue, and no probe of it is in progress or has recently succeeded. */
+/** Whether a machine's heartbeat is overdue, and no probe of it is in flight or has recently succeeded. */
 function needsProbe(state: CoreState, machine: Machine, now: Now): boolean {
   return (
     !machine.isProbing &&
@@ -52,7 +52,7 @@
 }
 
 /**
- * Records a probe's result. `isReachable`: whether the host accepted the connection; null if the probe was
+ * Records a probe's result. `isReachable`: whether the machine accepted the connection; null if the probe was
  * inconclusive.
  */
 export function settleProbe(state: CoreState, name: string, isReachable: boolean | null, now: Now): void {
@@ -68,7 +68,7 @@
   }
 }
 
-/** Whether a machine's host recently accepted a probe: its worker then hangs, or reports to another controller. */
+/** Whether a machine recently accepted a probe: its worker then hangs, or sends heartbeats to another controller. */
 export const isHanging = (state: CoreState, { lastReachableAt }: Machine, now: Now): boolean =>
   lastReachableAt !== null &&
   now.monotonicMs - lastReachableAt < REACHABLE_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
--- a/src/core/fleet/termination-reasons.ts
+++ b/src/core/fleet/termination-reasons.ts
@@ -15,7 +15,7 @@
   reclaimed: 'taken',
   /** Its heartbeats arrive, but the answers to them do not reach it. */
   unresponsive: 'deaf',
-  /** Its host accepts connections, but its worker sends no heartbeats. */
+  /** It accepts connections, but its worker sends no heartbeats. */
   hanging: 'hanging',
   /** It has sent no heartbeat for longer than the silence timeout. */
   silent: 'silent',
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -10,11 +10,16 @@
   readonly authorityWindowMs: number;
   /** How long a worker keeps its tasks running without an answer to its heartbeats. */
   readonly workerLeaseMs: number;
-  /** Longest time between two heartbeats of a worker. */
+  /** Maximum time between two heartbeats of a worker: the maximum heartbeat interval. */
   readonly maxHeartbeatIntervalMs: number;
   /** A machine that has reported before and is silent for longer is terminated, unless its zone is partitioned. */
   readonly silenceTimeoutMs: number;
-  /** Such a machine is terminated after this shorter silence while most others report. */
+  /**
+   * Such a machine is terminated after this shorter silence, unless so many machines are silent that a common cause is
+   * likely, or it accepts connections and at most half of its tasks would lose an objective by waiting for
+   * `silenceTimeoutMs`. Without a likely common cause, the same limit applies to a machine that has never reported to
+   * the leader and holds tasks of ended jobs.
+   */
   readonly shortSilenceTimeoutMs: number;
   /** How long tasks of a cancelled job may keep running, as set in the settings. */
   readonly cancelTimeoutMs: number;
