--- a/src/core/autoscaling/capacity-plan.ts
+++ b/src/core/autoscaling/capacity-plan.ts
@@ -15,7 +15,10 @@
 
 /** The remaining boot time of a machine is estimated as at least this share of its full boot time. */
 const LATE_BOOT_SHARE = 0.5;
-/** Longest time that a stop command and the report of the saved checkpoint take together, in heartbeat intervals. */
+/**
+ * Time for a stop command to reach the worker, and for the heartbeat that reports the saved checkpoint to arrive, in
+ * maximum heartbeat intervals.
+ */
 const PREEMPTION_INTERVALS = 2;
 
 /** Planned machines that jobs of one shape may use, ordered by their earliest start. */
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -80,12 +80,12 @@
       readonly jobs: readonly Versioned<JobSpec>[];
       readonly chunks: readonly LoadedChunk[];
       readonly demandHistory: readonly ClassDemandRecord[];
-      /** Zones in which earlier leaders had no contact with any machine, and since when. */
+      /** Zones that earlier leaders found partitioned, and since when they have been silent. */
       readonly silentZones?: ReadonlyMap<string, number>;
       /** The previous leader may be alive, partitioned from the key-value store and still answering workers. */
       readonly previousLeaderMayBeAlive?: boolean;
     }
-  /** Followers have answered these heartbeats in the leader's place, since they reported no change. */
+  /** These heartbeats reported no change, and followers have answered them in the leader's place. */
   | { readonly kind: 'keepalives'; readonly keepalives: readonly Keepalive[] }
   /**
    * A follower that answers workers for an unreachable leader had contact with these machines, `ageMs` milliseconds
@@ -112,7 +112,7 @@
       readonly kind: 'dependenciesResolved';
       readonly found: ReadonlyMap<string, EndedRecord | 'live' | 'none' | 'unknown'>;
     }
-  /** Every controller can read the records of this version: changes to its record layout. */
+  /** Every controller can read the records of this version, so its record layout is adopted. */
   | { readonly kind: 'adoptLayout'; readonly layout: RecordLayout }
   /** The outcome of the commit with this id. */
   | { readonly kind: 'committed'; readonly id: number; readonly outcome: CommitOutcome }
@@ -162,7 +162,7 @@
     }
   /** Tries to connect to a machine; answered by `probed`. */
   | { readonly kind: 'probe'; readonly machine: string; readonly address: string }
-  /** Asks the cloud for machines; answered by `provisioned`. */
+  /** Provisions machines; answered by `provisioned`. */
   | {
       readonly kind: 'provision';
       readonly requestId: string;
@@ -171,7 +171,7 @@
       readonly spot: boolean;
       readonly count: number;
     }
-  /** Asks the cloud to terminate machines; answered by `terminated`. */
+  /** Terminates machines; answered by `terminated`. */
   | { readonly kind: 'terminate'; readonly machines: readonly string[] }
   /** Saves the demand history for the next leader. A failed write is not retried: the next save replaces it. */
   | { readonly kind: 'saveDemandHistory'; readonly transaction: Transaction }
--- a/src/core/fleet/graceful-eviction.ts
+++ b/src/core/fleet/graceful-eviction.ts
@@ -4,7 +4,10 @@
 import type { CoreState } from '../state.js';
 import { expectedEnd } from './expected-end.js';
 
-/** Longest time that a stop command and the report of the saved checkpoint take together, in heartbeat intervals. */
+/**
+ * Time for a stop command to reach the worker, and for the heartbeat that reports the saved checkpoint to arrive, in
+ * maximum heartbeat intervals.
+ */
 const EVICTION_INTERVALS = 2;
 
 /** Whether a task can keep running for now because there will still be time to save a checkpoint later. */
--- a/src/core/fleet/health-summary.ts
+++ b/src/core/fleet/health-summary.ts
@@ -10,17 +10,17 @@
 const MIN_REPORTING_SHARE = 0.5;
 /** If more than this share of machines is silent, the fault may be this node's own. */
 const MAX_SILENT_SHARE = 0.3;
-/** Every machine that can report does so within this many of the longest heartbeat intervals. */
+/** A machine that is up and in contact with this leader reports within this many maximum heartbeat intervals. */
 const REPORTING_INTERVALS = 1.1;
-/** A machine is silent after this many of the longest heartbeat intervals without contact. */
+/** A machine is silent after this many maximum heartbeat intervals without contact. */
 const SILENT_INTERVALS = 3;
 /** A zone is partitioned only if more than this share of its running machines is silent. */
 const MIN_PARTITION_SHARE = 0.9;
 /** A zone is partitioned only if at least this many of its machines are silent. */
 const MIN_PARTITION_MACHINES = 3;
-/** Heartbeat intervals that a new leader gives machines for their first heartbeat, once some have reported. */
+/** Maximum heartbeat intervals that a new leader waits for machines' first heartbeats, once some have reported. */
 const FIRST_HEARTBEAT_INTERVALS = 3;
-/** Heartbeat intervals that a new leader gives machines for their first heartbeat, while none has reported. */
+/** Maximum heartbeat intervals that a new leader waits for machines' first heartbeats, while none has reported. */
 const FIRST_HEARTBEAT_INTERVALS_WITHOUT_CONTACT = 1.5;
 
 interface ZoneCounts {
@@ -30,7 +30,7 @@
   /** Machines that should be up, and how many of them are silent. */
   running: number;
   silent: number;
-  /** Monotonic time in milliseconds of the latest heartbeat of any of these, or discovery of one without any. */
+  /** Monotonic time in milliseconds of the latest heartbeat of any of these, or discovery of one that sent none. */
   lastContactAt: number;
 }
 
--- a/src/core/fleet/machines.ts
+++ b/src/core/fleet/machines.ts
@@ -1,10 +1,10 @@
-/** Registry of machines: creates their records, marks them for termination, and decides if they get new tasks. */
+/** Registry of machines: creates their records, marks them for termination, and checks if they may get tasks. */
 import { noResources } from '../placement/resources.js';
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { TerminationReason } from './termination-reasons.js';
 
-/** A machine without heartbeats for this many of the longest heartbeat intervals gets no new tasks. */
+/** A machine without heartbeats for this many maximum heartbeat intervals gets no new tasks. */
 const MAX_HEARTBEAT_AGE_INTERVALS = 2;
 
 function createMachine(name: string, discoveryOrder: number, now: Now): Machine {
--- a/src/core/fleet/pending-heartbeats.ts
+++ b/src/core/fleet/pending-heartbeats.ts
@@ -2,7 +2,7 @@
 import type { Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 
-/** Keeps a heartbeat's reply handle until it is answered. */
+/** Holds a heartbeat as pending until it is answered. `reply`: the id under which the answer is sent. */
 export function holdHeartbeat(state: CoreState, machine: Machine, reply: number, now: Now): void {
   machine.pendingHeartbeat = { reply, since: now.monotonicMs };
   state.pendingHeartbeats.add(machine);
--- a/src/core/fleet/response-tracking.ts
+++ b/src/core/fleet/response-tracking.ts
@@ -9,7 +9,7 @@
 import type { Heartbeat } from '../types.js';
 import { attemptKey } from './task-reports.js';
 
-/** A worker that received its answer sends its next heartbeat within this many longest heartbeat intervals. */
+/** A worker that received its answer sends its next heartbeat within this many maximum heartbeat intervals. */
 const MAX_ANSWERED_INTERVALS = 1.25;
 /** If more than this share of machines is unresponsive, the network or this node is at fault. */
 const MAX_UNRESPONSIVE_SHARE = 0.3;
--- a/src/core/fleet/task-reports.ts
+++ b/src/core/fleet/task-reports.ts
@@ -28,7 +28,7 @@
   );
 }
 
-/** Updates fault attribution, run time statistics and retry delay by a task's exit, before its claim is released. */
+/** Updates fault attribution, run time statistics and retry delay from a task's exit, before its claim is released. */
 function evaluateExit(
   state: CoreState,
   machine: Machine,
--- a/src/core/fleet/token-announcement.ts
+++ b/src/core/fleet/token-announcement.ts
@@ -8,7 +8,7 @@
 
 /** Share of an interval's direct calls made right after a failover if the previous leader may still be alive. */
 const EARLY_CALL_SHARE = 0.25;
-/** A machine that sent a heartbeat, or was sent the token, within this many heartbeat intervals is not called. */
+/** A machine that sent a heartbeat or was sent the token within this many maximum heartbeat intervals is not called. */
 const RECENT_INTERVALS = 2;
 
 /** The agent epoch to send with the token. If it is wrong, the worker's answer contains the right one. */
@@ -61,8 +61,8 @@
 /**
  * Sends this leader's token to machines that have not seen it. Right after a failover from a leader that may still
  * be alive, only a few are called: a partitioned leader keeps answering them, and learns of its successor from the
- * token in their next heartbeats. The other machines get one heartbeat interval to report on their own: a leader
- * that calls all of them together has no time left to process their heartbeats before their leases expire.
+ * token in their next heartbeats. The other machines get one maximum heartbeat interval to report on their own: a
+ * leader that calls all of them together has no time left to process their heartbeats before their leases expire.
  */
 export function announceToken(state: CoreState, now: Now, effects: Effect[]): void {
   const leadership = state.leadership;
--- a/src/core/heartbeat-answers.ts
+++ b/src/core/heartbeat-answers.ts
@@ -26,7 +26,8 @@
 
 /**
  * Schedules a check of the heartbeats that may wait for the commit in flight: those of machines with tasks that the
- * commit covers. Checking every pending heartbeat at every commit would cost commits times machines.
+ * commit covers. The cost of checking every pending heartbeat at every commit would grow with
+ * commits times machines.
  */
 export function recheckAwaitingCommit(state: CoreState): void {
   const { chunks = [], completing = [], cancelling = [] } = state.commit ?? {};
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -2,7 +2,7 @@
  * DAG dependencies between jobs. A job is ready once the committed record of every job it depends on
  * shows that job as done; it is cancelled once the committed record of one of them shows that job as
  * cancelled. Both outcomes are final, so an outcome that has been read stays valid. Jobs are indexed
- * by those they depend on, so that the cost of an outcome follows the number of its dependents.
+ * by those they depend on, so that the cost of applying an outcome grows only with the number of dependents.
  */
 import { markDirty } from '../persistence/dirty-jobs.js';
 import type { FinalOutcome, JobState, Now } from '../model.js';
@@ -10,13 +10,13 @@
 import type { EndedRecord, FinalStage } from '../types.js';
 import { expectedRun, isReady, startLatency, updateTaskCounts } from './jobs.js';
 
-/** Maximum number of outcomes kept, unless twice the number of jobs is more. */
+/** Outcomes are kept up to this number, or up to twice the number of jobs if that is more. */
 const MIN_REMEMBERED_OUTCOMES = 4000;
 /** Maximum number of job records that one query reads. */
 const MAX_QUERIED_OUTCOMES = 16;
 /** Length of a dependency chain beyond which priority and deadline are propagated no further. */
 const MAX_PROPAGATION_DEPTH = 200;
-/** Expected run time of the last task of an array, as a multiple of the usual one. */
+/** Expected run time of a job's last task to end, as a multiple of the expected run time of a task. */
 const LAST_TASK_RUN_FACTOR = 1.3;
 
 /**
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -136,7 +136,7 @@
   if (isDone(job, task)) return;
   job.doneBits[task >> 3] = (job.doneBits[task >> 3] ?? 0) | (1 << (task & 7));
   job.doneCount += 1;
-  // A done task is never started again, so its attempt count is dropped: memory use follows the number of
+  // A done task is never started again, so its attempt count is dropped: memory use grows with the number of
   // tasks that are on machines or were lost, not the job's size.
   job.attempts.delete(task);
   const claim = job.claims.get(task);
--- a/src/core/model/config.ts
+++ b/src/core/model/config.ts
@@ -33,7 +33,7 @@
   readonly initialLayout: RecordLayout;
   /** Longest time, in milliseconds, by which the cloud's list of machines may be out of date. */
   readonly listLagMs: number;
-  /** Largest number of direct calls to workers within the longest heartbeat interval. */
+  /** Maximum number of direct calls to workers within one maximum heartbeat interval. */
   readonly maxDirectCallsPerInterval: number;
   readonly policy: SchedulingPolicy;
 }
@@ -54,13 +54,13 @@
   readonly keyWidth: number | null;
   /** Tasks per chunk. */
   readonly tasksPerChunk: number;
-  /** Largest number of mutations in a transaction. */
+  /** Maximum number of mutations in a transaction. */
   readonly maxMutations: number;
-  /** Largest size of a value, in bytes. */
+  /** Maximum size of a value, in bytes. */
   readonly maxValueBytes: number;
   /** Average rate that a leader's writes may not exceed, in mutations per second. */
   readonly writesPerSecond: number;
-  /** Largest number of unused mutations that a leader may accumulate for a burst. */
+  /** Maximum number of unused mutations that a leader may accumulate for a burst. */
   readonly writeBurst: number;
 }
 
@@ -85,6 +85,6 @@
   readonly headroomFactor: (job: JobSpec) => number;
   /** Milliseconds in which the peak of a class's demand decays to 1/e. */
   readonly demandDecayMs: number;
-  /** Smallest number of machines with which followers answer heartbeats, too. */
+  /** Minimum number of machines with which followers answer heartbeats, too. */
   readonly sharedHeartbeatsMinMachines: number;
 }
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -26,9 +26,9 @@
   startSent: boolean;
   /** Stage that the worker last reported for the task; null: none yet. */
   stage: TaskStage | null;
-  /** Monotonic milliseconds at which the task was first reported as running; null: not yet. */
+  /** Monotonic time in milliseconds at which the task was first reported as running; null: not yet. */
   runningSince: number | null;
-  /** Monotonic milliseconds at which the task is expected to be done. */
+  /** Monotonic time in milliseconds at which the task is expected to be done. */
   expectedEnd: number;
   /** The task's job had a starvation reservation: it is preempted only for a job within its team's guarantee. */
   readonly isReserved: boolean;
@@ -47,9 +47,9 @@
   committedVersion: number;
   /** The version with which its latest claim was added. */
   claimedVersion: number;
-  /** Monotonic milliseconds of the first change since its latest write was applied; null: no change since. */
+  /** Monotonic time in milliseconds of the first change since its latest write was applied; null: no change since. */
   dirtySince: number | null;
-  /** Monotonic milliseconds before which it is not written, after the store rejected it or it was too large. */
+  /** Monotonic time in milliseconds before which it is not written, after the store rejected it or it was too large. */
   blockedUntil: number;
 }
 
@@ -86,11 +86,11 @@
   runningCount: number;
   /** Reason for the job's next write; null: nothing has to be written. */
   writeReason: WriteReason | null;
-  /** Monotonic milliseconds since which its write reason is `exit`, if it is. */
+  /** Monotonic time in milliseconds since which its write reason is `exit`, if it is. */
   exitsPendingSince: number;
-  /** Monotonic milliseconds at which a task of the job was last placed; -Infinity: never. */
+  /** Monotonic time in milliseconds at which a task of the job was last placed; -Infinity: never. */
   lastPlacedAt: number;
-  /** Monotonic milliseconds at which a task of the job was last preempted; -Infinity: never. */
+  /** Monotonic time in milliseconds at which a task of the job was last preempted; -Infinity: never. */
   lastPreemptedAt: number;
   /** The job has a position in the queue. */
   isQueued: boolean;
@@ -112,9 +112,9 @@
   readonly chunks: Map<number, Chunk>;
   /** By key; each record is removed once the committed current chunks hold all that is known of its tasks. */
   readonly supersededChunks: Map<string, SupersededChunk>;
-  /** Consecutive failed tries since the job was found to be faulty; the retry backoff grows with it. */
+  /** Consecutive failed attempts since the job was found to be faulty; the retry backoff grows with it. */
   failedAttempts: number;
-  /** Monotonic milliseconds before which none of its tasks is placed. */
+  /** Monotonic time in milliseconds before which none of its tasks is placed. */
   retryAt: number;
   /** Names of the machines on which its tasks have failed since one of them last completed. */
   readonly failedMachines: Set<string>;
--- a/src/core/model/leadership.ts
+++ b/src/core/model/leadership.ts
@@ -1,7 +1,7 @@
 /** The leadership of a controller, and the commit in flight. */
 import type { Chunk, JobState } from './job.js';
 
-/** This controller's leadership for one term. Times are in monotonic milliseconds. */
+/** This controller's leadership for one term. Times are monotonic, in milliseconds. */
 export interface Leadership {
   /** The fencing token, which increases with each election. */
   readonly term: number;
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -28,7 +28,7 @@
 
 /**
  * A leader's state of a machine. The fields are grouped by the core modules that write them; other modules only read
- * them. Times are in monotonic milliseconds.
+ * them. Times are monotonic, in milliseconds.
  */
 export interface Machine {
   // Identity and description: written by `fleet/cloud-listing` and `fleet/heartbeats`, whichever comes first, and by
@@ -58,7 +58,7 @@
   // `autoscaling/scale-in` makes the request, and `command-handlers` clears it if it fails.
   /** Why it gets no more tasks and is terminated; null: it stays in use. */
   terminationReason: TerminationReason | null;
-  /** When its termination was requested; null: not under way. */
+  /** When its termination was requested; null: not yet, or the request failed. */
   terminationRequestedAt: number | null;
 
   // Heartbeats: written by `fleet/heartbeats` and `fleet/keepalives`, exits by `fleet/task-reports`, too;
@@ -103,7 +103,7 @@
   missedResponses: number;
 
   // Probes: written by `fleet/probes`; heartbeats and keepalives reset the failures.
-  /** A probe is under way. */
+  /** A probe of it is in flight. */
   isProbing: boolean;
   /** Number of consecutive probes that have failed. */
   failedProbes: number;
@@ -139,13 +139,13 @@
   readonly spot: boolean;
   /** Number of machines requested. */
   readonly count: number;
-  /** Monotonic milliseconds. */
+  /** Monotonic time, in milliseconds. */
   readonly requestedAt: number;
 }
 
 /** Counts of machines by their contact with a leader. */
 export interface HealthCounts {
-  /** Machines whose latest heartbeat is no older than the longest heartbeat interval plus a tolerance. */
+  /** Machines whose latest heartbeat is no older than the maximum heartbeat interval plus a tolerance. */
   readonly reporting: number;
   /** Machines that should have sent such a heartbeat. */
   readonly expected: number;
--- a/src/core/model/scheduling.ts
+++ b/src/core/model/scheduling.ts
@@ -25,13 +25,13 @@
   readonly job: string;
   /** Names of the machines that are reserved for it. */
   readonly machines: readonly string[];
-  /** Monotonic milliseconds at which it is expected to start; null: unknown. */
+  /** Monotonic time in milliseconds at which it is expected to start; null: unknown. */
   readonly shadowTime: number | null;
   /** Why the job waits. */
   readonly reason: string;
 }
 
-/** Observed demand of a job class. Times are in monotonic milliseconds. */
+/** Observed demand of a job class. Times are monotonic, in milliseconds. */
 export interface Demand {
   /** Latest job of the class, taken as typical of jobs to come. */
   readonly spec: JobSpec;
--- a/src/core/persistence/claims.ts
+++ b/src/core/persistence/claims.ts
@@ -15,7 +15,7 @@
 
 /**
  * Claims a machine for a task. The start is not sent before the claim is committed.
- * `expectedEnd`: monotonic milliseconds at which the task is expected to be done.
+ * `expectedEnd`: monotonic time in milliseconds at which the task is expected to be done.
  */
 export function claimTask(
   state: CoreState,
--- a/src/core/persistence/commit.ts
+++ b/src/core/persistence/commit.ts
@@ -16,8 +16,8 @@
 import { createDraft, draftJob, isClean, isFull, type TransactionDraft } from './transaction-draft.js';
 
 /**
- * Smallest number of mutations that transactions are limited to: the end of a job takes three. Smaller transactions
- * would only add the cost of their preconditions.
+ * Smallest limit on the mutations of a transaction: ending a job takes three. Smaller transactions would only add the
+ * cost of their preconditions.
  */
 const MIN_MUTATIONS = 3;
 
--- a/src/core/persistence/reconciliation.ts
+++ b/src/core/persistence/reconciliation.ts
@@ -1,7 +1,7 @@
 /**
  * Reconciliation: after a commit whose outcome is unknown or whose preconditions failed, the leader reads the records
  * that the commit touched again before it commits anything else. A transaction without an answer may still be applied
- * later. Its successor depends on the revisions that were read after it, so at most one of the two is applied.
+ * later. The next one is conditional on the revisions that were read after it, so at most one of the two is applied.
  */
 import type { Effect, ReconciledRecords } from '../effects.js';
 import { finalOutcomeOf } from '../jobs/dependencies.js';
--- a/src/core/persistence/transaction-draft.ts
+++ b/src/core/persistence/transaction-draft.ts
@@ -1,8 +1,8 @@
 /**
  * Drafts a transaction: which records of a job are written and removed, and on which preconditions.
  *
- * Every record is written on condition of its own revision, and the whole transaction on condition of the leader's
- * term. So no write of a superseded leader is applied, and no write is applied out of order.
+ * The write of a record is conditional on the record's revision, and the whole transaction on the leader's term. So no
+ * write of a superseded leader is applied, and no write is applied out of order.
  */
 import { isComplete } from '../jobs/jobs.js';
 import { isDone } from '../model.js';
@@ -14,7 +14,7 @@
 import { hasUncommittedStart } from './dirty-jobs.js';
 import { encodeChunk, encodeCompactChunk, endedKey, jobKey, TERM_KEY } from './records.js';
 
-/** Largest size of the records in a transaction: a request may have 64 KiB with preconditions and envelope. */
+/** Maximum size of the records in a transaction: with preconditions and envelope, a request may have 64 KiB. */
 const MAX_RECORD_BYTES = 48 * 1024;
 
 /** Bytes that a record takes in a transaction besides its value: its key, twice, and its precondition. */
@@ -54,7 +54,7 @@
   };
 }
 
-/** Whether a draft contains the largest allowed number of mutations. */
+/** Whether a draft contains the maximum number of mutations. */
 const hasMaxMutations = ({ mutations, maxMutations }: TransactionDraft): boolean =>
   mutations.length >= maxMutations;
 
@@ -137,7 +137,7 @@
   if (job.claims.size === 0 && !hasMaxMutations(draft)) removeSoleRecord(state, draft, job);
 }
 
-/** Removes the chunk record of a job that has exactly one, of whichever layout. */
+/** Removes the chunk record of a job that has exactly one, in the current or an earlier layout. */
 function removeSoleRecord(state: CoreState, draft: TransactionDraft, job: JobState): void {
   const stored = [...job.chunks.values()].filter(({ modRevision }) => modRevision !== 0);
   if (stored.length + job.supersededChunks.size !== 1) return;
@@ -187,9 +187,9 @@
 }
 
 /**
- * Handles a chunk that is too large to be written, which only unusually long names can cause. Claims
- * in it that are not committed have not been sent either, so they are released. The job's tasks are not
- * placed again for a worker lease, in which others of the job may end.
+ * Handles a chunk that is too large to be written, which only unusually long names can cause. The
+ * starts of its uncommitted claims have not been sent, so these claims are released. The job's tasks are
+ * not placed again for a worker lease, during which other tasks of the job may end.
  */
 function withdrawUncommittedStarts(state: CoreState, job: JobState, chunk: Chunk, now: Now): void {
   const [first, end] = chunkRange(state, job, chunk);
--- a/src/core/placement/node-capacity.ts
+++ b/src/core/placement/node-capacity.ts
@@ -1,5 +1,5 @@
 /**
- * Capacity of one worker node for placement, and the groups of nodes of one kind that the
+ * Capacity of one machine for placement, and the groups of machines of one kind that the
  * capacity index sorts into buckets of free CPUs.
  */
 import type { Machine } from '../model.js';
@@ -9,7 +9,7 @@
 /** Number of equal steps into which a machine type's CPUs are divided for the buckets. */
 const CPU_BUCKETS = 32;
 
-/** A machine with the resources that placement may use on it. */
+/** A node of the capacity index: a machine that tasks may be placed on, with the resources that they may use. */
 export interface NodeCapacity {
   readonly machine: Machine;
   readonly type: MachineType;
--- a/src/core/placement/scoring.ts
+++ b/src/core/placement/scoring.ts
@@ -86,7 +86,7 @@
   if (!respectsReservations(pass, preferences, node, end)) return null;
   const start = now.monotonicMs + msUntilNextHeartbeat(state, machine, now) + fetchMs;
   const missesStart = preferences.startDeadline < Infinity && start > preferences.startDeadline;
-  // Tight fits score better, so that large amounts of free resources stay in one piece.
+  // Tight fits score better, to limit the fragmentation of free resources.
   const cpusLeftShare = (node.unreserved.cpus - spec.cpus) / Math.max(RESOURCE_EPSILON, pass.maxCpus);
   const durationMs = fetchMs + runMs + 1;
   const prolongedMs = Math.max(0, end - Math.max(now.monotonicMs, node.busyUntil));
--- a/src/core/placement/starvation.ts
+++ b/src/core/placement/starvation.ts
@@ -1,7 +1,7 @@
 /**
  * Starvation reservations. EASY backfilling reserves for the head job only, and it is proven that the
- * second job may be overtaken without bound. In a queue ordered by priority, the same holds for every
- * job of low priority, and for a large job overtaken by small ones. So a job that has not been served
+ * second job in the queue may be overtaken without bound. In a queue ordered by priority, the same holds for every
+ * job of low priority, and for a large job overtaken by small ones. So a job of which no task has been placed
  * for a share of its maximum wait gets a reservation of its own, whatever its priority or size, and
  * all other jobs must pass the two backfilling tests against it too.
  */
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -43,7 +43,7 @@
   readonly config: CoreConfig;
   /** Monotonic time of this step, in milliseconds. */
   monotonicMs: number;
-  /** Null: this controller does not lead. */
+  /** Null: this controller is not the leader. */
   leadership: Leadership | null;
 
   // Jobs and machines.
@@ -72,11 +72,11 @@
   readonly attention: Set<Machine>;
   /** Names of the machines newly marked as needing attention in this step, to be announced to followers. */
   readonly newAttentionNames: string[];
-  /** Names of the machines that have reported since the latest tick and were unknown before. */
+  /** Names of the machines that have sent a heartbeat since the latest tick and were unknown before. */
   readonly unexpected: string[];
 
   // Health.
-  /** Zones in which no machine reports, and since when, as far as known. */
+  /** Zones found to be partitioned, and since when they have been silent, as far as known. */
   readonly silentZones: Map<string, number>;
   /** The timers of this controller run late, as of the latest tick. */
   isOverloaded: boolean;
@@ -99,7 +99,7 @@
   commitNotBefore: number;
   /** Ids of the jobs that are being reconciled, during which no commit is made; null: no reconciliation. */
   pendingReconciliation: readonly string[] | null;
-  /** Each transaction holds the changes of one job: even one of the minimum size was rejected. */
+  /** Each transaction holds the changes of one job, since even one of the minimum size was rejected. */
   writesJobsSingly: boolean;
   /** Number of mutations that may be written (`level`), as of the time `at`. */
   readonly writeBudget: { level: number; at: number };
@@ -120,7 +120,7 @@
   // The queue.
   /** Jobs with tasks that wait for a machine. */
   readonly waitingJobs: Set<JobState>;
-  /** Jobs that have got waiting tasks since `queue` was last updated, and are not in it. */
+  /** Jobs whose tasks have begun to wait since `queue` was last updated, and that are not in it. */
   readonly newlyWaitingJobs: JobState[];
   /** Waiting jobs in the order in which they are served: sorted at a tick, with later jobs inserted. */
   queue: QueuePosition[];
@@ -144,9 +144,9 @@
   readonly preemptedClaims: Set<LiveClaim>;
   /** Number of tasks that are on machines or wait, by job class. */
   readonly outstandingByClass: Map<string, number>;
-  /** Usage by team: of the tasks that are not proven gone from their machines. */
+  /** By team: the resources of its tasks that are not proven to be gone from their machines. */
   readonly usageByTeam: Map<string, TeamUsage>;
-  /** Machines that are believed to hold an image, by image. */
+  /** Machines that are assumed to cache an image, by image. */
   readonly machinesByImage: Map<string, Set<Machine>>;
   /** Machines with a change that affects placement, since the latest pass over the queue. */
   readonly changedMachines: Set<Machine>;
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -16,16 +16,16 @@
 import { chooseReserved } from './placement/starvation.js';
 import { hasFreshView, type CoreState } from './state.js';
 
-/** Share of the machines that should be up which must have reported before a new leader places tasks. */
+/** A new leader places tasks once this share of the machines that should be up has reported to it. */
 const MIN_REPORTING_SHARE = 0.5;
 
-/** Maximum number of machines named in the log line about unexpected reports. */
+/** Maximum number of machines named in the log line about unexpected machines. */
 const MAX_LOGGED_MACHINES = 5;
 
 /**
  * Whether enough machines have reported to a new leader for it to place tasks. If it used the first few alone, waiting
- * tasks would be placed on machines that neither hold their images nor suit their requests, and each pass delays the
- * heartbeats still to be received. It places tasks in any case once `maxPlacementDelayMs` have passed.
+ * tasks would be placed on machines that neither hold their images nor suit their requests, and each pass would delay
+ * the processing of further heartbeats. It places tasks in any case once `maxPlacementDelayMs` have passed.
  */
 function hasEnoughHeartbeats(state: CoreState, { since }: Leadership, now: Now): boolean {
   if (now.monotonicMs >= since + state.config.policy.maxPlacementDelayMs) return true;
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -169,7 +169,7 @@
   readonly modRevision: number;
 }
 
-/** A change of a key. A key put with a `lease`, the id of one, is deleted when that lease ends. */
+/** A change of a key. A key put with a `lease` (a lease id) is deleted when that lease expires or is revoked. */
 export type Mutation =
   { readonly put: string; readonly value: unknown; readonly lease?: number } | { readonly remove: string };
 
