--- a/src/core/fleet/token-announcement.ts
+++ b/src/core/fleet/token-announcement.ts
@@ -8,7 +8,7 @@
 
 /** Share of an interval's direct calls made right after a failover if the previous leader may still be alive. */
 const EARLY_CALL_SHARE = 0.25;
-/** A machine that sent a heartbeat, or was sent the token, within this many heartbeat intervals is not called. */
+/** A machine that sent a heartbeat or was sent the token within this many maximum heartbeat intervals is not called. */
 const RECENT_INTERVALS = 2;
 
 /** The agent epoch to send with the token. If it is wrong, the worker's answer contains the right one. */
@@ -19,12 +19,16 @@
 }
 
 /** Adds the direct calls allowed since the last refill to the budget, and returns it. */
-function refillCallBudget(state: CoreState, lead: Leadership, now: Now): Leadership['directCallBudget'] {
+function refillCallBudget(
+  state: CoreState,
+  leadership: Leadership,
+  now: Now,
+): Leadership['directCallBudget'] {
   const { timing, maxDirectCallsPerInterval } = state.config;
-  const { directCallBudget } = lead;
-  const hasSettled = now.monotonicMs - lead.since > timing.maxHeartbeatIntervalMs;
+  const { directCallBudget } = leadership;
+  const hasSettled = now.monotonicMs - leadership.since > timing.maxHeartbeatIntervalMs;
   if (!hasSettled) {
-    if (lead.previousLeaderMayBeAlive === true && directCallBudget.at === lead.since) {
+    if (leadership.previousLeaderMayBeAlive === true && directCallBudget.at === leadership.since) {
       directCallBudget.left = Math.ceil(EARLY_CALL_SHARE * maxDirectCallsPerInterval);
       directCallBudget.at = now.monotonicMs;
     }
@@ -57,13 +61,13 @@
 /**
  * Sends this leader's token to machines that have not seen it. Right after a failover from a leader that may still
  * be alive, only a few are called: a partitioned leader keeps answering them, and learns of its successor from the
- * token in their next heartbeats. The other machines get one heartbeat interval to report on their own: a leader
- * that calls all of them together has no time left to process their heartbeats before their leases expire.
+ * token in their next heartbeats. The other machines get one maximum heartbeat interval to report on their own: a
+ * leader that calls all of them together has no time left to process their heartbeats before their leases expire.
  */
 export function announceToken(state: CoreState, now: Now, effects: Effect[]): void {
-  const lead = state.leadership;
-  if (lead === null) return;
-  const budget = refillCallBudget(state, lead, now);
+  const leadership = state.leadership;
+  if (leadership === null) return;
+  const budget = refillCallBudget(state, leadership, now);
   if (budget.left < 1) return;
   for (const machine of state.machines.values()) {
     if (budget.left < 1) return;
@@ -74,7 +78,7 @@
       kind: 'sendCommands',
       machine: machine.name,
       address: machine.address,
-      token: lead.term,
+      token: leadership.term,
       agentEpoch: presumedAgentEpoch(machine),
       commands: [],
     });
