--- a/src/controller/follower-role.ts
+++ b/src/controller/follower-role.ts
@@ -7,7 +7,7 @@
 import type { FailureDetector } from './failure-detector.js';
 import type { PeerExchange } from './peer-exchange.js';
 
-/** Answers or redirects the workers that report to a follower. */
+/** Answers or redirects the workers that send heartbeats to a follower. */
 export class FollowerRole {
   readonly #router: WorkerRouter;
 
@@ -16,7 +16,7 @@
     private readonly peers: PeerExchange,
     private readonly failureDetector: FailureDetector,
     private readonly responder: FallbackResponder,
-    /** Forgets a worker whose heartbeats were accepted for the leader; returns whether it reported within its lease. */
+    /** Forgets a worker whose heartbeats were accepted for the leader; returns whether it sent one within its lease. */
     private readonly forgetWorker: (machine: string) => boolean,
   ) {
     this.#router = new WorkerRouter(context.timing);
@@ -38,28 +38,28 @@
   }
 
   /** Redirects a worker to the leader, or answers it for a leader that it cannot reach. */
-  answer(report: Heartbeat, done: (status: number, body: string) => void): void {
+  answer(heartbeat: Heartbeat, done: (status: number, body: string) => void): void {
     const now = this.context.ports.clock.monotonicMs();
-    const reachability = this.#leaderReachability(report.zone);
-    // A worker that was accepted here for the leader has not left it by reporting here again. It has left it if it is
-    // redirected to the leader and comes back.
+    const reachability = this.#leaderReachability(heartbeat.zone);
+    // A worker whose heartbeats were accepted here for the leader has not left the leader by sending another one. It
+    // has left it if it is now redirected to the leader and comes back.
     if (
-      !this.forgetWorker(report.machine) &&
-      this.#router.isUnexpected(report.machine, report.token, reachability, now)
+      !this.forgetWorker(heartbeat.machine) &&
+      this.#router.isUnexpected(heartbeat.machine, heartbeat.token, reachability, now)
     )
-      this.failureDetector.recordUnexpectedReport(report.machine);
-    const route = this.#router.route(report.machine, report.token, reachability, now);
-    if (route !== 'here') {
-      done(421, encodeRedirect(route === 'on' ? reachability.leader : null));
+      this.failureDetector.recordUnexpectedReport(heartbeat.machine);
+    const route = this.#router.route(heartbeat.machine, heartbeat.token, reachability, now);
+    if (route !== 'self') {
+      done(421, encodeRedirect(route === 'leader' ? reachability.leader : null));
       return;
     }
-    this.answerWithoutLeader(report, done);
+    this.answerWithoutLeader(heartbeat, done);
   }
 
   /** Answers a worker in the leader's place, based on the live jobs that this node knows. */
-  answerWithoutLeader(report: Heartbeat, done: (status: number, body: string) => void): void {
+  answerWithoutLeader(heartbeat: Heartbeat, done: (status: number, body: string) => void): void {
     const token = this.context.leadershipView.highestTerm;
-    void this.responder.answer(report).then((commands) => {
+    void this.responder.answer(heartbeat).then((commands) => {
       if (
         commands === null ||
         this.context.commands.state.leadership !== null ||
--- a/src/membership/worker-router.ts
+++ b/src/membership/worker-router.ts
@@ -1,5 +1,5 @@
 /**
- * Decides where a follower sends the workers that report to it: to the leader as long as the leader may be
+ * Decides where a follower directs the workers that send it heartbeats: to the leader as long as the leader may be
  * reachable. The follower answers a worker itself only on evidence that the leader is not reachable, and only
  * while that evidence is fresh.
  */
@@ -9,11 +9,11 @@
 /** Where a worker's heartbeat is answered. */
 export type WorkerRoute =
   /** Redirected to the leader. */
-  | 'on'
-  /** Sent on without a target: the worker tries the next controller. */
-  | 'away'
+  | 'leader'
+  /** Redirected without a target: the worker tries the next controller. */
+  | 'nextController'
   /** Answered by this follower, in the leader's place. */
-  | 'here';
+  | 'self';
 
 /** What this follower knows about whether the leader is reachable. */
 export interface LeaderReachability {
@@ -21,9 +21,9 @@
   readonly leader: string | null;
   /** Whether a status of the leader has arrived within the longest heartbeat interval. */
   readonly hasContact: boolean;
-  /** Steady time at which the link to the leader was lost or refused; null: it was not, or has recovered since. */
+  /** Monotonic time (ms) at which the link to the leader was lost or refused; null: it was not, or has recovered. */
   readonly linkLostAt: number | null;
-  /** Whether the state service has answered recently, so that the leader record is known to be still valid. */
+  /** Whether the key-value store has answered recently, so that the leader record is known to be still valid. */
   readonly isRecordConfirmed: boolean;
   /** Whether the leader receives no heartbeats from the worker's zone. */
   readonly isZoneSilent: boolean;
@@ -33,9 +33,12 @@
   readonly token: number;
 }
 
-/** Decides where a worker that reports to a follower is sent, and remembers which workers were redirected. */
+/** Decides where a follower sends a worker, and remembers which workers were redirected. */
 export class WorkerRouter {
-  /** Steady time at which each worker was redirected to the leader or answered here; the oldest is dropped first. */
+  /**
+   * Monotonic time (ms) at which each worker was redirected to the leader or answered here; the oldest is dropped
+   * first.
+   */
   readonly #redirectedAt = new Map<string, number>();
 
   constructor(private readonly timing: Timing) {}
@@ -49,11 +52,14 @@
     }
   }
 
-  /** Whether a worker with this token has left the present leader on its own, without a recent redirect. */
-  isUnexpected(machine: string, token: number, reach: LeaderReachability, now: number): boolean {
+  /**
+   * Whether a worker with the current leader's token has come here on its own: this node has neither redirected it to
+   * the leader nor answered it recently.
+   */
+  isUnexpected(machine: string, token: number, reachability: LeaderReachability, now: number): boolean {
     const redirectedAt = this.#redirectedAt.get(machine);
     const { maxHeartbeatIntervalMs, workerLeaseMs } = this.timing;
-    if (token === 0 || token !== reach.token) return false;
+    if (token === 0 || token !== reachability.token) return false;
     return (
       redirectedAt === undefined ||
       now - redirectedAt > workerLeaseMs ||
@@ -61,34 +67,34 @@
     );
   }
 
-  route(machine: string, token: number, reach: LeaderReachability, now: number): WorkerRoute {
+  route(machine: string, token: number, reachability: LeaderReachability, now: number): WorkerRoute {
     const { maxHeartbeatIntervalMs, workerLeaseMs, leaderLeaseMs } = this.timing;
-    const { leader, linkLostAt } = reach;
-    if (leader === null || reach.token === 0 || token > reach.token) return 'away';
+    const { leader, linkLostAt } = reachability;
+    if (leader === null || reachability.token === 0 || token > reachability.token) return 'nextController';
     const redirectedAt = this.#redirectedAt.get(machine);
     // A worker needs some seconds to try a node that does not answer. One that comes back so long after its
-    // redirect has tried the leader in vain, even if this node has contact with the leader; so have other workers
-    // of its zone if the leader reports the zone as silent. Such a worker is answered once and then redirected
-    // again: if it stayed here for longer, a leader that has become reachable again would get no heartbeats from it
-    // and would terminate a machine that is alive.
-    const hasTriedInVain =
+    // redirect has failed to reach the leader, even if this node has contact with the leader. Without a redirect,
+    // the same is assumed of a worker whose zone is silent to the leader. Such a worker is answered once and then
+    // redirected again: if it stayed here for longer, a leader that has become reachable again would get no
+    // heartbeats from it and would terminate a machine that is alive.
+    const hasFailedToReachLeader =
       redirectedAt === undefined
-        ? reach.isZoneSilent
+        ? reachability.isZoneSilent
         : now - redirectedAt < workerLeaseMs && now - redirectedAt > 1.5 * maxHeartbeatIntervalMs;
     // The link was lost or refused recently: the leader has probably crashed and is replaced soon, and the next
     // controller may already be its successor. Workers that are redirected to the crashed leader would alternate
     // between it and the followers. If no other controller is left, this node will lead: workers that are sent away
     // might come back only after their lease has expired.
     const isLinkLostRecently = linkLostAt !== null && now - linkLostAt < leaderLeaseMs;
-    if (isLinkLostRecently && reach.hasOtherContact) return 'away';
+    if (isLinkLostRecently && reachability.hasOtherContact) return 'nextController';
     // Refused links between controllers say nothing about the workers' connections to the leader.
-    const reachable = reach.hasContact || (linkLostAt !== null && reach.isRecordConfirmed);
-    if (reachable && !hasTriedInVain && !isLinkLostRecently) {
+    const isReachable = reachability.hasContact || (linkLostAt !== null && reachability.isRecordConfirmed);
+    if (isReachable && !hasFailedToReachLeader && !isLinkLostRecently) {
       if (redirectedAt === undefined || now - redirectedAt > 1.5 * maxHeartbeatIntervalMs)
         this.#recordRedirect(machine, now);
-      return 'on';
+      return 'leader';
     }
     this.#recordRedirect(machine, now);
-    return 'here';
+    return 'self';
   }
 }
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -350,7 +350,7 @@
       hasOtherContact: true,
       token: TERM,
     };
-    for (const name of NAMES) expect(router.route(name, TERM, reachability, 1000)).toBe('on');
+    for (const name of NAMES) expect(router.route(name, TERM, reachability, 1000)).toBe('leader');
     expect(NAMES.filter((name) => router.isUnexpected(name, TERM, reachability, 1000))).toEqual([]);
   });
 
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -34,8 +34,8 @@
   }
 
   receiveStatus(node: string, more: Partial<MemberStatus> = {}): this {
-    const leads = node === 'b' ? { isLeader: true, expected: 40, reporting: 40 } : {};
-    this.membership.receiveStatus(memberStatus(node, { ...leads, ...more }), this.now);
+    const leaderFields = node === 'b' ? { isLeader: true, expected: 40, reporting: 40 } : {};
+    this.membership.receiveStatus(memberStatus(node, { ...leaderFields, ...more }), this.now);
     return this;
   }
 
@@ -53,7 +53,7 @@
     return this;
   }
 
-  reportUnexpectedly(count: number): this {
+  sendUnexpectedHeartbeats(count: number): this {
     for (let i = 0; i < count; i += 1) this.membership.recordUnexpectedReport(`m-${i}`, this.now);
     return this;
   }
@@ -105,31 +105,32 @@
   ],
   // A single refusal may come from a host with a full socket table.
   'refused since its last word': [
-    (s) => s.link('b', 'lost', 'refused').receiveStatus('c', REFUSED).reportUnexpectedly(3).mayReplaceLeader,
+    (s) =>
+      s.link('b', 'lost', 'refused').receiveStatus('c', REFUSED).sendUnexpectedHeartbeats(3).mayReplaceLeader,
     false,
   ],
-  // A packet filter between the nodes refuses for as long as it is in place, and workers may report unexpectedly for
-  // other reasons.
+  // A packet filter between the nodes refuses for as long as it is in place, and workers may send unexpected
+  // heartbeats for other reasons.
   'refused of late': [
     (s) =>
       crash(s)
         .wait(2 * TIMES.leaderLeaseMs, ['c'])
         .receiveStatus('c', REFUSED)
-        .reportUnexpectedly(3).mayReplaceLeader,
+        .sendUnexpectedHeartbeats(3).mayReplaceLeader,
     false,
   ],
   'no witness hears it': [
     (s) =>
       crash(s)
         .receiveStatus('c', { observations: [{ node: 'b', ageMs: 90, linkState: 'up' }] })
-        .reportUnexpectedly(3).mayReplaceLeader,
+        .sendUnexpectedHeartbeats(3).mayReplaceLeader,
     false,
   ],
-  'its workers have left it': [(s) => crash(s).reportUnexpectedly(2).mayReplaceLeader, false],
+  'its workers have left it': [(s) => crash(s).sendUnexpectedHeartbeats(2).mayReplaceLeader, false],
   'this node has not stood still': [
     (s) => {
       crash(s)
-        .reportUnexpectedly(3)
+        .sendUnexpectedHeartbeats(3)
         .membership.recordTimerLag(3 * TIMES.tickMs, s.now);
       return s.mayReplaceLeader;
     },
@@ -137,7 +138,7 @@
   ],
   'the state service answers this node': [
     (s) => {
-      crash(s).reportUnexpectedly(3).storeContactAgeMs = 60_000;
+      crash(s).sendUnexpectedHeartbeats(3).storeContactAgeMs = 60_000;
       return s.mayReplaceLeader;
     },
     false,
@@ -178,13 +179,13 @@
         0,
         0,
       );
-      const work = (times: number, late: number): void => {
+      const work = (slowdown: number, lagMs: number): void => {
         s.wait(TIMES.maxHeartbeatIntervalMs, ['b', 'c']).membership.processingRate.record(
-          20 * times,
+          20 * slowdown,
           10,
           s.now,
         );
-        s.membership.recordTimerLag(late, s.now);
+        s.membership.recordTimerLag(lagMs, s.now);
       };
       for (let i = 0; i < 12; i += 1) work(1, 1);
       for (let i = 0; i < 6; i += 1) work(4, TIMES.tickMs);
@@ -219,7 +220,7 @@
 });
 
 test('a leader is given up on all evidence of a crash, and its own status restores trust', () => {
-  const scene = crash(new Scene(EVIDENCE_RULES)).reportUnexpectedly(3);
+  const scene = crash(new Scene(EVIDENCE_RULES)).sendUnexpectedHeartbeats(3);
   expect(scene.mayReplaceLeader).toBe(true);
   scene.membership.assess(scene.now, scene.storeContactAgeMs);
   expect(scene.levelOfB).toBe('given up');
@@ -289,7 +290,7 @@
           isZoneSilent,
           hasOtherContact: true,
         });
-  const hop = 1000;
+  const hopMs = 1000;
   let worst = 0;
   for (const first of observations)
     for (const second of observations)
@@ -298,19 +299,19 @@
           observation,
           router: new WorkerRouter(TIMES),
         }));
-        let at = 0;
+        let index = 0;
         let now = start;
         for (;;) {
-          const { observation, router } = nodes[at % 2] as (typeof nodes)[number];
+          const { observation, router } = nodes[index % 2] as (typeof nodes)[number];
           const route = router.route('m', 4, { ...observation, token: 4 }, now);
-          if (route === 'on') break;
-          if (route === 'away') at += 1;
-          now += route === 'away' ? hop : 0.8 * TIMES.maxHeartbeatIntervalMs;
+          if (route === 'leader') break;
+          if (route === 'nextController') index += 1;
+          now += route === 'nextController' ? hopMs : 0.8 * TIMES.maxHeartbeatIntervalMs;
         }
         worst = Math.max(worst, now - start);
       }
   expect(worst).toBeGreaterThan(0);
-  expect(worst).toBeLessThanOrEqual(TIMES.leaderLeaseMs + 2 * hop);
+  expect(worst).toBeLessThanOrEqual(TIMES.leaderLeaseMs + 2 * hopMs);
 });
 
 // A delayed message of an earlier incarnation must not count as evidence of the current one.
