--- a/src/controller/effect-executor.ts
+++ b/src/controller/effect-executor.ts
@@ -1,6 +1,6 @@
 /**
  * Carries out the effects of the core's steps. The outcome of an effect, if it has one, is pushed to the command loop
- * as a command. The ports report failures as values, so no promise here is rejected.
+ * as a command. The ports return failures as values, so no promise here is rejected.
  */
 import type { Effect, Reply } from '../core/effects.js';
 import type { Heartbeat } from '../core/types.js';
--- a/src/controller/election-driver.ts
+++ b/src/controller/election-driver.ts
@@ -44,7 +44,7 @@
 export class ElectionDriver {
   constructor(
     private readonly election: ElectionState,
-    private readonly state: KeyValueStore,
+    private readonly store: KeyValueStore,
     private readonly clock: Clock,
     private readonly listener: ElectionListener,
     /** The current delay before a campaign, in milliseconds. */
@@ -67,13 +67,13 @@
         this.dispatch({ kind: 'leaderRead', round: effect.round, leader: await this.#readLeaderListed() });
         break;
       case 'watchLeader': {
-        const found = await this.state.watch(LEADER_KEY, effect.after, effect.ms);
+        const found = await this.store.watch(LEADER_KEY, effect.after, effect.ms);
         this.dispatch({ kind: 'leaderWatched', round: effect.round, answered: found.kind !== 'unknown' });
         break;
       }
       case 'grantLease': {
         const [lease, term] = await Promise.all([
-          this.state.grant(this.election.timing.leaderLeaseMs),
+          this.store.grant(this.election.timing.leaderLeaseMs),
           this.#readTerm(),
         ]);
         this.dispatch({
@@ -97,11 +97,11 @@
         this.dispatch({
           kind: 'leaseRenewed',
           round: effect.round,
-          alive: await this.state.renew(effect.lease),
+          alive: await this.store.renew(effect.lease),
         });
         break;
       case 'revokeLease':
-        await this.state.revoke(effect.lease);
+        await this.store.revoke(effect.lease);
         break;
       case 'nameSuccessor':
         await this.#nameSuccessor(effect);
@@ -143,7 +143,7 @@
 
   /** Reads the leader record by a list request: only that returns the store's revision, from which a watch can start. */
   async #readLeaderListed(): Promise<LeaderKeyState | 'unknown'> {
-    const found = await this.state.list(LEADER_KEY);
+    const found = await this.store.list(LEADER_KEY);
     if (found === 'unknown') return 'unknown';
     const entry = found.entries.find(({ key }) => key === LEADER_KEY);
     return {
@@ -154,19 +154,19 @@
   }
 
   async #readLeader(): Promise<KeyState<LeaderRecord> | 'unknown'> {
-    const read = await this.state.read(LEADER_KEY);
+    const read = await this.store.read(LEADER_KEY);
     if (read === 'unknown') return 'unknown';
     return { value: decodeLeader(read.entry?.value), modRevision: read.entry?.modRevision ?? 0 };
   }
 
   async #readTerm(): Promise<KeyState<number> | 'unknown'> {
-    const read = await this.state.read(TERM_KEY);
+    const read = await this.store.read(TERM_KEY);
     if (read === 'unknown') return 'unknown';
     return { value: decodeTerm(read.entry?.value)?.term ?? null, modRevision: read.entry?.modRevision ?? 0 };
   }
 
   async #commit(transaction: Transaction): Promise<[TransactionOutcome, number]> {
-    const outcome = await this.state.commit(transaction);
+    const outcome = await this.store.commit(transaction);
     if (outcome.kind === 'applied') return ['applied', outcome.revision];
     return [outcome.kind === 'unknown' ? 'unknown' : 'failed', 0];
   }
--- a/src/controller/failure-detector.ts
+++ b/src/controller/failure-detector.ts
@@ -1,7 +1,7 @@
 /**
  * Failure detection between controllers and towards the machines. Observations of peers are passed to the membership,
  * and its verdicts are acted on here: machines are probed for a leader that misses heartbeats, a leader transfers its
- * leadership, a crashed leader is replaced. The part of the status that reports this to peers is built here.
+ * leadership, a crashed leader is replaced. The corresponding part of this node's status is built here.
  */
 import {
   Membership,
@@ -28,8 +28,8 @@
 export interface FailureDetectorActions {
   /** The leader that this node follows has crashed: its record may be replaced before its lease expires. */
   replaceCrashedLeader(): void;
-  /** This node leads, and has to transfer the leadership to another node. */
-  transferLeadership(resignation: Resignation): void;
+  /** This node leads, and has to transfer the leadership to a peer. */
+  transferLeadership(transfer: Resignation): void;
   /** The nodes that are preferred as leaders. */
   preferredLeaders(): ReadonlySet<string>;
   /** The status has changed, and peers need it before the next regular exchange. */
@@ -43,8 +43,8 @@
   #probesRequestedAt = -Infinity;
   /** Latest round in which this node probed machines for the leader. */
   #answeredRound = 0;
-  #announcedReports = 0;
-  /** This node gave up the leadership because it could not reach its machines, and no worker has reported to it since. */
+  #announcedUnexpectedCount = 0;
+  /** This node gave up the leadership because it could not reach its machines, and has received no heartbeat since. */
   #isIsolated = false;
 
   constructor(
@@ -71,7 +71,7 @@
   onLink(node: string, link: LinkState): void {
     this.membership.setLinkState(node, link, this.#now);
     this.#assess();
-    // A peer that needs a second witness of the refusals should not have to wait for the next regular status.
+    // A peer that needs a second witness of the refusals need not wait for the next regular status.
     if (link === 'refused' && this.membership.consecutiveRefusals(node) === 2) this.actions.broadcastStatus();
   }
 
@@ -80,18 +80,18 @@
     return this.#isIsolated;
   }
 
-  /** Records that a worker has reported to this node. */
+  /** Records that this node, as a follower, has received a heartbeat. */
   recordWorkerContact(): void {
     this.#isIsolated = false;
   }
 
-  /** Records that a worker of the current leader has reported here without having been redirected. */
+  /** Records that a worker of the current leader has sent this node a heartbeat without a redirect. */
   recordUnexpectedReport(machine: string): void {
     this.membership.recordUnexpectedReport(machine, this.#now);
-    const reports = this.membership.unexpectedReports(this.#now);
-    if (reports < MIN_UNEXPECTED_REPORTS) this.#announcedReports = 0;
-    if (reports < Math.max(MIN_UNEXPECTED_REPORTS, 2 * this.#announcedReports)) return;
-    this.#announcedReports = reports;
+    const unexpectedCount = this.membership.unexpectedReports(this.#now);
+    if (unexpectedCount < MIN_UNEXPECTED_REPORTS) this.#announcedUnexpectedCount = 0;
+    if (unexpectedCount < Math.max(MIN_UNEXPECTED_REPORTS, 2 * this.#announcedUnexpectedCount)) return;
+    this.#announcedUnexpectedCount = unexpectedCount;
     this.actions.broadcastStatus();
     this.#assess();
   }
@@ -134,10 +134,10 @@
     const { leadership } = commands.state;
     if (leadership !== null) {
       if (leadership.isTransferring === true) return;
-      const resignation = this.membership.chooseSuccessor(now, contactAgeMs, this.actions.preferredLeaders());
-      if (resignation === null) return;
-      this.#isIsolated ||= resignation.reason === MACHINES_UNREACHABLE;
-      this.actions.transferLeadership(resignation);
+      const transfer = this.membership.chooseSuccessor(now, contactAgeMs, this.actions.preferredLeaders());
+      if (transfer === null) return;
+      this.#isIsolated ||= transfer.reason === MACHINES_UNREACHABLE;
+      this.actions.transferLeadership(transfer);
     } else if (
       leadershipView.leader !== null &&
       !this.#isIsolated &&
@@ -164,17 +164,17 @@
   }
 
   /**
-   * Picks a few machines at even distances: from those that have reported, or if `unheard` from those that should have
-   * reported but have not.
+   * Picks a few machines at even distances: from those that have sent a heartbeat, or if `silentOnly` from those that
+   * have sent none for two ticks, or none at all although they have claims.
    */
-  #sampleMachines(now: number, unheard: boolean): string[] {
+  #sampleMachines(now: number, silentOnly: boolean): string[] {
     const { state } = this.context.commands;
     const from = now - 2 * this.context.timing.tickMs;
     const all = [...state.machines.values()].filter(
       ({ lastHeartbeatAt, address, terminationReason, claims }) =>
         address !== '' &&
         terminationReason === null &&
-        (lastHeartbeatAt === null ? unheard && claims.size > 0 : !unheard || lastHeartbeatAt < from),
+        (lastHeartbeatAt === null ? silentOnly && claims.size > 0 : !silentOnly || lastHeartbeatAt < from),
     );
     const step = Math.max(1, all.length / MAX_PROBED_MACHINES);
     const picked = Array.from(
@@ -188,10 +188,10 @@
    * Requests from the followers that they probe a few machines, and probes them from this node too; at most once per
    * longest heartbeat interval.
    */
-  #requestProbes(now: number, unheard: boolean): void {
+  #requestProbes(now: number, silentOnly: boolean): void {
     if (now - this.#probesRequestedAt < this.context.timing.maxHeartbeatIntervalMs) return;
     this.#probesRequestedAt = now;
-    this.#probeRequests = this.#sampleMachines(now, unheard);
+    this.#probeRequests = this.#sampleMachines(now, silentOnly);
     if (this.#probeRequests.length === 0) return;
     const round = this.membership.probeRound.round + 1;
     this.membership.setProbeRound({
@@ -202,7 +202,7 @@
       startedAt: now,
     });
     const { health } = this.context.commands.state;
-    if (unheard)
+    if (silentOnly)
       this.context.ports.log.info(
         { probes: this.#probeRequests.length, ...health },
         'worker contact degraded',
--- a/src/controller/fallback-responder.ts
+++ b/src/controller/fallback-responder.ts
@@ -1,14 +1,14 @@
 /**
- * A follower that answers workers for a leader they cannot reach.
+ * Lets a follower answer workers in the place of a leader that they cannot reach.
  *
- * During a partition between two zones, workers of the zone without the leader would lose their leases and all their
- * work. A follower in their zone can keep them alive: an answer with the leader's fencing token renews the lease,
+ * During a partition between two zones, the leases of the workers in the zone without the leader would expire, and
+ * all their work would be lost. A follower in their zone can keep them alive: an answer with the leader's fencing token renews the lease,
  * whichever controller sends it. The follower never starts a task. It stops tasks of jobs that are no longer live, and
  * answers only while its view of the cancellations is fresh, within the same bound as a leader.
  *
  * That view is the follower's own or else the last one that a leader has sent. The latter is needed if the leader
- * crashes during an outage of the key-value store: no successor is elected before the outage ends, and every worker
- * would lose its lease and its work until then.
+ * crashes during an outage of the key-value store: no successor is elected before the outage ends, and until then
+ * the lease of every worker would expire and its work would be lost.
  */
 import type { KeyValueStore } from '../adapters/key-value-store.js';
 import type { Clock } from '../adapters/clock.js';
@@ -40,7 +40,7 @@
 
   constructor(
     private readonly node: string,
-    private readonly state: KeyValueStore,
+    private readonly store: KeyValueStore,
     private readonly clock: Clock,
     private readonly timing: Timing,
     /** The largest value that the store takes, in bytes: longer lists are split. */
@@ -67,7 +67,7 @@
   }
 
   /** The commands for a worker; null: this node may not answer it. */
-  async answer(report: Heartbeat): Promise<WorkerCommand[] | null> {
+  async answer(heartbeat: Heartbeat): Promise<WorkerCommand[] | null> {
     this.#lastUsedAt = this.clock.monotonicMs();
     if (!this.#isWatching) {
       this.#isWatching = true;
@@ -80,9 +80,9 @@
     const live = this.#freshLiveJobs();
     if (live === null) return null;
     // A late duplicate does not renew a lease.
-    if (!this.#isNewer(report)) return null;
+    if (!this.#isNewer(heartbeat)) return null;
     const commands: WorkerCommand[] = [];
-    for (const { job, task, attempt, stage } of report.tasks) {
+    for (const { job, task, attempt, stage } of heartbeat.tasks) {
       if (stage !== 'exited' && !live.has(job)) commands.push({ op: 'stop', job, task, attempt, graceS: 0 });
     }
     return commands;
@@ -118,7 +118,7 @@
 
   async #load(): Promise<void> {
     const sentAt = this.clock.monotonicMs();
-    const jobs = await this.state.list(JOB_PREFIX);
+    const jobs = await this.store.list(JOB_PREFIX);
     if (jobs === 'unknown') return;
     this.#liveJobs.clear();
     for (const { key } of jobs.entries) this.#liveJobs.add(jobOfKey(key));
@@ -132,7 +132,7 @@
       const found =
         this.#viewConfirmedAt === -Infinity
           ? 'unread'
-          : await this.state.watch(JOB_PREFIX, this.#revision, this.timing.watchTimeoutMs);
+          : await this.store.watch(JOB_PREFIX, this.#revision, this.timing.watchTimeoutMs);
       if (found === 'unread' || found.kind === 'tooOld') await this.#load();
       else if (found.kind === 'changes') {
         for (const { key, value } of found.changes) {
@@ -152,9 +152,9 @@
   }
 
   /**
-   * Tells the leader, through the key-value store, which machines this node answers. It writes them without delay when
-   * they become more, since the leader takes them for silent until then, and else every two longest heartbeat
-   * intervals.
+   * Lists in the key-value store, for the leader, which machines this node answers. The list is written as soon as it
+   * has grown, since the leader treats the added machines as silent until then, and otherwise once every two longest
+   * heartbeat intervals.
    */
   async #announceMachines(): Promise<void> {
     let publishedMachines = 0;
@@ -166,7 +166,7 @@
         const at = this.clock.epochMs();
         for (const [part, names] of packMachines(machines, this.valueBytes).entries()) {
           const value: RelayRecord = { at, machines: names };
-          await this.state.commit({
+          await this.store.commit({
             preconditions: [],
             mutations: [{ put: relayKey(this.node, part), value }],
           });
--- a/src/controller/format-upgrade.ts
+++ b/src/controller/format-upgrade.ts
@@ -1,8 +1,8 @@
 /**
  * Rolling upgrade of the stored format. Each controller declares in the key-value store which format it reads;
- * once every configured controller has, the leader writes the format record, which is never removed. From then
- * on records may be written that earlier versions would misread, and the store's announced limits are kept.
- * Until then everything is written as the earlier versions do.
+ * once every configured controller has done so, the leader writes the format record, which is never removed. From
+ * then on records may be written that earlier versions would misread, and the store's announced limits are kept.
+ * Until then all records are written as earlier versions write them.
  */
 import type { Clock } from '../adapters/clock.js';
 import type { KeyValueStore } from '../adapters/key-value-store.js';
--- a/src/controller/heartbeat-intake.ts
+++ b/src/controller/heartbeat-intake.ts
@@ -32,9 +32,9 @@
   encodeAnswer(term: number, commands: AnswersMessage['answers'][number]['commands']): string;
   encodeRedirect(to: string): string;
   /** Answers in the leader's place: the fallback if the leader does not answer or accept a forwarded heartbeat. */
-  answerWithoutLeader(report: Heartbeat, done: RespondToWorker): void;
+  answerWithoutLeader(heartbeat: Heartbeat, done: RespondToWorker): void;
   /** Redirects or answers a worker as if heartbeats were not shared. */
-  route(report: Heartbeat, done: RespondToWorker): void;
+  route(heartbeat: Heartbeat, done: RespondToWorker): void;
 }
 
 interface LeaderView {
@@ -85,7 +85,7 @@
 const isSameContent = (one: readonly ReportedTask[], other: readonly ReportedTask[]): boolean =>
   one.length === other.length && one.every((task, i) => isSameTask(task, other[i]));
 
-const hasExit = (report: Heartbeat): boolean => report.tasks.some(({ stage }) => stage === 'exited');
+const hasExit = (heartbeat: Heartbeat): boolean => heartbeat.tasks.some(({ stage }) => stage === 'exited');
 
 /** Accepts, forwards and answers heartbeats on a follower. */
 export class HeartbeatIntake {
@@ -118,7 +118,7 @@
       : null;
   }
 
-  /** Forgets a worker that is no longer answered for the leader; returns whether it reported here within its lease. */
+  /** Forgets a worker whose heartbeats are no longer accepted; returns whether it sent one here within its lease. */
   forgetWorker(machine: string): boolean {
     const known = this.#known.get(machine);
     this.#known.delete(machine);
@@ -146,19 +146,19 @@
   }
 
   /** Accepts a heartbeat for the leader; false: this node does not accept it now, and the caller has to route it. */
-  take(report: Heartbeat, done: RespondToWorker): boolean {
+  take(heartbeat: Heartbeat, done: RespondToWorker): boolean {
     const view = this.#activeView();
     if (view === null || this.#pending.size >= MAX_TRACKED_MACHINES) return false;
-    if (report.token > view.term) return false;
-    const known = this.#known.get(report.machine);
-    if (known !== undefined && !this.#isNewer(report, known)) {
+    if (heartbeat.token > view.term) return false;
+    const known = this.#known.get(heartbeat.machine);
+    if (known !== undefined && !this.#isNewer(heartbeat, known)) {
       done(503, '{}');
       return true;
     }
-    const hasNews = this.#hasNews(report, known, view);
-    if (!hasNews && this.#tryRedirect(view, report, done)) return true;
-    if (!hasNews && this.#mayAnswerLocally(view)) this.#answerLocally(report, view, known, done);
-    else this.#forward(report, done);
+    const hasNews = this.#hasNews(heartbeat, known, view);
+    if (!hasNews && this.#tryRedirect(view, heartbeat, done)) return true;
+    if (!hasNews && this.#mayAnswerLocally(view)) this.#answerLocally(heartbeat, view, known, done);
+    else this.#forward(heartbeat, done);
     return true;
   }
 
@@ -166,14 +166,15 @@
     return agentEpoch > known.agentEpoch || (agentEpoch === known.agentEpoch && sequence > known.sequence);
   }
 
-  #hasNews(report: Heartbeat, known: KnownWorker | undefined, view: LeaderView): boolean {
-    if (known === undefined || !known.isAnswered || view.attention.has(report.machine)) return true;
+  #hasNews(heartbeat: Heartbeat, known: KnownWorker | undefined, view: LeaderView): boolean {
+    if (known === undefined || !known.isAnswered || view.attention.has(heartbeat.machine)) return true;
     // If a heartbeat in between went to another controller, its answer is not known here.
-    if (report.agentEpoch !== known.agentEpoch || report.sequence !== known.sequence + 1) return true;
-    if (report.token !== view.term || report.terminationNoticeS !== null || hasExit(report)) return true;
+    if (heartbeat.agentEpoch !== known.agentEpoch || heartbeat.sequence !== known.sequence + 1) return true;
+    if (heartbeat.token !== view.term || heartbeat.terminationNoticeS !== null || hasExit(heartbeat))
+      return true;
     const age = this.context.clock.monotonicMs() - known.forwardedAt;
     // The leader gets a full heartbeat of each machine within the time limit of a cancellation, even without news.
-    return age > this.context.timing.authorityWindowMs || !isSameContent(report.tasks, known.tasks);
+    return age > this.context.timing.authorityWindowMs || !isSameContent(heartbeat.tasks, known.tasks);
   }
 
   /** Whether the leader's view was confirmed recently enough for an answer based on it. */
@@ -201,12 +202,12 @@
   }
 
   #answerLocally(
-    report: Heartbeat,
+    heartbeat: Heartbeat,
     view: LeaderView,
     known: KnownWorker | undefined,
     done: RespondToWorker,
   ): void {
-    const { machine, agentEpoch, sequence, tasks } = report;
+    const { machine, agentEpoch, sequence, tasks } = heartbeat;
     const now = this.context.clock.monotonicMs();
     this.answered += 1;
     this.#remember(machine, {
@@ -221,8 +222,8 @@
     done(200, this.context.encodeAnswer(view.term, []));
   }
 
-  #forward(report: Heartbeat, done: RespondToWorker): void {
-    const { machine, agentEpoch, sequence, tasks } = report;
+  #forward(heartbeat: Heartbeat, done: RespondToWorker): void {
+    const { machine, agentEpoch, sequence, tasks } = heartbeat;
     const now = this.context.clock.monotonicMs();
     this.forwarded += 1;
     this.#remember(machine, {
@@ -234,7 +235,7 @@
       receivedAt: now,
     });
     this.#view?.attention.delete(machine);
-    this.#enqueue({ heartbeat: report, respond: done });
+    this.#enqueue({ heartbeat, respond: done });
   }
 
   #enqueue(pending: PendingHeartbeat): void {
--- a/src/controller/leader-role.ts
+++ b/src/controller/leader-role.ts
@@ -1,4 +1,4 @@
-/** The leader's role: it loads what its predecessors have committed, then watches the jobs and the cloud. */
+/** The leader's role: it loads the records that earlier leaders have committed, then watches the jobs and the cloud. */
 import { readJob } from '../adapters/job-reader.js';
 import type { LoadedChunk, ReconciledRecords } from '../core/effects.js';
 import {
@@ -57,7 +57,7 @@
 export class LeaderRole {
   readonly #preferredLeaders: ReadonlySet<string>;
   readonly #startedAt: number;
-  /** Monotonic time at which some zone was last silent, in milliseconds. */
+  /** Monotonic time (ms) at which a zone was last silent. */
   #silentZoneSeenAt = -Infinity;
 
   constructor(
@@ -275,7 +275,7 @@
     this.context.commands.push({ kind: 'dependenciesResolved', found: new Map(found) });
   }
 
-  /** Reads the committed records after a write with an unknown outcome; null is reported if a read fails. */
+  /** Reads the committed records after a write with an unknown outcome; the result is null if a read fails. */
   async reconcile(ids: readonly string[], keys: readonly string[]): Promise<void> {
     const jobs = new Map<string, { live: boolean; ended: EndedRecord | null }>();
     const chunks = new Map<string, number>();
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -48,7 +48,7 @@
   readonly users: UserRequests;
   readonly latencies = new LatencyHistograms();
   readonly admission: Admission;
-  /** Counts malformed input by kind: worker reports, peer messages and requests. */
+  /** Counts malformed input by kind: heartbeats, peer messages and requests of users. */
   readonly malformed = new EventCounter();
   readonly #context: ControllerContext;
   readonly #peers: PeerExchange;
@@ -305,7 +305,7 @@
 
   /** Processes another controller's status. */
   onPeer(status: PeerStatus): void {
-    // A delayed message of an earlier incarnation says nothing of the present one.
+    // A delayed message of an earlier incarnation is no evidence about the current one.
     if (!this.#failureDetector.membership.isCurrentIncarnation(status)) return;
     this.#peers.onPeer(status);
     this.#failureDetector.onPeer(status);
@@ -323,7 +323,7 @@
     }
   }
 
-  /** Followers that may accept heartbeats: in contact, with the link up, and keeping up with their timers. */
+  /** Followers that may accept heartbeats: in contact, with the link up and with timers that fire in time. */
   #followers(): { node: string; zone: string }[] {
     const { clock } = this.#context.ports;
     const { membership } = this.#failureDetector;
@@ -356,7 +356,7 @@
   /**
    * Reads from the key-value store often enough to know whether it answers this node. A follower without user requests
    * would otherwise get an answer only when its long watch ends, and would conclude that the store refuses it while it
-   * answers the leader. Also starts the transfer of the leadership to a preferred node that is available again.
+   * answers the leader. Also starts the transfer of the leadership to a preferred peer that is available again.
    */
   async #runContactLoop(): Promise<void> {
     const intervalMs = this.#context.timing.storeTimeoutMs / 2;
@@ -389,7 +389,7 @@
 
   /**
    * As the leader, answers the heartbeats still pending from its time as a follower, and sends followers the snapshots
-   * that they answer by. As a follower, sends the leader the heartbeats and keepalives it has collected.
+   * on which their answers are based. As a follower, sends the leader the heartbeats and keepalives it has collected.
    */
   #exchangeHeartbeats(): void {
     if (this.#context.commands.state.leadership === null) {
@@ -401,7 +401,7 @@
     if (this.#ticks % TICKS_PER_SNAPSHOT === 0) this.#sharedHeartbeats.sendSnapshots();
   }
 
-  /** All evidence says that the leader has crashed: its record may be replaced before its lease expires. */
+  /** Every crash rule holds for the leader: its record may be replaced before its lease expires. */
   #replaceCrashedLeader(): void {
     const { leader, leaderRevision } = this.#context.leadershipView;
     if (this.#replacedRevision === leaderRevision) return;
@@ -461,31 +461,31 @@
 
   /** Handles a heartbeat as received; a malformed one is answered with status 400. */
   report(body: unknown, done: (status: number, body: string) => void): void {
-    const report = parseHeartbeat(body);
-    if (report === null) {
+    const heartbeat = parseHeartbeat(body);
+    if (heartbeat === null) {
       this.malformed.count('reports');
       done(400, '{"error":"malformed report"}');
-    } else this.#takeReport(report, done);
+    } else this.#handleHeartbeat(heartbeat, done);
   }
 
-  #takeReport(report: Heartbeat, done: (status: number, body: string) => void): void {
+  #handleHeartbeat(heartbeat: Heartbeat, done: (status: number, body: string) => void): void {
     if (this.#context.commands.state.leadership === null) {
       this.#failureDetector.recordWorkerContact();
-      if (!this.#intake.take(report, done)) this.#followerRole.answer(report, done);
+      if (!this.#intake.take(heartbeat, done)) this.#followerRole.answer(heartbeat, done);
       return;
     }
-    const follower = this.#sharedHeartbeats.redirect(report);
+    const follower = this.#sharedHeartbeats.redirect(heartbeat);
     if (follower !== null) {
       done(421, encodeRedirect(follower));
       return;
     }
-    this.#sharedHeartbeats.recordDirect(report.machine);
-    this.#answerAsLeader(report, done);
+    this.#sharedHeartbeats.recordDirect(heartbeat.machine);
+    this.#answerAsLeader(heartbeat, done);
   }
 
-  #answerAsLeader(report: Heartbeat, done: (status: number, body: string) => void): void {
+  #answerAsLeader(heartbeat: Heartbeat, done: (status: number, body: string) => void): void {
     const receivedAt = this.#context.ports.clock.monotonicMs();
-    this.#executor.submitHeartbeat(report, 0, (reply) => {
+    this.#executor.submitHeartbeat(heartbeat, 0, (reply) => {
       this.latencies.record('report', this.#context.ports.clock.monotonicMs() - receivedAt);
       if (reply.kind === 'commands') {
         done(200, encodeReply(reply.token, reply.commands));
--- a/src/controller/peer-exchange.ts
+++ b/src/controller/peer-exchange.ts
@@ -121,7 +121,7 @@
     };
   }
 
-  /** Zones without heartbeats: as this node knows them as the leader, else as peers have reported them. */
+  /** Zones without heartbeats: as this node knows them as the leader, or else from the status of its peers. */
   #silentZoneList(): SilentZone[] {
     const { state } = this.common.commands;
     const now = this.common.ports.clock.monotonicMs();
@@ -131,7 +131,7 @@
 
   /**
    * Merges the silent zones of a peer: a leader's replace the stored ones, of others the later time is kept. Zones that
-   * peers no longer report need not be removed: `recentlySilentZones` leaves out old entries.
+   * peers no longer list need not be removed: `recentlySilentZones` leaves out old entries.
    */
   #mergeSilentZones(status: PeerStatus, now: number): void {
     if (status.isLeader) this.#silentZones.clear();
@@ -193,8 +193,8 @@
 
   /**
    * Whether users should be sent to this node. If the key-value store answers some peer but not this node, the peer
-   * serves users better. If the store answers no node, it is better to stay ready: each removal by the load balancer
-   * costs a pause, longer every time.
+   * serves users better. If the store answers no node, it is better to stay ready: each removal by the load
+   * balancer causes a pause, and the pauses grow longer.
    */
   isReady(): boolean {
     const { state } = this.common.commands;
@@ -207,7 +207,7 @@
       if (now - receivedAt < maxAgeMs / 2 && status.storeContactAgeMs < maxAgeMs / 2) return false;
       hasPeerContact ||= now - receivedAt < maxAgeMs;
     }
-    // Without contact to the key-value store and to all peers, this node itself is partitioned.
+    // A node without contact to the key-value store and to any peer is itself partitioned.
     return hasPeerContact;
   }
 }
--- a/src/controller/shared-heartbeats.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's side of shared heartbeats: it answers what followers forward, tells them for which machines it has
- * commands, and decides which workers report to which follower.
+ * The leader's side of shared heartbeats: it answers what followers forward, notifies them of the machines for which
+ * it has commands, and decides which follower receives a worker's heartbeats.
  */
 import type { Heartbeat } from '../core/types.js';
 import {
@@ -23,13 +23,17 @@
 
 /** What the leader's side needs from its controller. */
 export interface SharedHeartbeatsContext {
-  /** Controllers that are in contact and keep up with their timers. */
+  /** Controllers that are in contact and whose timers fire in time. */
   candidates(): readonly FollowerCandidate[];
-  /** Whether a follower has reported that it accepts heartbeats for this leader. */
+  /** Whether a follower's status says that it accepts heartbeats for this leader. */
   isAccepting(node: string): boolean;
   send(to: string, message: IntakeMessage): boolean;
   /** Submits a heartbeat to the core; `answer` is called once. `ageMs`: how long its forwarding took (ms). */
-  push(report: Heartbeat, ageMs: number, answer: (answer: Omit<ForwardedAnswer, 'reference'>) => void): void;
+  push(
+    heartbeat: Heartbeat,
+    ageMs: number,
+    answer: (answer: Omit<ForwardedAnswer, 'reference'>) => void,
+  ): void;
 }
 
 interface Outbox {
@@ -38,7 +42,7 @@
   attention: string[];
 }
 
-/** Messages that were under way for more than this share of a worker's lease are ignored and do not renew it. */
+/** Messages that were in transit for more than this share of a worker's lease are ignored and do not renew it. */
 const MAX_AGE_SHARE = 0.5;
 /** Commands in one message, at most, with each answer counted as one more: the size of a message is bounded. */
 const MAX_COMMANDS_IN_MESSAGE = 500;
@@ -48,7 +52,7 @@
   #isSharing = false;
   #movesLeft = 0;
   #rebalancing: Rebalancing | null = null;
-  /** Which follower a machine last reported to, and how many machines each follower has. */
+  /** The follower to which a machine sent its last heartbeat, and the number of machines of each follower. */
   readonly #followerByMachine = new Map<string, string>();
   readonly #counts = new Map<string, number>();
   /** Monotonic time (ms) at which a machine was last redirected to a follower. */
@@ -89,8 +93,11 @@
     if (ageMs > MAX_AGE_SHARE * this.controller.timing.workerLeaseMs) return;
     if (message.keepalives.length > 0) {
       for (const { machine } of message.keepalives) this.#assignFollower(machine, message.node);
-      const heartbeats = message.keepalives.map((one) => ({ ...one, ageMs: one.ageMs + ageMs }));
-      this.controller.commands.push({ kind: 'keepalives', keepalives: heartbeats });
+      const agedKeepalives = message.keepalives.map((keepalive) => ({
+        ...keepalive,
+        ageMs: keepalive.ageMs + ageMs,
+      }));
+      this.controller.commands.push({ kind: 'keepalives', keepalives: agedKeepalives });
     }
     for (const { reference, heartbeat } of message.heartbeats) {
       this.#assignFollower(heartbeat.machine, message.node);
@@ -98,7 +105,7 @@
     }
   }
 
-  /** Records that a worker has reported to this node directly. */
+  /** Records that a worker has sent its heartbeat to this node directly. */
   recordDirect(machine: string): void {
     this.#assignFollower(machine, null);
   }
@@ -127,29 +134,29 @@
   }
 
   /** The follower to which a worker is redirected; null: this node answers it. */
-  redirect(report: Heartbeat): string | null {
+  redirect(heartbeat: Heartbeat): string | null {
     if (!this.#isSharing || this.#movesLeft <= 0 || this.#loads.length === 0) return null;
     const { state } = this.controller.commands;
-    const machine = state.machines.get(report.machine);
-    // The leader first settles the commands and exits of the machine that are under way.
-    if (machine?.isReconciled !== true || report.token !== state.leadership?.term) return null;
-    if (state.attention.has(machine) || report.tasks.some(({ stage }) => stage === 'exited')) return null;
+    const machine = state.machines.get(heartbeat.machine);
+    // The leader first completes the machine's pending commands and exits.
+    if (machine?.isReconciled !== true || heartbeat.token !== state.leadership?.term) return null;
+    if (state.attention.has(machine) || heartbeat.tasks.some(({ stage }) => stage === 'exited')) return null;
     // A worker that comes back within a lease is kept: the follower did not accept it.
     const now = this.controller.ports.clock.monotonicMs();
-    if (now - (this.#redirectedAt.get(report.machine) ?? -Infinity) < this.controller.timing.workerLeaseMs)
+    if (now - (this.#redirectedAt.get(heartbeat.machine) ?? -Infinity) < this.controller.timing.workerLeaseMs)
       return null;
-    const node = chooseFollower(this.#loads, report.zone);
+    const node = chooseFollower(this.#loads, heartbeat.zone);
     if (node === null) return null;
-    this.#redirectedAt.set(report.machine, now);
+    this.#redirectedAt.set(heartbeat.machine, now);
     this.#movesLeft -= 1;
     this.#loads = this.#loads.map((one) => (one.node === node ? { ...one, workers: one.workers + 1 } : one));
     return node;
   }
 
   /**
-   * Notifies the followers to which these machines report, without waiting for the next snapshot, that the machines
-   * now need the leader's attention. What a follower may answer by itself is determined by the snapshots, which list
-   * all such machines.
+   * Notifies the followers that receive these machines' heartbeats, without waiting for the next snapshot, that the
+   * machines now need the leader's attention. What a follower may answer by itself is determined by the snapshots,
+   * which list all such machines.
    */
   announceAttention(machines: readonly string[]): void {
     if (!this.#isSharing) return;
--- a/src/membership/election.ts
+++ b/src/membership/election.ts
@@ -13,7 +13,7 @@
 export interface ElectionResult {
   readonly term: number;
   readonly modRevision: number;
-  /** Steady time (ms) at which the winning transaction was sent. */
+  /** Monotonic time (ms) at which the winning transaction was sent. */
   readonly startedAt: number;
   /**
    * `gone`: the previous leader named this node as its successor, has crashed, or was this node itself;
@@ -73,7 +73,7 @@
     }
   /** The command loop has stepped down: the lease is revoked, and the node campaigns again. */
   | { readonly kind: 'resign' }
-  /** All evidence shows that the leader whose record has this revision has crashed. */
+  /** Every crash rule holds for the leader whose record has this revision. */
   | { readonly kind: 'replaceCrashedLeader'; readonly modRevision: number }
   /** This leader names its successor in its record. */
   | { readonly kind: 'transferLeadership'; readonly to: string };
@@ -117,7 +117,7 @@
   namedSuccessor: string | null;
 }
 
-/** An attempt to be elected: its term, and the steady time (ms) at which it began. */
+/** An attempt to be elected: its term, and the monotonic time (ms) at which it began. */
 interface Campaign {
   readonly term: number;
   readonly termRevision: number;
@@ -134,13 +134,13 @@
   phase: 'reading' | 'following' | 'granting' | 'campaigning' | 'verifying' | 'leading';
   /** The last round issued: every request gets a round number of its own. */
   lastRound: number;
-  /** Round awaited in the present phase (a read, watch, lease, campaign or successor). */
+  /** Round awaited in the current phase (a read, watch, lease, campaign or successor). */
   round: number;
   /** Round awaited by the lease renewals of this leader. */
   renewalRound: number;
   /** Round awaited by the watch of this leader's own record. */
   leaderWatchRound: number;
-  /** Whether this node has already waited `campaignDelayMs` for the present vacancy. */
+  /** Whether this node has already waited `campaignDelayMs` for the current vacancy. */
   hasDeferred: boolean;
   /** Revision of the leader record that this node follows. */
   followedRevision: number;
--- a/src/membership/evidence-rules.ts
+++ b/src/membership/evidence-rules.ts
@@ -8,18 +8,18 @@
 import type { InterArrivalTracker } from './inter-arrival-tracker.js';
 import type { HealthCounts, LinkState, ProbeRound, MemberStatus } from './status.js';
 
-/** State kept of another controller; times are steady, in milliseconds. */
+/** What this node knows about another controller; times are monotonic, in milliseconds. */
 export interface Peer {
   readonly node: string;
   status: MemberStatus | null;
   lastStatusAt: number | null;
-  /** Steady time since which statuses of its present incarnation have arrived without a gap. */
+  /** Monotonic time since which statuses of its current incarnation have arrived without a gap. */
   contactSince: number;
   readonly arrivals: InterArrivalTracker;
   linkState: LinkState;
   /**
-   * Steady time at which the link was lost or refused after the peer had sent a status; null: it was not, or has
-   * recovered since.
+   * Monotonic time at which the link was lost or refused after the peer had sent a status; null: it was not, or
+   * has recovered since.
    */
   linkLostAt: number | null;
   /** Refusals of the link since it was lost or last up. */
@@ -32,16 +32,16 @@
 export interface LocalState {
   readonly storeContactAgeMs: number;
   readonly timerLagMs: number;
-  /** Steady time since which its timers have been late; null: they fire in time. */
+  /** Monotonic time (ms) since which its timers have been late; null: they fire in time. */
   readonly laggingSince: number | null;
-  /** Steady time since which it leads. */
+  /** Monotonic time (ms) since which it leads; Infinity: it does not lead. */
   readonly leaderSince: number;
   /** Whether it computes far more slowly than usual. */
   readonly isProcessorSlow: boolean;
   /** Whether it was stalled and has not yet worked off the messages that were queued during the stall. */
   readonly isStalled: boolean;
   readonly unexpectedReports: number;
-  /** Counts of the machines that report to it; null: it does not lead. */
+  /** Counts of the machines from which it gets heartbeats; null: it does not lead. */
   readonly health: HealthCounts | null;
   readonly probeRound: ProbeRound;
   /** Number of machines in its state. */
@@ -63,11 +63,11 @@
   readonly holds: (peer: Peer, context: EvidenceContext) => boolean;
 }
 
-/** A silence of at least this phi is unusual: one silence in 1000 lasts as long. */
+/** A silence of at least this phi is unusual: one silence in 1000 lasts this long. */
 const SUSPICION_PHI = 3;
 /** Refusals needed as evidence of a crash: a single one may come from a host with a full socket table. */
 const MIN_REFUSALS = 2;
-/** Unexpected reports needed as evidence; fewer may be a coincidence. */
+/** Workers with unexpected heartbeats that are needed as evidence; fewer may be a coincidence. */
 export const MIN_UNEXPECTED_REPORTS = 3;
 /** Share of a round's probes that have to agree. */
 const MIN_PROBE_AGREEMENT_SHARE = 0.75;
@@ -195,7 +195,7 @@
   },
 ];
 
-/** The reason of a transfer after which the node does not campaign until a worker has reported to it. */
+/** The reason of a transfer after which this node lets the others campaign first until it receives a heartbeat. */
 export const MACHINES_UNREACHABLE = 'this node cannot reach its machines';
 
 /** A leader transfers its leadership to an eligible peer if any one of these rules holds. */
--- a/src/membership/heartbeat-sharing.ts
+++ b/src/membership/heartbeat-sharing.ts
@@ -1,14 +1,14 @@
 /**
- * Decides which controllers receive the workers' heartbeats. A leader of few machines receives all of them itself;
- * a leader of many distributes its workers over its followers, so that when a follower fails, each of the others
- * takes over a share of its workers. Pure functions.
+ * Pure functions that decide which controllers receive the workers' heartbeats. A leader with few machines receives
+ * all heartbeats itself; a leader with many distributes its workers over its followers, so that when a follower
+ * fails, each of the others takes over a share of its workers.
  */
 
 /** A follower that may receive heartbeats, and its load. */
 export interface FollowerLoad {
   readonly node: string;
   readonly zone: string;
-  /** Workers that report to it. */
+  /** Number of workers that send it their heartbeats. */
   readonly workers: number;
 }
 
--- a/src/membership/inter-arrival-tracker.ts
+++ b/src/membership/inter-arrival-tracker.ts
@@ -14,7 +14,7 @@
 /** Smallest tail probability that the approximation of the normal distribution resolves. */
 const MIN_PROBABILITY = 1e-6;
 
-/** The intervals between a peer's messages, and how unusual the present silence is. */
+/** The intervals between a peer's messages, and how unusual the current silence is. */
 export class InterArrivalTracker {
   readonly #intervals: number[] = [];
   #lastArrivalAt: number | null = null;
@@ -22,7 +22,7 @@
   /** `usualIntervalMs`: the interval between two messages that are not delayed, in milliseconds. */
   constructor(private readonly usualIntervalMs: number) {}
 
-  /** Records a message that arrived at this steady time (ms). */
+  /** Records a message that arrived at this monotonic time (ms). */
   record(at: number): void {
     if (this.#lastArrivalAt !== null) this.#intervals.push(Math.max(0, at - this.#lastArrivalAt));
     if (this.#intervals.length > MAX_SAMPLES) this.#intervals.shift();
@@ -35,7 +35,7 @@
     this.#lastArrivalAt = at;
   }
 
-  /** 1: one silence in 10 lasts as long; 3: one in 1000; 0 before the first message. */
+  /** How unusual the silence is. 1: one silence in 10 lasts this long; 3: one in 1000; 0 before the first message. */
   phi(now: number): number {
     if (this.#lastArrivalAt === null) return 0;
     // Messages that are sent early, on a change, do not make the next one due sooner.
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -1,7 +1,7 @@
 /**
  * One controller's view of the others: evidence by kind and by witness, levels of suspicion, and the verdicts that
  * the evidence rules allow. No I/O, clock or randomness: the failure detector passes in what is observed, with the
- * steady time in milliseconds.
+ * monotonic time in milliseconds.
  */
 import type { Timing } from '../core/timing.js';
 import { InterArrivalTracker } from './inter-arrival-tracker.js';
@@ -25,7 +25,7 @@
 export interface SuspicionState {
   readonly node: string;
   readonly level: SuspicionLevel;
-  /** Steady time. */
+  /** Monotonic time in milliseconds. */
   readonly since: number;
   readonly evidence: string;
 }
@@ -49,7 +49,7 @@
 export class Membership {
   readonly #peers = new Map<string, Peer>();
   readonly #suspicions = new Map<string, SuspicionState>();
-  /** How often a peer was recently suspected, and when last. */
+  /** How often a peer was recently suspected, and when last (monotonic time in milliseconds). */
   readonly #recentSuspicions = new Map<string, { times: number; at: number }>();
   readonly #unexpectedReports = new Map<string, number>();
   readonly processingRate: ProcessingRateMonitor;
@@ -156,14 +156,14 @@
     else if (timerLagMs > tickMs) this.#stalledUntil = Math.max(this.#stalledUntil, now + 2 * tickMs);
   }
 
-  /** Records that a worker of the present leader has reported here without having been redirected. */
+  /** Records that a worker of the current leader has sent this node a heartbeat without a redirect. */
   recordUnexpectedReport(machine: string, now: number): void {
     // The entry moves to the end, so that the oldest entries are at the front.
     this.#unexpectedReports.delete(machine);
     this.#unexpectedReports.set(machine, now);
   }
 
-  /** The number of workers that have recently reported here without having been redirected. */
+  /** The number of workers that have recently sent this node a heartbeat without a redirect. */
   unexpectedReports(now: number): number {
     for (const [machine, at] of this.#unexpectedReports) {
       if (now - at <= this.timing.maxHeartbeatIntervalMs) break;
@@ -172,14 +172,14 @@
     return this.#unexpectedReports.size;
   }
 
-  /** Discards the unexpected reports: after a change of leader they are no evidence about the new one. */
+  /** Discards the unexpected heartbeats: after a change of leader they are no evidence about the new one. */
   clearUnexpectedReports(): void {
     this.#unexpectedReports.clear();
   }
 
   /**
-   * Sets the counts of the machines that report to this leader (null: this node does not lead), the number of
-   * machines, and the steady time since which this node leads.
+   * Sets the counts of the machines that send heartbeats to this leader (null: this node does not lead), the number
+   * of machines, and the monotonic time (ms) since which this node leads.
    */
   setWorkerHealth(health: HealthCounts | null, machines = 0, leaderSince = Infinity): void {
     this.#health = health;
@@ -221,12 +221,12 @@
     return this.#peers.get(node)?.status ?? null;
   }
 
-  /** Steady time at which the link to a peer was lost or refused; null: it was not, or has recovered since. */
+  /** Monotonic time (ms) at which the link to a peer was lost or refused; null: it was not, or has recovered. */
   linkLostAt(node: string): number | null {
     return this.#peers.get(node)?.linkLostAt ?? null;
   }
 
-  /** How often in a row a node has refused the link. */
+  /** How often the link to a peer has been refused since it was lost or last up. */
   consecutiveRefusals(node: string): number {
     return this.#peers.get(node)?.consecutiveRefusals ?? 0;
   }
--- a/src/membership/processing-rate.ts
+++ b/src/membership/processing-rate.ts
@@ -1,6 +1,6 @@
 /**
- * How slowly this node computes: the ratio of steady time to processor time of its own work. The ratio does not
- * depend on the load, and rises when the processor is taken away or runs slower. So it distinguishes a slow node
+ * How slowly this node computes: the ratio of elapsed monotonic time to processor time of its own work. The ratio
+ * does not depend on the load, and rises when the process is denied processor time. So it distinguishes a slow node
  * from a busy one, in whose place any other node would be busy as well.
  */
 import { median } from 'simple-statistics';
@@ -17,10 +17,10 @@
 /** Consecutive slow windows after which the node counts as slow; fewer may be a coincidence. */
 const MIN_SLOW_WINDOWS = 3;
 
-/** Compares the present processing rate with the usual one. */
+/** Compares the current processing rate with the usual one. */
 export class ProcessingRateMonitor {
   readonly #earlierRatios: number[] = [];
-  #steadyMs = 0;
+  #elapsedMs = 0;
   #processorMs = 0;
   #windowStart = -Infinity;
   #latestRatio: number | null = null;
@@ -33,11 +33,11 @@
     private readonly share: number,
   ) {}
 
-  /** Records the steady time and the processor time of a batch of work, in milliseconds. */
-  record(steadyMs: number, processorMs: number, now: number): void {
+  /** Records the elapsed monotonic time and the processor time of a batch of work, in milliseconds. */
+  record(elapsedMs: number, processorMs: number, now: number): void {
     const { maxHeartbeatIntervalMs } = this.timing;
     if (this.#windowStart === -Infinity) this.#windowStart = now;
-    this.#steadyMs += steadyMs;
+    this.#elapsedMs += elapsedMs;
     this.#processorMs += processorMs;
     if (
       now - this.#windowStart < maxHeartbeatIntervalMs ||
@@ -46,9 +46,9 @@
       return;
     if (this.#latestRatio !== null) this.#earlierRatios.push(this.#latestRatio);
     if (this.#earlierRatios.length > MAX_WINDOWS) this.#earlierRatios.shift();
-    this.#latestRatio = this.#steadyMs / this.#processorMs;
+    this.#latestRatio = this.#elapsedMs / this.#processorMs;
     this.#slowWindows = this.slowness >= SLOWDOWN_THRESHOLD ? this.#slowWindows + 1 : 0;
-    this.#steadyMs = 0;
+    this.#elapsedMs = 0;
     this.#processorMs = 0;
     this.#windowStart = now;
   }
--- a/src/membership/status.ts
+++ b/src/membership/status.ts
@@ -30,27 +30,27 @@
   readonly unreachable: number;
 }
 
-/** A probe round: how many machines are probed, since which steady time (ms), and this node's own outcome. */
+/** A probe round: how many machines are probed, since which monotonic time (ms), and this node's own outcome. */
 export interface ProbeRound extends ProbeCounts {
   readonly requested: number;
   readonly startedAt: number;
 }
 
-/** What a controller reports to the others about itself and its observations. */
+/** The status that a controller sends the others: about itself, and what it observes. */
 export interface MemberStatus {
   readonly node: string;
   /** Unique to one run of the process; messages of an earlier incarnation are ignored. */
   readonly incarnation: string;
   readonly term: number;
   readonly isLeader: boolean;
-  /** Milliseconds since the state service last answered it. */
+  /** Milliseconds since the key-value store last answered it. */
   readonly storeContactAgeMs: number;
   /** How late its timers fire, in milliseconds. */
   readonly timerLagMs: number;
   readonly observations: readonly Observation[];
-  /** Workers of the present leader that have recently reported to it without having been redirected. */
+  /** Number of the current leader's workers that recently sent this controller a heartbeat without a redirect. */
   readonly unexpectedReports: number;
-  /** As a leader: the number of machines that report, and of those that are expected to. */
+  /** As a leader: the number of machines that send heartbeats, and of those that are expected to. */
   readonly reporting: number;
   readonly expected: number;
   /** As a leader: addresses of the machines that the others should probe in this round. */
