--- a/test/failure-suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -135,7 +135,7 @@
   await expectTraceAndRecovery(world, 'cut-off-twice');
 });
 
-// Without peer links the old leader does not learn of its successor and keeps answering workers.
+// Without peer links the previous leader does not learn of its successor and keeps answering workers.
 test('when peer links are refused, a new leader takes over the workers and terminates none', async () => {
   const { world, leader } = await startBusyService();
   world.refusePeers(45_000);
--- a/test/leader-role.test.ts
+++ b/test/leader-role.test.ts
@@ -19,8 +19,8 @@
 });
 
 test('a node that is not preferred leads only until a preferred one is back', async () => {
-  // If the node after the leader is in the leader's own zone, workers of a partitioned zone try two nodes in vain and
-  // lose their leases before they reach a fallback responder.
+  // If the node after the leader is in the leader's own zone, workers of a partitioned zone try two nodes that do not
+  // answer, and their leases expire before they reach a fallback responder.
   const world = new Simulation(seeded(5));
   await world.clock.runUntil(10_000);
   world.crash(0, 5000);
@@ -33,7 +33,7 @@
 });
 
 // Each change of leader restarts the wait for silent machines and delays the tasks on dead ones.
-test('leadership is not transferred while machines with tasks have not reported', async () => {
+test('leadership is not transferred while machines with tasks have sent no heartbeat', async () => {
   const world = new Simulation(seeded(5));
   await world.clock.runUntil(3000);
   const job = { id: 'req-000001', team: 'crew', tasks: 8, cpus: 4, memoryGb: 2, spot: true };
@@ -98,7 +98,8 @@
   expect(world.leaders()).toHaveLength(1);
   expect(world.leaders()).not.toEqual([leader]);
   expect(workers.filter(({ isTerminated }) => isTerminated)).toEqual([]);
-  // A worker that reaches a fallback responder before the leader has detected the loss of contact may be too late.
+  // A worker that tries a follower before the leader has detected the loss of contact is redirected back to the
+  // leader, and its lease may expire.
   expect(workers.filter(({ session }) => session > 1).length).toBeLessThanOrEqual(1);
   await expectCleanEnd(world);
 });
@@ -114,7 +115,7 @@
   await expectCleanEnd(world);
 });
 
-// If the window began at a snapshot's arrival, one delayed by a partition would keep cancelled tasks alive.
+// If the window began at a snapshot's arrival, a snapshot delayed by a partition would keep cancelled tasks alive.
 test('a follower answers workers from a snapshot for the authority window since the view was confirmed', async () => {
   const timing = timingOf(testSettings(1));
   let now = 0;
--- a/test/readiness.test.ts
+++ b/test/readiness.test.ts
@@ -1,4 +1,4 @@
-/** When a node reports that it is ready for requests. */
+/** When a node is ready for requests. */
 import { expect, test } from 'vitest';
 import { seeded, Simulation } from './emulators/simulation.js';
 
@@ -29,7 +29,7 @@
   expect(world.ready()).toEqual([true, true, true]);
 });
 
-// Its users are served by the other nodes once the load balancer drops it.
+// Once the load balancer has removed it, the other nodes serve its users.
 test('a node that reaches neither the store nor a peer is not ready', async () => {
   const world = new Simulation(seeded(3));
   await world.clock.runUntil(10_000);
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -22,11 +22,11 @@
 const RUNNING = [task('req-1/0', 1, 'running')];
 
 /** A follower's intake; the test plays the leader and the workers. */
-class IntakeBench {
+class IntakeHarness {
   readonly virtualClock = new VirtualClock();
   readonly clock = new ProcessClock(this.virtualClock, 1, 0);
   readonly sent: HeartbeatsMessage[] = [];
-  readonly answeredAlone: string[] = [];
+  readonly answeredWithoutLeader: string[] = [];
   readonly routed: string[] = [];
   leader: string | null = 'n-0';
   linked = true;
@@ -48,7 +48,7 @@
       encodeAnswer: (term, commands) => JSON.stringify({ term, commands }),
       encodeRedirect: (to) => to,
       answerWithoutLeader: ({ machine }, done) => {
-        this.answeredAlone.push(machine);
+        this.answeredWithoutLeader.push(machine);
         done(200, 'alone');
       },
       route: ({ machine }, done) => {
@@ -101,12 +101,12 @@
   }
 
   /** An intake whose worker the leader has answered without a command. */
-  static async settled(): Promise<IntakeBench> {
-    const bench = new IntakeBench();
-    bench.snapshot();
-    expect(await bench.take(1)).toBe('forwarded, waits');
-    bench.answer();
-    return bench;
+  static async settled(): Promise<IntakeHarness> {
+    const harness = new IntakeHarness();
+    harness.snapshot();
+    expect(await harness.take(1)).toBe('forwarded, waits');
+    harness.answer();
+    return harness;
   }
 }
 
@@ -114,142 +114,142 @@
 
 describe('a follower answers a heartbeat for the leader', () => {
   test('when it repeats one that the leader has answered, and forwards a keepalive', async () => {
-    const bench = await IntakeBench.settled();
-    expect(await bench.take(2)).toBe(LOCAL);
-    bench.intake.flush();
-    expect(bench.sent.at(-1)?.keepalives).toMatchObject([{ machine: 'm', agentEpoch: 1, sequence: 2 }]);
+    const harness = await IntakeHarness.settled();
+    expect(await harness.take(2)).toBe(LOCAL);
+    harness.intake.flush();
+    expect(harness.sent.at(-1)?.keepalives).toMatchObject([{ machine: 'm', agentEpoch: 1, sequence: 2 }]);
   });
 
-  const reasonsToForward: readonly [string, (bench: IntakeBench) => Promise<string>][] = [
+  const reasonsToForward: readonly [string, (harness: IntakeHarness) => Promise<string>][] = [
     [
       'its machine needs the leader’s attention',
-      (bench) => (bench.intake.receive(bench.message({ attention: ['m'] })), bench.take(2)),
+      (harness) => (harness.intake.receive(harness.message({ attention: ['m'] })), harness.take(2)),
     ],
-    ['its tasks changed', (bench) => bench.take(2, [task('req-1/0', 1, 'saving')])],
-    ['one of its tasks ended', (bench) => bench.take(2, [task('req-1/0', 1, 'exited', 'done')])],
-    ['it has not seen the fencing token', (bench) => bench.take(2, RUNNING, { token: TERM - 1 })],
-    ['it carries a termination notice', (bench) => bench.take(2, RUNNING, { terminationNoticeS: 30 })],
-    ['a heartbeat in between went elsewhere', (bench) => bench.take(3)],
-    ['its agent epoch changed', (bench) => bench.take(2, RUNNING, { agentEpoch: 2 })],
+    ['its tasks changed', (harness) => harness.take(2, [task('req-1/0', 1, 'saving')])],
+    ['one of its tasks ended', (harness) => harness.take(2, [task('req-1/0', 1, 'exited', 'done')])],
+    ['it has not seen the fencing token', (harness) => harness.take(2, RUNNING, { token: TERM - 1 })],
+    ['it carries a termination notice', (harness) => harness.take(2, RUNNING, { terminationNoticeS: 30 })],
+    ['a heartbeat in between went elsewhere', (harness) => harness.take(3)],
+    ['its agent epoch changed', (harness) => harness.take(2, RUNNING, { agentEpoch: 2 })],
   ];
   test.each(reasonsToForward)('not when %s', async (_what, take) => {
-    expect(await take(await IntakeBench.settled())).toMatch(/^forwarded/);
+    expect(await take(await IntakeHarness.settled())).toMatch(/^forwarded/);
   });
 
   test('not when the leader’s last response carried a command or another is pending', async () => {
     for (const pending of [false, true]) {
-      const bench = new IntakeBench();
-      bench.snapshot();
-      await bench.take(1);
-      bench.answer(pending ? [] : [{ op: 'start', job: 'req-1', task: 1, attempt: 1 }], pending);
-      expect(await bench.take(2)).toMatch(/^forwarded/);
+      const harness = new IntakeHarness();
+      harness.snapshot();
+      await harness.take(1);
+      harness.answer(pending ? [] : [{ op: 'start', job: 'req-1', task: 1, attempt: 1 }], pending);
+      expect(await harness.take(2)).toMatch(/^forwarded/);
     }
   });
 
   // Otherwise idle machines that have just started count as silent, and are terminated one after the other.
   test('not before the leader has received a heartbeat with its fencing token', async () => {
-    const bench = new IntakeBench();
-    bench.snapshot();
-    await bench.take(1, [], { token: 0 });
-    bench.answer();
-    expect(await bench.take(2, [])).toMatch(/^forwarded/);
-    bench.answer();
-    expect(await bench.take(3, [])).toBe(LOCAL);
+    const harness = new IntakeHarness();
+    harness.snapshot();
+    await harness.take(1, [], { token: 0 });
+    harness.answer();
+    expect(await harness.take(2, [])).toMatch(/^forwarded/);
+    harness.answer();
+    expect(await harness.take(3, [])).toBe(LOCAL);
   });
 
   test('not while an exit waits to be committed: only the leader knows when it may be forgotten', async () => {
-    const bench = await IntakeBench.settled();
+    const harness = await IntakeHarness.settled();
     const exited = [task('req-1/0', 1, 'exited', 'done')];
-    await bench.take(2, exited);
-    bench.answer();
-    expect(await bench.take(3, exited)).toMatch(/^forwarded/);
+    await harness.take(2, exited);
+    harness.answer();
+    expect(await harness.take(3, exited)).toMatch(/^forwarded/);
   });
 
   test('not beyond the authority window of the read that confirmed the leader’s view', async () => {
-    const bench = await IntakeBench.settled();
-    const provenAt = bench.clock.epochMs();
-    await bench.virtualClock.runUntil(TIMES.authorityWindowMs - 200 - 100);
-    bench.snapshot({ viewConfirmedAt: provenAt });
-    expect(await bench.take(2)).toBe(LOCAL);
-    await bench.virtualClock.runUntil(bench.virtualClock.now + 200);
-    expect(await bench.take(3)).toMatch(/^forwarded/);
+    const harness = await IntakeHarness.settled();
+    const confirmedAt = harness.clock.epochMs();
+    await harness.virtualClock.runUntil(TIMES.authorityWindowMs - 200 - 100);
+    harness.snapshot({ viewConfirmedAt: confirmedAt });
+    expect(await harness.take(2)).toBe(LOCAL);
+    await harness.virtualClock.runUntil(harness.virtualClock.now + 200);
+    expect(await harness.take(3)).toMatch(/^forwarded/);
   });
 
   test('not after a gap in the leader’s messages, until a full snapshot arrives', async () => {
-    const bench = await IntakeBench.settled();
-    bench.message();
-    bench.intake.receive(bench.message());
-    expect(await bench.take(2)).toBe('not taken');
-    bench.snapshot();
-    expect(await bench.take(2)).toBe(LOCAL);
+    const harness = await IntakeHarness.settled();
+    harness.message();
+    harness.intake.receive(harness.message());
+    expect(await harness.take(2)).toBe('not taken');
+    harness.snapshot();
+    expect(await harness.take(2)).toBe(LOCAL);
   });
 
   test('not on the basis of a stale message that arrives after a newer one', async () => {
-    const bench = await IntakeBench.settled();
-    const earlier = bench.message({ isSnapshot: true, viewConfirmedAt: bench.clock.epochMs() });
-    bench.snapshot({ attention: ['m'] });
-    bench.intake.receive(earlier);
-    expect(await bench.take(2)).toMatch(/^forwarded/);
+    const harness = await IntakeHarness.settled();
+    const earlier = harness.message({ isSnapshot: true, viewConfirmedAt: harness.clock.epochMs() });
+    harness.snapshot({ attention: ['m'] });
+    harness.intake.receive(earlier);
+    expect(await harness.take(2)).toMatch(/^forwarded/);
   });
 
   test('not once snapshots have stopped, nor for another leader', async () => {
-    const bench = await IntakeBench.settled();
-    await bench.virtualClock.runUntil(3 * snapshotIntervalMs(TIMES));
-    expect(await bench.take(2)).toBe('not taken');
-    bench.snapshot();
-    bench.leader = 'n-2';
-    expect(await bench.take(2)).toBe('not taken');
+    const harness = await IntakeHarness.settled();
+    await harness.virtualClock.runUntil(3 * snapshotIntervalMs(TIMES));
+    expect(await harness.take(2)).toBe('not taken');
+    harness.snapshot();
+    harness.leader = 'n-2';
+    expect(await harness.take(2)).toBe('not taken');
   });
 
   test('not a duplicate of an earlier heartbeat: it does not show that the worker is alive', async () => {
-    const bench = await IntakeBench.settled();
-    await bench.take(2);
-    expect(await bench.take(1)).toBe('503 {}');
-    bench.intake.flush();
-    expect(bench.sent.flatMap(({ keepalives }) => keepalives)).toHaveLength(1);
+    const harness = await IntakeHarness.settled();
+    await harness.take(2);
+    expect(await harness.take(1)).toBe('503 {}');
+    harness.intake.flush();
+    expect(harness.sent.flatMap(({ keepalives }) => keepalives)).toHaveLength(1);
   });
 
   test('and forwards a full heartbeat of each machine periodically', async () => {
-    const bench = await IntakeBench.settled();
-    const from = bench.virtualClock.now;
+    const harness = await IntakeHarness.settled();
+    const from = harness.virtualClock.now;
     let seq = 1;
-    while (!(await bench.take(++seq)).startsWith('forwarded')) {
-      await bench.virtualClock.runUntil(bench.virtualClock.now + 500);
-      bench.snapshot();
+    while (!(await harness.take(++seq)).startsWith('forwarded')) {
+      await harness.virtualClock.runUntil(harness.virtualClock.now + 500);
+      harness.snapshot();
     }
-    expect(bench.virtualClock.now - from).toBeLessThan(TIMES.authorityWindowMs + 1000);
+    expect(harness.virtualClock.now - from).toBeLessThan(TIMES.authorityWindowMs + 1000);
   });
 });
 
 test('a forwarded heartbeat without a response is answered locally before its worker times out', async () => {
-  const bench = new IntakeBench();
-  bench.snapshot();
-  await bench.take(1);
-  await bench.virtualClock.runUntil(3500);
-  expect(bench.answeredAlone).toEqual(['m']);
+  const harness = new IntakeHarness();
+  harness.snapshot();
+  await harness.take(1);
+  await harness.virtualClock.runUntil(3500);
+  expect(harness.answeredWithoutLeader).toEqual(['m']);
   // The leader's answer arrives too late, and is dropped.
-  bench.answer([{ op: 'start', job: 'req-1', task: 1, attempt: 1 }]);
-  expect(bench.answeredAlone).toEqual(['m']);
+  harness.answer([{ op: 'start', job: 'req-1', task: 1, attempt: 1 }]);
+  expect(harness.answeredWithoutLeader).toEqual(['m']);
 });
 
 test('when the link to the leader is lost, pending heartbeats are routed as without sharing', async () => {
-  const bench = new IntakeBench();
-  bench.snapshot();
-  await bench.take(1);
-  bench.intake.onLinkLost('n-0');
-  expect(bench.routed).toEqual(['m']);
-  expect(await bench.take(2)).toBe('not taken');
+  const harness = new IntakeHarness();
+  harness.snapshot();
+  await harness.take(1);
+  harness.intake.onLinkLost('n-0');
+  expect(harness.routed).toEqual(['m']);
+  expect(await harness.take(2)).toBe('not taken');
 });
 
 test('heartbeats pending at the previous leader are forwarded again to a new one', async () => {
-  const bench = new IntakeBench();
-  bench.snapshot();
-  await bench.take(1);
-  bench.leader = 'n-2';
-  bench.number = 0;
-  bench.intake.receive({ ...bench.message({ isSnapshot: true }), node: 'n-2', incarnation: 'other' });
-  await bench.virtualClock.runUntil(bench.virtualClock.now + 2 * TIMES.forwardBatchDelayMs);
-  expect(bench.sent.flatMap(({ heartbeats }) => heartbeats.map((one) => one.heartbeat.machine))).toEqual([
+  const harness = new IntakeHarness();
+  harness.snapshot();
+  await harness.take(1);
+  harness.leader = 'n-2';
+  harness.number = 0;
+  harness.intake.receive({ ...harness.message({ isSnapshot: true }), node: 'n-2', incarnation: 'other' });
+  await harness.virtualClock.runUntil(harness.virtualClock.now + 2 * TIMES.forwardBatchDelayMs);
+  expect(harness.sent.flatMap(({ heartbeats }) => heartbeats.map((one) => one.heartbeat.machine))).toEqual([
     'm',
     'm',
   ]);
@@ -257,44 +257,47 @@
 
 describe('a keepalive', () => {
   const machineOf = (
-    bench: CoreHarness,
+    harness: CoreHarness,
   ): { lastHeartbeatAt: number | null; heartbeatSequence: number; claims: ReadonlyMap<string, unknown> } =>
-    bench.state.machines.get('m') as never;
+    harness.state.machines.get('m') as never;
   const running = (): CoreHarness => {
-    const bench = new CoreHarness();
-    bench.hear(report('m', 1));
-    bench.add(job('req-1', 1, 4, 50));
-    bench.hear(report('m', 2));
-    bench.hear(report('m', 3, RUNNING));
-    return bench;
+    const harness = new CoreHarness();
+    harness.hear(report('m', 1));
+    harness.add(job('req-1', 1, 4, 50));
+    harness.hear(report('m', 2));
+    harness.hear(report('m', 3, RUNNING));
+    return harness;
   };
 
-  test('renews a machine as of its arrival, and proves no task absent', () => {
-    const bench = running();
-    bench.now += 1000;
-    bench.do({ kind: 'keepalives', keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 4, ageMs: 300 }] });
-    expect(machineOf(bench)).toMatchObject({ lastHeartbeatAt: bench.now - 300, heartbeatSequence: 4 });
-    expect(machineOf(bench).claims.size).toBe(1);
+  test('counts as a heartbeat as of its arrival at the follower, but shows no task as absent', () => {
+    const harness = running();
+    harness.now += 1000;
+    harness.do({
+      kind: 'keepalives',
+      keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 4, ageMs: 300 }],
+    });
+    expect(machineOf(harness)).toMatchObject({ lastHeartbeatAt: harness.now - 300, heartbeatSequence: 4 });
+    expect(machineOf(harness).claims.size).toBe(1);
   });
 
   test.each([
     ['of an earlier heartbeat', { agentEpoch: 1, sequence: 3, ageMs: 0 }],
     ['of an agent epoch unknown to this leader', { agentEpoch: 2, sequence: 9, ageMs: 0 }],
   ])('%s changes nothing', (_what, heartbeat) => {
-    const bench = running();
-    const { lastHeartbeatAt } = machineOf(bench);
-    bench.now += 1000;
-    bench.do({ kind: 'keepalives', keepalives: [{ machine: 'm', ...heartbeat }] });
-    expect(machineOf(bench)).toMatchObject({ lastHeartbeatAt, heartbeatSequence: 3 });
+    const harness = running();
+    const { lastHeartbeatAt } = machineOf(harness);
+    harness.now += 1000;
+    harness.do({ kind: 'keepalives', keepalives: [{ machine: 'm', ...heartbeat }] });
+    expect(machineOf(harness)).toMatchObject({ lastHeartbeatAt, heartbeatSequence: 3 });
   });
 
   test('of a machine that has not shown the fencing token changes nothing', () => {
-    const bench = new CoreHarness();
-    bench.hear(report('m', 1, [], { token: TERM - 1 }));
-    const { lastHeartbeatAt } = machineOf(bench);
-    bench.now += 1000;
-    bench.do({ kind: 'keepalives', keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 2, ageMs: 0 }] });
-    expect(machineOf(bench).lastHeartbeatAt).toBe(lastHeartbeatAt);
+    const harness = new CoreHarness();
+    harness.hear(report('m', 1, [], { token: TERM - 1 }));
+    const { lastHeartbeatAt } = machineOf(harness);
+    harness.now += 1000;
+    harness.do({ kind: 'keepalives', keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 2, ageMs: 0 }] });
+    expect(machineOf(harness).lastHeartbeatAt).toBe(lastHeartbeatAt);
   });
 });
 
@@ -302,45 +305,45 @@
   const attentionOf = (effects: readonly Effect[]): string[] =>
     effects.flatMap((effect) => (effect.kind === 'attention' ? effect.machines : []));
   const idle = (): CoreHarness => {
-    const bench = new CoreHarness();
-    bench.hear(report('m', 1));
-    bench.hear(report('m', 2));
-    return bench;
+    const harness = new CoreHarness();
+    harness.hear(report('m', 1));
+    harness.hear(report('m', 2));
+    return harness;
   };
 
   test('for a start', () => {
-    const bench = idle();
-    expect(attentionOf(bench.add(job('req-1', 1, 4, 50)))).toEqual(['m']);
+    const harness = idle();
+    expect(attentionOf(harness.add(job('req-1', 1, 4, 50)))).toEqual(['m']);
     // The answer carries the command, so no attention is needed any more.
-    bench.hear(report('m', 3));
-    expect(bench.state.attention.size).toBe(0);
+    harness.hear(report('m', 3));
+    expect(harness.state.attention.size).toBe(0);
   });
 
   test('for a stop, once its job is cancelled', () => {
-    const bench = idle();
-    bench.add(job('req-1', 1, 4, 50));
-    bench.hear(report('m', 3));
-    bench.hear(report('m', 4, RUNNING));
-    expect(attentionOf(bench.do({ kind: 'jobRemoved', id: 'req-1' }))).toEqual(['m']);
-    bench.hear(report('m', 5, RUNNING));
+    const harness = idle();
+    harness.add(job('req-1', 1, 4, 50));
+    harness.hear(report('m', 3));
+    harness.hear(report('m', 4, RUNNING));
+    expect(attentionOf(harness.do({ kind: 'jobRemoved', id: 'req-1' }))).toEqual(['m']);
+    harness.hear(report('m', 5, RUNNING));
     // The machine needs attention until the task is proven gone.
-    expect(bench.state.attention.size).toBe(1);
-    bench.hear(report('m', 6));
-    expect(bench.state.attention.size).toBe(0);
+    expect(harness.state.attention.size).toBe(1);
+    harness.hear(report('m', 6));
+    expect(harness.state.attention.size).toBe(0);
   });
 
   test('for a start that may not be sent yet, again later', () => {
-    const bench = idle();
-    bench.add(job('req-1', 1, 4, 50));
-    bench.isViewConfirmed = false;
-    bench.now += TIMES.leaderLeaseMs;
-    bench.hear(report('m', 3));
-    expect(bench.state.attention.size).toBe(1);
+    const harness = idle();
+    harness.add(job('req-1', 1, 4, 50));
+    harness.isViewConfirmed = false;
+    harness.now += TIMES.leaderLeaseMs;
+    harness.hear(report('m', 3));
+    expect(harness.state.attention.size).toBe(1);
   });
 });
 
 /** The leader's side of shared heartbeats with a core that knows one machine; the test plays the follower. */
-class LeaderBench {
+class LeaderHarness {
   readonly core = new CoreHarness();
   readonly virtualClock = new VirtualClock();
   readonly clock = new ProcessClock(this.virtualClock, 1, 0);
@@ -388,64 +391,64 @@
 
 describe('a leader that shares heartbeats', () => {
   test('accepts forwarded heartbeats of its own term that are recent enough', () => {
-    const bench = new LeaderBench();
-    bench.receive({});
-    bench.receive({ term: TERM - 1 });
-    bench.receive({ sentAt: bench.clock.epochMs() - 0.6 * TIMES.workerLeaseMs });
-    expect(bench.pushed).toEqual(['m']);
+    const harness = new LeaderHarness();
+    harness.receive({});
+    harness.receive({ term: TERM - 1 });
+    harness.receive({ sentAt: harness.clock.epochMs() - 0.6 * TIMES.workerLeaseMs });
+    expect(harness.pushed).toEqual(['m']);
   });
 
   test('redirects a worker to a follower that accepts heartbeats, and not again immediately', () => {
-    const bench = new LeaderBench();
-    bench.shared.sendSnapshots();
-    expect(bench.shared.redirect(report('m', 3))).toBe('n-1');
-    bench.shared.sendSnapshots();
-    expect(bench.shared.redirect(report('m', 4))).toBeNull();
+    const harness = new LeaderHarness();
+    harness.shared.sendSnapshots();
+    expect(harness.shared.redirect(report('m', 3))).toBe('n-1');
+    harness.shared.sendSnapshots();
+    expect(harness.shared.redirect(report('m', 4))).toBeNull();
   });
 
   test('keeps a worker if no follower accepts heartbeats for the leader', () => {
-    const bench = new LeaderBench();
-    bench.followerAccepts = false;
-    bench.shared.sendSnapshots();
-    expect(bench.shared.redirect(report('m', 3))).toBeNull();
+    const harness = new LeaderHarness();
+    harness.followerAccepts = false;
+    harness.shared.sendSnapshots();
+    expect(harness.shared.redirect(report('m', 3))).toBeNull();
   });
 
   test('keeps a worker that needs a command or whose exit waits to be committed', () => {
-    const bench = new LeaderBench();
-    bench.shared.sendSnapshots();
-    expect(bench.shared.redirect(report('m', 3, [task('req-1/0', 1, 'exited', 'done')]))).toBeNull();
-    bench.core.add(job('req-1', 1, 4, 50));
-    expect(bench.shared.redirect(report('m', 3))).toBeNull();
+    const harness = new LeaderHarness();
+    harness.shared.sendSnapshots();
+    expect(harness.shared.redirect(report('m', 3, [task('req-1/0', 1, 'exited', 'done')]))).toBeNull();
+    harness.core.add(job('req-1', 1, 4, 50));
+    expect(harness.shared.redirect(report('m', 3))).toBeNull();
   });
 
   test('notifies a follower of its workers that need attention, before the next snapshot', async () => {
-    const bench = new LeaderBench();
-    bench.shared.sendSnapshots();
-    bench.shared.announceAttention(['m']);
-    await bench.virtualClock.runUntil(10);
-    expect(bench.sent).toHaveLength(1);
-    bench.receive({});
-    bench.shared.announceAttention(['m']);
-    await bench.virtualClock.runUntil(20);
-    expect(bench.sent.at(-1)).toMatchObject({ attention: ['m'], isSnapshot: false });
+    const harness = new LeaderHarness();
+    harness.shared.sendSnapshots();
+    harness.shared.announceAttention(['m']);
+    await harness.virtualClock.runUntil(10);
+    expect(harness.sent).toHaveLength(1);
+    harness.receive({});
+    harness.shared.announceAttention(['m']);
+    await harness.virtualClock.runUntil(20);
+    expect(harness.sent.at(-1)).toMatchObject({ attention: ['m'], isSnapshot: false });
   });
 
   test('sends followers all machines that need attention and the confirmation of its view', () => {
-    const bench = new LeaderBench();
-    bench.core.add(job('req-1', 1, 4, 50));
-    bench.shared.sendSnapshots();
-    expect(bench.sent).toMatchObject([{ isSnapshot: true, isSharing: true, attention: ['m'] }]);
+    const harness = new LeaderHarness();
+    harness.core.add(job('req-1', 1, 4, 50));
+    harness.shared.sendSnapshots();
+    expect(harness.sent).toMatchObject([{ isSnapshot: true, isSharing: true, attention: ['m'] }]);
     // While the leadership is transferred, snapshots confirm no view, so that followers answer nothing.
-    bench.core.do({ kind: 'transferLeadership' });
-    bench.shared.sendSnapshots();
-    expect(bench.sent.at(-1)).toMatchObject({ isSnapshot: true, viewConfirmedAt: 0 });
+    harness.core.do({ kind: 'transferLeadership' });
+    harness.shared.sendSnapshots();
+    expect(harness.sent.at(-1)).toMatchObject({ isSnapshot: true, viewConfirmedAt: 0 });
   });
 });
 
 test('a heartbeat forwarded late counts as of its arrival at the follower', () => {
-  const bench = new CoreHarness();
-  bench.do({ kind: 'heartbeat', reply: 1, heartbeat: report('m', 1), ageMs: 800 });
-  expect(bench.state.machines.get('m')?.lastHeartbeatAt).toBe(bench.now - 800);
+  const harness = new CoreHarness();
+  harness.do({ kind: 'heartbeat', reply: 1, heartbeat: report('m', 1), ageMs: 800 });
+  expect(harness.state.machines.get('m')?.lastHeartbeatAt).toBe(harness.now - 800);
 });
 
 test('messages about shared heartbeats round-trip, and earlier versions do not take them for a status', () => {
@@ -532,7 +535,7 @@
   expect(world.checker.expiredTasks).toBe(0);
 });
 
-test('sharing: store refuses only the leader, cancellations confirmed elsewhere, then a full outage: tasks stop in time', async () => {
+test('sharing: tasks stop in time if the store refuses only the leader, cancellations are confirmed elsewhere, and a full outage follows', async () => {
   const { world, leader, others, ids } = await startBusyCluster(3, { sharing: true });
   world.state.refuse(NODES[leader] ?? '', 2 * CANCEL);
   await world.clock.runUntil(world.clock.now + 100);
@@ -547,7 +550,7 @@
 
 test('followers with workers that cannot reach the leader let cancelled tasks stop in time', async () => {
   const { world, leader, others, ids } = await startBusyCluster(DEPUTY_SEED, { sharing: true });
-  // Messages between the controllers are held back by a partition, which separates the leader and its machines too.
+  // A partition delays the messages between the controllers, and also separates the leader from its machines.
   for (const other of others) world.network.partition(NODES[leader] ?? '', NODES[other] ?? '', 2 * CANCEL);
   for (const name of world.cloud.workers.keys())
     world.network.partition(name, NODES[leader] ?? '', 2 * CANCEL);
