--- a/src/adapters/peer-links.ts
+++ b/src/adapters/peer-links.ts
@@ -1,4 +1,4 @@
-/** Connections between controllers: each node dials every other one and sends it its status. */
+/** Connections between controllers: each node dials every peer and sends its status to it. */
 import { connect, createServer, type Server, type Socket } from 'node:net';
 import { snapshotIntervalMs } from '../membership/evidence-rules.js';
 import type { LinkState } from '../membership/status.js';
@@ -13,7 +13,7 @@
 /** The bound is at least the size of this many messages of the largest size sent so far. */
 const UNSENT_MESSAGES = 4;
 
-/** Messages and bytes written to other controllers since the start of the process. */
+/** Messages and bytes written to the peers since the start of the process. */
 export interface PeerTraffic {
   readonly sentMessages: number;
   readonly sentBytes: number;
@@ -27,17 +27,17 @@
   readonly log: Log;
   /** Counts messages that cannot be decoded. */
   readonly malformed: Pick<EventCounter, 'count'>;
-  /** The node's status, as it is sent to the other controllers. */
+  /** The node's status, as it is sent to the peers. */
   readonly status: () => PeerStatus;
   readonly onStatus: (status: PeerStatus) => void;
   /** Called with the state of the link to a peer whenever a connection to it opens, closes or fails to open. */
-  readonly onLink: (node: string, link: LinkState) => void;
+  readonly onLink: (peer: string, link: LinkState) => void;
   readonly onIntake: (message: IntakeMessage) => void;
 }
 
 /** A link that this node dialled. */
 interface DialledLink {
-  readonly node: string;
+  readonly peer: string;
   readonly socket: Socket;
   isOpen: boolean;
   isConnected: boolean;
@@ -48,7 +48,7 @@
 /** Share of a worker's lease within which a connection must be established. */
 const CONNECT_LEASE_SHARE = 0.5;
 
-/** One outgoing link to each other controller, redialled whenever it ends, and the incoming links from them. */
+/** One outgoing link to each peer, redialled whenever it closes, and the incoming links from the peers. */
 export class PeerLinks {
   #sentMessages = 0;
   #sentBytes = 0;
@@ -56,7 +56,7 @@
   readonly #server: Server;
   readonly #acceptedSockets = new Set<Socket>();
   readonly #peerNames: ReadonlySet<string>;
-  /** Established outgoing connections, by the node that they lead to. */
+  /** Established outgoing connections, by the peer's name. */
   readonly #openLinks = new Map<string, Socket>();
   #lastBroadcastAt = -Infinity;
 
@@ -81,7 +81,7 @@
     socket.write(frame);
   }
 
-  /** Listens for the other controllers and dials them. */
+  /** Listens for connections from the peers, and dials the peers. */
   start(): void {
     const { host, port } = parseAddress(this.options.settings.peer_bind);
     this.#server.on('error', (error) =>
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Sends the status to every peer immediately instead of at the next interval. Calls less than a quarter of a tick
-   * after the previous broadcast are ignored.
+   * Sends the status immediately instead of at the next interval, on every established link without unsent bytes.
+   * Calls less than a quarter of a tick after the previous broadcast are ignored.
    */
   broadcastStatus(): void {
     const now = this.options.clock.monotonicMs();
@@ -142,23 +142,24 @@
     return true;
   }
 
-  async #dial(node: string, address: string): Promise<void> {
+  async #dial(peer: string, address: string): Promise<void> {
     const { clock, timing } = this.options;
     const { host, port } = parseAddress(address);
     let refusals = 0;
     for (;;) {
-      const outcome = await this.#holdLink(node, connect({ host, port, noDelay: true }));
+      const outcome = await this.#holdLink(peer, connect({ host, port, noDelay: true }));
       refusals = outcome === 'refused' ? refusals + 1 : 0;
-      // A broken link is redialled without delay: a refused connection then distinguishes a crash from a partition.
+      // A broken link is redialled without delay, so that a refused connection is observed early. It is part of the
+      // evidence for a crash, but not a proof: something between the nodes may also block the connection.
       if (outcome === 'lost') continue;
       await clock.sleep(refusals === 1 ? timing.tickMs : 4 * timing.tickMs);
     }
   }
 
-  /** Sends the status at every second tick until the link breaks or stalls; resolves to the state in which it ended. */
-  async #holdLink(node: string, socket: Socket): Promise<LinkState> {
+  /** Sends the status at every second tick until the link breaks or stalls; resolves to the state in which it closed. */
+  async #holdLink(peer: string, socket: Socket): Promise<LinkState> {
     const { clock, timing } = this.options;
-    const link: DialledLink = { node, socket, isOpen: true, isConnected: false, outcome: 'silent' };
+    const link: DialledLink = { peer, socket, isOpen: true, isConnected: false, outcome: 'silent' };
     const closed = this.#trackLink(link);
     socket.resume();
     const dialledAt = clock.monotonicMs();
@@ -171,13 +172,13 @@
 
   /** Updates the link's state on the socket's events; resolves once the socket is closed. */
   #trackLink(link: DialledLink): Promise<void> {
-    const { node, socket } = link;
+    const { peer, socket } = link;
     const { onLink } = this.options;
     socket.on('connect', () => {
       link.isConnected = true;
       link.outcome = 'lost';
-      this.#openLinks.set(node, socket);
-      onLink(node, 'up');
+      this.#openLinks.set(peer, socket);
+      onLink(peer, 'up');
     });
     socket.on('error', ({ code }: NodeJS.ErrnoException) => {
       if (!link.isConnected && code === 'ECONNREFUSED') link.outcome = 'refused';
@@ -186,16 +187,17 @@
     return new Promise<void>((resolve) => {
       socket.on('close', () => {
         link.isOpen = false;
-        if (this.#openLinks.get(node) === socket) this.#openLinks.delete(node);
-        onLink(node, link.outcome);
+        if (this.#openLinks.get(peer) === socket) this.#openLinks.delete(peer);
+        onLink(peer, link.outcome);
         resolve();
       });
     });
   }
 
   /**
-   * Sends the status, or closes a link that has not connected in time or is stalled; `ageMs` is the time in
-   * milliseconds since the link was dialled.
+   * Sends the status, or closes a link that has not connected in time or is stalled. On a link older than a worker's
+   * lease, no status is sent while earlier bytes are unsent. `ageMs` is the time in milliseconds since the link was
+   * dialled.
    */
   #serviceLink(link: DialledLink, ageMs: number): void {
     const { socket } = link;
