--- a/src/adapters/clock.ts
+++ b/src/adapters/clock.ts
@@ -1,4 +1,4 @@
-/** Time and deferred calls. Everything outside the core reads time through a {@link Clock}; tests supply a virtual one. */
+/** Time and deferred calls. Controllers read time through a {@link Clock}, so that tests can supply a virtual one. */
 
 /** A source of time. */
 export interface Clock {
--- a/src/adapters/http-client.ts
+++ b/src/adapters/http-client.ts
@@ -30,7 +30,7 @@
     this.#agent = new Agent({ keepAlive, maxSockets, maxFreeSockets: maxSockets });
   }
 
-  /** Closes the idle connections. */
+  /** Closes all connections, idle or in use. */
   close(): void {
     this.#agent.destroy();
   }
--- a/src/adapters/job-reader.ts
+++ b/src/adapters/job-reader.ts
@@ -1,7 +1,7 @@
 /**
  * Linearizable reads of jobs, batched: a few requests to the key-value store answer any number of lookups. A mirror
  * of the live jobs is refreshed by one request for all lookups that arrived before it, so each result is as fresh as
- * a read made after its lookup. Ended jobs never change and are read once. Alternatives: docs/reads.md.
+ * a read made after its lookup. Ended jobs never change and are cached. Alternatives: docs/reads.md.
  */
 import { decodeEnded, decodeJob, endedKey, JOB_PREFIX, jobKey, jobOfKey } from '../core/persistence/index.js';
 import type { EndedRecord, JobSpec } from '../core/types.js';
@@ -9,7 +9,10 @@
 import type { Clock } from './clock.js';
 import type { KeyValueStore } from './key-value-store.js';
 
-/** The stored record of a job; `none`: there is no record; `unknown`: the store did not answer. */
+/**
+ * The stored record of a job; `none`: there is no record; `unknown`: the store did not answer, or the record of the
+ * ended job cannot be decoded.
+ */
 export type JobLookup =
   | { readonly kind: 'live'; readonly spec: JobSpec; readonly modRevision: number }
   /** The job was accepted and has not ended, but its description cannot be decoded. */
@@ -23,7 +26,7 @@
 const MIN_REMEMBERED_ENDED = 5000;
 /** Maximum number of jobs read individually in one round; the others wait for the next round. */
 const MAX_SINGLE_READS = 32;
-/** Share of the store's request rate that a node's rounds may take. */
+/** Maximum rate of a node's rounds, as a share of the store's request rate; a round takes at least one request. */
 const ROUND_SHARE = 0.05;
 
 const decodeLiveJob = (value: unknown, modRevision: number): JobLookup => {
@@ -101,7 +104,7 @@
     this.#revision = null;
   }
 
-  /** Resolves to the job's record in the store at some time after this call. */
+  /** Resolves to the job's record as the store had it at the time of this call or later. */
   find(id: string): Promise<JobLookup> {
     const record = this.#ended.get(id);
     if (record !== undefined) return Promise.resolve({ kind: 'ended', record });
@@ -195,9 +198,9 @@
   }
 
   /**
-   * Returns which of these jobs, none of which is live, have no ended record either and so were never submitted. One
+   * Returns which of these jobs, none of which is live, have no ended record either and so were never accepted. One
    * transaction without mutations checks a batch of jobs; if any job of the batch has ended, the caller reads each
-   * of them individually.
+   * of them individually, as it does with a single job.
    */
   async #findMissing(ids: readonly string[]): Promise<Set<string>> {
     const missing = new Set<string>();
--- a/src/adapters/key-value-store.ts
+++ b/src/adapters/key-value-store.ts
@@ -64,7 +64,7 @@
   revoke(lease: number): Promise<void>;
   /** Monotonic time in milliseconds at which the latest answered request was sent; `null` before the first. */
   lastContactAt(): number | null;
-  /** Applies these limits to all later requests. */
+  /** Applies the request and write rates of these limits to all later requests. */
   applyLimits(limits: StoreLimits): void;
 }
 
@@ -189,7 +189,7 @@
         continue;
       }
       failedAttempts = 0;
-      // A watch that starts at the first page's revision delivers the changes made after it was read.
+      // A watch that starts at the first page's revision delivers the changes made after that page was read.
       revision ??= page.revision;
       entries.push(...page.entries);
       if (!page.more || page.entries.length === 0) return { entries, revision };
--- a/src/adapters/public-server.ts
+++ b/src/adapters/public-server.ts
@@ -9,7 +9,10 @@
 
 /** Share of the process's socket quota that the public port may use. */
 const PORT_SOCKET_SHARE = 0.8;
-/** While a larger share of these is in use, each response closes its connection, so that all workers get their turn. */
+/**
+ * While more than this share of those sockets is in use, each response closes its connection, so that all workers can
+ * connect.
+ */
 const KEEP_ALIVE_SHARE = 0.9;
 
 /** Time after which an idle connection is closed, in milliseconds. */
@@ -41,7 +44,7 @@
   response.writeHead(status, headers).end(body);
 }
 
-function receiveReport(api: PublicApi, request: IncomingMessage, response: ServerResponse): void {
+function receiveHeartbeat(api: PublicApi, request: IncomingMessage, response: ServerResponse): void {
   const chunks: Buffer[] = [];
   let bytes = 0;
   request.on('data', (chunk: Buffer) => {
@@ -164,7 +167,7 @@
     if (connections > KEEP_ALIVE_SHARE * maxConnections) response.shouldKeepAlive = false;
     const { method, url = '' } = request;
     const job = method === 'GET' ? JOB_PATH.exec(url)?.[1] : undefined;
-    if (method === 'POST' && url === '/v1/report') receiveReport(api, request, response);
+    if (method === 'POST' && url === '/v1/report') receiveHeartbeat(api, request, response);
     else if (job !== undefined)
       serveUser(api, { kind: 'show', response, job, run: () => api.users.show(job) }).catch(
         (error: unknown) => {
--- a/src/adapters/user-requests.ts
+++ b/src/adapters/user-requests.ts
@@ -128,7 +128,7 @@
       const found = await this.#lookUp(id);
       return found.kind === 'none' ? { status: 422, body: { error: reason } } : this.#respond(id, found);
     }
-    // A repeated submission: looking the job up takes a read request, and nothing of the store's write rate.
+    // A repeated submission is answered by a lookup, which takes nothing of the store's write rate.
     if (this.#reader.cachedLiveJob(id) !== undefined) {
       const found = await this.#lookUp(id);
       if (found.kind !== 'none') return this.#respond(id, found);
@@ -199,7 +199,7 @@
     return this.#respond(id, await this.#lookUp(id));
   }
 
-  /** Builds the response for a job; a job with dependencies is shown only once their cancellations are known. */
+  /** Builds the response for a job; a live job is shown only once it is known whether a dependency was cancelled. */
   async #respond(id: string, found: JobLookup): Promise<UserResponse> {
     if (
       found.kind !== 'live' ||
--- a/src/adapters/worker-client.ts
+++ b/src/adapters/worker-client.ts
@@ -1,15 +1,15 @@
-/** Client of the agents on worker machines: commands sent directly, and reachability probes. */
+/** Client of the workers: commands sent directly, and reachability probes. */
 import { connect } from 'node:net';
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import { parseAddress } from '../config/settings.js';
 import { encodeDirectCommands, parseHeartbeat } from '../wire/workers.js';
 import { HttpClient } from './http-client.js';
 
-/** The operations of the workers' agents that the controller uses. */
+/** The operations of the workers that the controller uses. */
 export interface WorkerClient {
   /**
-   * Raises the agent's fencing token and sends it commands. Resolves to the agent's heartbeat, or to `null` without
-   * a valid response.
+   * Raises the worker's fencing token and sends it commands. Resolves to the worker's heartbeat, or to `null`
+   * without a valid response.
    */
   sendCommands(
     address: string,
@@ -17,18 +17,18 @@
     agentEpoch: number,
     commands: readonly WorkerCommand[],
   ): Promise<Heartbeat | null>;
-  /** Whether the address accepts a connection; `null` if a limit or an error on this node left it undecided. */
+  /** Whether the address accepts a connection; `null` if this node's limit or another error left it undecided. */
   probe(address: string): Promise<boolean | null>;
 }
 
-/** Connection errors that are caused by the remote side, so that the address counts as unreachable. */
+/** Connection errors after which the address counts as unreachable; any other error leaves the probe undecided. */
 const UNREACHABLE_ERRORS: ReadonlySet<string | undefined> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ETIMEDOUT',
 ]);
 
-/** Client of the agents' HTTP interface; each call opens its own connection. */
+/** Client of the workers' HTTP interface; each call opens its own connection. */
 export class HttpWorkerClient implements WorkerClient {
   #probes = 0;
 
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -89,7 +89,7 @@
       return null;
     }
   }
-  // Applied in another order, the removal of a key that was created in the same response could be lost.
+  // If they were applied in another order, the removal of a key created in the same response could be lost.
   changes.sort((one, other) => one.modRevision - other.modRevision);
   return { changes, revision };
 }
--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -15,7 +15,7 @@
 } from './intake.js';
 import { nameBytes, portionsOf } from './portions.js';
 
-/** Progress of a job's tasks, for the job's status page on any controller. */
+/** Progress of a job's tasks, sent by the leader so that every controller can answer polls of the job. */
 export interface JobCount {
   readonly id: string;
   readonly done: number;
@@ -30,8 +30,8 @@
   /** The record format that the sender can read; 0: a version without this field, which reads format 1. */
   readonly format: number;
   /**
-   * Time up to which every cancellation has reached all dependent jobs according to a leader, in milliseconds since
-   * the Unix epoch; 0: unknown.
+   * Time up to which every cancellation has reached all dependent jobs, in milliseconds since the Unix epoch; 0: not
+   * known, or the sender does not lead.
    */
   readonly dependenciesResolvedUntil: number;
   /** Zones from which the leader receives no heartbeats, and for how long, as far as the sender knows. */
@@ -131,7 +131,7 @@
 const MAX_COUNTS_IN_FRAME = 1000;
 const MAX_RELAYED_IN_FRAME = 2000;
 const MAX_ATTENTION_IN_FRAME = 3000;
-/** Maximum number of continuations of one message. It bounds bad input; the names of 64,000 machines take about 90. */
+/** Maximum number of continuations of a message, a bound on malformed input; 64,000 machine names take about 90. */
 const MAX_CONTINUATIONS = 512;
 
 /** The part of a message that continuation frames carry. */
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -89,7 +89,7 @@
   return JSON.stringify({ baton: token, cues: commands.map(encodeCommand) });
 }
 
-/** Encodes a direct call to an agent, valid for one agent epoch. */
+/** Encodes commands sent directly to a worker, valid for one agent epoch. */
 export function encodeDirectCommands(
   token: number,
   agentEpoch: number,
@@ -98,7 +98,7 @@
   return JSON.stringify({ baton: token, watch: agentEpoch, cues: commands.map(encodeCommand) });
 }
 
-/** Encodes a redirect of a worker to the leader; the object is empty if the leader is unknown. */
-export function encodeRedirect(leader: string | null): string {
-  return JSON.stringify(leader === null ? {} : { conductor: leader });
+/** Encodes a redirect of a worker to another controller; the object is empty if `null` is passed. */
+export function encodeRedirect(controller: string | null): string {
+  return JSON.stringify(controller === null ? {} : { conductor: controller });
 }
