--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -15,16 +15,18 @@
 import { StateEmulator } from './emulators/state.js';
 import { seeded } from './emulators/simulation.js';
 
-const state = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
+const storeEmulator = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
 let isStoreDown = false;
 const store: KeyValueStore = {
-  read: (key) => Promise.resolve(isStoreDown ? 'unknown' : { entry: state.read(key) }),
+  read: (key) => Promise.resolve(isStoreDown ? 'unknown' : { entry: storeEmulator.read(key) }),
   list: (prefix) =>
-    Promise.resolve(isStoreDown ? 'unknown' : { entries: state.list(prefix), revision: state.revision }),
-  commit: (txn) => Promise.resolve(isStoreDown ? { kind: 'refused' } : state.commit(txn)),
+    Promise.resolve(
+      isStoreDown ? 'unknown' : { entries: storeEmulator.list(prefix), revision: storeEmulator.revision },
+    ),
+  commit: (txn) => Promise.resolve(isStoreDown ? { kind: 'refused' } : storeEmulator.commit(txn)),
   watch: () => Promise.resolve({ kind: 'unknown' }),
   changesSince: (prefix, after) =>
-    Promise.resolve(isStoreDown ? { kind: 'unknown' } : state.since(prefix, after)),
+    Promise.resolve(isStoreDown ? { kind: 'unknown' } : storeEmulator.since(prefix, after)),
   grant: () => Promise.resolve(null),
   renew: () => Promise.resolve(null),
   revoke: () => Promise.resolve(),
@@ -124,10 +126,10 @@
   ['a service beyond the limit of its team', { ...validSubmission, form: 'service', movements: 9 }],
 ])('%s gets 422, but only once machine types are known', async (_what, body) => {
   expect((await post(body)).status).toBe(422);
-  const known = types;
+  const knownTypes = types;
   types = new Map();
   expect((await post(body)).status).toBe(503);
-  types = known;
+  types = knownTypes;
 });
 
 test('a job is accepted once, stays known, and stays cancelled', async () => {
@@ -137,26 +139,26 @@
     body: { nameId: 'req-000001', stage: 'pending' },
   });
   expect(await post(validSubmission)).toMatchObject({ status: 200, body: { stage: 'pending' } });
-  const withdrawn = { status: 200, body: { nameId: 'req-000001', stage: 'withdrawn' } };
-  expect(await client.request('POST', '/v2/runs/req-000001/withdraw', '{}', 5000)).toEqual(withdrawn);
-  expect(await client.request('POST', '/v2/runs/req-000001/withdraw', null, 5000)).toMatchObject(withdrawn);
-  expect(await get('/v2/runs/req-000001')).toMatchObject(withdrawn);
-  expect(await post(validSubmission)).toMatchObject(withdrawn);
+  const cancelled = { status: 200, body: { nameId: 'req-000001', stage: 'withdrawn' } };
+  expect(await client.request('POST', '/v2/runs/req-000001/withdraw', '{}', 5000)).toEqual(cancelled);
+  expect(await client.request('POST', '/v2/runs/req-000001/withdraw', null, 5000)).toMatchObject(cancelled);
+  expect(await get('/v2/runs/req-000001')).toMatchObject(cancelled);
+  expect(await post(validSubmission)).toMatchObject(cancelled);
   // An invalid resubmission of a known job is answered with the job, not with an error.
-  expect(await post({ ...validSubmission, crew: 'nobody' })).toMatchObject(withdrawn);
+  expect(await post({ ...validSubmission, crew: 'nobody' })).toMatchObject(cancelled);
 });
 
-const withdraw = (id: string): Promise<HttpResponse> =>
+const cancelJob = (id: string): Promise<HttpResponse> =>
   client.request('POST', `/v2/runs/${id}/withdraw`, null, 5000);
 const markDone = (id: string): void => {
   const record = { stage: 'done', tasks: 2, done: 2 };
-  state.commit({
+  storeEmulator.commit({
     preconditions: [],
     mutations: [{ remove: `job/${id}` }, { put: `ended/${id}`, value: record }],
   });
 };
 
-test('a job is accepted if its dependencies were, 422 if unknown, and a repeat is idempotent', async () => {
+test('a job gets 201 if its dependencies were accepted, 422 if one is unknown, itself or a service, and 200 if repeated', async () => {
   const dependency = { ...validSubmission, nameId: 'req-000010', awaits: [] };
   const dependent = { ...validSubmission, nameId: 'req-000011', awaits: ['req-000010', 'req-000010'] };
   expect((await post(dependent)).status).toBe(422);
@@ -164,7 +166,7 @@
   expect((await post(dependency)).status).toBe(201);
   expect(await post(dependent)).toMatchObject({ status: 201, body: { stage: 'pending' } });
   // Duplicates count once. The response lists the dependencies that have not ended, and no others.
-  expect(state.read('job/req-000011')?.value).toMatchObject({ awaits: ['req-000010'] });
+  expect(storeEmulator.read('job/req-000011')?.value).toMatchObject({ awaits: ['req-000010'] });
   expect((await get('/v2/runs/req-000011')).body).toMatchObject({ awaits: ['req-000010'] });
   markDone('req-000010');
   await get('/v2/runs/req-000010');
@@ -177,7 +179,7 @@
 
 test('a job that depends on a cancelled one is accepted and cancelled', async () => {
   expect((await post({ ...validSubmission, nameId: 'req-000020' })).status).toBe(201);
-  await withdraw('req-000020');
+  await cancelJob('req-000020');
   const late = { ...validSubmission, nameId: 'req-000021', awaits: ['req-000020'] };
   expect(await post(late)).toMatchObject({ status: 201, body: { stage: 'withdrawn' } });
   expect(await get('/v2/runs/req-000021')).toMatchObject({ status: 200, body: { stage: 'withdrawn' } });
@@ -190,7 +192,7 @@
     expect(
       (await post({ ...validSubmission, nameId, awaits: chain.slice(Math.max(0, i - 1), i) })).status,
     ).toBe(201);
-  await withdraw('req-000030');
+  await cancelJob('req-000030');
   expect((await get('/v2/runs/req-000032')).body).toMatchObject({ stage: 'pending' });
   cancellationsPropagated = false;
   expect((await get('/v2/runs/req-000032')).body).toMatchObject({ stage: 'withdrawn' });
@@ -217,7 +219,7 @@
   expect(requests).toBeLessThan(5);
   store.changesSince = originalChangesSince;
   cancellationsPropagated = true;
-  await withdraw(chain[0] ?? '');
+  await cancelJob(chain[0] ?? '');
   cancellationsPropagated = false;
   expect((await get(last)).body).toMatchObject({ stage: 'withdrawn' });
   cancellationsPropagated = true;
@@ -226,7 +228,7 @@
 // A job committed after a dependency's cancellation has propagated would never be cancelled.
 test('a submission commits only while its dependencies are unchanged since they were read', async () => {
   expect((await post({ ...validSubmission, nameId: 'req-000040' })).status).toBe(201);
-  const modRevision = state.read('job/req-000040')?.modRevision;
+  const modRevision = storeEmulator.read('job/req-000040')?.modRevision;
   let preconditions: readonly { key: string; modRevision?: number | undefined }[] = [];
   const originalCommit = store.commit.bind(store);
   store.commit = (txn) => {
@@ -242,7 +244,7 @@
   dependenciesSupported = false;
   expect((await post({ ...validSubmission, nameId: 'req-000051', awaits: ['req-000040'] })).status).toBe(503);
   dependenciesSupported = true;
-  expect(state.read('job/req-000051')).toBeNull();
+  expect(storeEmulator.read('job/req-000051')).toBeNull();
 });
 
 test('while the store is unavailable: 503 immediately, never 404', async () => {
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -52,7 +52,7 @@
 });
 
 test('heartbeats: null equals absent, unknown fields are ignored, any invalid field rejects the heartbeat', () => {
-  const report = {
+  const heartbeat = {
     skiff: 'vm-1',
     address: '10.0.0.1:1',
     bench: 'g8',
@@ -64,15 +64,15 @@
     more: 1,
     movements: [{ movement: 'req-1/3', take: 2, stage: 'ended', cadence: 'new kind of end' }],
   };
-  expect(parseHeartbeat(report)).toMatchObject({
+  expect(parseHeartbeat(heartbeat)).toMatchObject({
     terminationNoticeS: null,
     tasks: [{ job: 'req-1', task: 3, exit: 'error' }],
   });
-  expect(parseHeartbeat({ ...report, recallS: null, movements: null })).toMatchObject({ tasks: [] });
+  expect(parseHeartbeat({ ...heartbeat, recallS: null, movements: null })).toMatchObject({ tasks: [] });
   expect(
-    parseHeartbeat({ ...report, movements: [{ movement: 'req-1', take: 2, stage: 'running' }] }),
+    parseHeartbeat({ ...heartbeat, movements: [{ movement: 'req-1', take: 2, stage: 'running' }] }),
   ).toBeNull();
-  expect(parseHeartbeat({ ...report, barNo: -1 })).toBeNull();
+  expect(parseHeartbeat({ ...heartbeat, barNo: -1 })).toBeNull();
   expect(parseTaskName('req-1/')).toBeNull();
 });
 
