--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -12,7 +12,7 @@
   LEASE,
   partitionMachinesFromAllBut,
 } from './emulators/busy-cluster.js';
-import { drawConcurrentFaults, MAX_RUNTIME_MS, partitionZones } from './emulators/faults.js';
+import { drawConcurrentFaults, MAX_ADDITIONAL_RUNTIME_MS, partitionZones } from './emulators/faults.js';
 import { NODES, seeded, TIGHT, Simulation } from './emulators/simulation.js';
 
 // The store refuses the leader while another controller confirms a cancellation, and is then down for all nodes: the
@@ -102,7 +102,7 @@
 });
 
 // Machines whose leases expired in an outage are alive: they must not be terminated when the store recovers.
-test('machines that kept reporting through a store outage are not silent at its end', () => {
+test('machines that kept sending heartbeats through a store outage are not silent at its end', () => {
   const harness = new CoreHarness();
   const { workerLeaseMs, tickMs } = harness.state.config.timing;
   const names = ['m', 'n', 'o', 'p'];
@@ -128,7 +128,7 @@
   harness.isViewConfirmed = true;
   harness.now += tickMs;
   harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
-  // The first machine reports immediately, the others a second later.
+  // The first machine sends a heartbeat immediately, the others a second later.
   harness.hear(report('m', 90, [], { agentEpoch: 2 }));
   expect(harness.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
   harness.now += 1000;
@@ -160,7 +160,7 @@
 });
 
 test('delayed transactions: claims applied after newer ones of the same chunk survive a failover', async () => {
-  const world = new Simulation(seeded(4), { keepLog: true });
+  const simulation = new Simulation(seeded(4), { keepLog: true });
   const id = 'req-000000';
   // Each task fills a machine, and the machines boot one after another.
   const placement = {
@@ -172,36 +172,36 @@
     oneZone: false,
     spread: false,
   };
-  world.cloud.capacity = 4;
-  world.runtimes.set(id, [90_000, 0]);
+  simulation.cloud.capacity = 4;
+  simulation.runtimes.set(id, [90_000, 0]);
   const claims: number[] = [];
-  const commit = world.state.commit.bind(world.state);
-  world.state.commit = (txn) => {
+  const commit = simulation.state.commit.bind(simulation.state);
+  simulation.state.commit = (txn) => {
     const outcome = commit(txn);
     if (
       outcome.kind === 'applied' &&
       txn.mutations.some((write) => 'put' in write && write.put.startsWith('run/'))
     )
-      claims.push(world.clock.now);
+      claims.push(simulation.clock.now);
     return outcome;
   };
   const delayMs = 9000;
   let sentAt = Infinity;
-  world.state.delayNextTransaction(({ mutations }) => {
+  simulation.state.delayNextTransaction(({ mutations }) => {
     const isClaim = mutations.some((write) => 'put' in write && write.put.startsWith('run/'));
-    if (isClaim) sentAt = world.clock.now;
+    if (isClaim) sentAt = simulation.clock.now;
     return isClaim;
   }, delayMs);
-  void world.user({ ...placement, id, tasks: 4 }, null);
-  while (sentAt === Infinity) await world.clock.runUntil(world.clock.now + 100);
-  await world.clock.runUntil(sentAt + delayMs - 100);
+  void simulation.user({ ...placement, id, tasks: 4 }, null);
+  while (sentAt === Infinity) await simulation.clock.runUntil(simulation.clock.now + 100);
+  await simulation.clock.runUntil(sentAt + delayMs - 100);
   // Newer claims of the same chunk have been written, and their tasks have been started.
   expect(claims.length).toBeGreaterThan(0);
-  expect(world.checker.placedTasks(id)).toBe(4);
-  await world.clock.runUntil(sentAt + delayMs + 50);
-  world.crash(NODES.indexOf(world.leaders()[0] ?? ''), 3000);
-  await expectCleanEnd(world, 300_000);
-  expect(world.checker.started).toBe(4);
+  expect(simulation.checker.placedTasks(id)).toBe(4);
+  await simulation.clock.runUntil(sentAt + delayMs + 50);
+  simulation.crash(NODES.indexOf(simulation.leaders()[0] ?? ''), 3000);
+  await expectCleanEnd(simulation, 300_000);
+  expect(simulation.checker.started).toBe(4);
 });
 
 // 2. Jobs of two or three tasks end far apart across a change of leader.
@@ -364,27 +364,27 @@
 /** By then all faults of a run are over, in milliseconds. */
 const FAULTS_END_MS = 240_000;
 /** By then every accepted job has ended, in milliseconds. */
-const END_MS = FAULTS_END_MS + 3 * MAX_RUNTIME_MS;
+const END_MS = FAULTS_END_MS + 3 * MAX_ADDITIONAL_RUNTIME_MS;
 
 async function simulateConcurrentFaults(
   seed: number,
   combinations: number,
-): Promise<{ world: Simulation; injected: string[] }> {
+): Promise<{ simulation: Simulation; injected: string[] }> {
   const cpusMax = seed % 2 === 0 ? 0 : 12;
   // A third of the runs have tight limits on values and transactions from the start.
-  const world = new Simulation(seeded(seed), {
+  const simulation = new Simulation(seeded(seed), {
     copies: true,
     cpusMax,
     ...(seed % 3 === 0 ? { limits: TIGHT } : {}),
   });
   const injected: string[] = [];
-  drawConcurrentFaults(world, combinations, (name) =>
-    injected.push(`${(world.clock.now / 1000).toFixed(1)} ${name}`),
+  drawConcurrentFaults(simulation, combinations, (name) =>
+    injected.push(`${(simulation.clock.now / 1000).toFixed(1)} ${name}`),
   );
-  world.clock.in(FAULTS_END_MS, () => world.checkWaiting());
-  await world.clock.runUntil(END_MS);
-  world.checker.checkUnanswered(FAULTS_END_MS, END_MS);
-  return { world, injected };
+  simulation.clock.in(FAULTS_END_MS, () => simulation.checkWaiting());
+  await simulation.clock.runUntil(END_MS);
+  simulation.checker.checkUnanswered(FAULTS_END_MS, END_MS);
+  return { simulation, injected };
 }
 
 test('under two or three concurrent faults no rule is violated and every accepted job ends', async () => {
@@ -393,13 +393,16 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 1, max: 3 }),
       async (seed, combinations) => {
-        const { world, injected } = await simulateConcurrentFaults(seed, combinations);
-        expect({ injected, broken: world.checker.violations }).toEqual({ injected, broken: [] });
-        expect({ injected, unfinished: world.checker.unfinishedJobs() }).toEqual({
+        const { simulation, injected } = await simulateConcurrentFaults(seed, combinations);
+        expect({ injected, broken: simulation.checker.violations }).toEqual({ injected, broken: [] });
+        expect({ injected, unfinished: simulation.checker.unfinishedJobs() }).toEqual({
           injected,
           unfinished: [],
         });
-        expect({ injected, underserved: world.checker.underserved() }).toEqual({ injected, underserved: [] });
+        expect({ injected, underserved: simulation.checker.underserved() }).toEqual({
+          injected,
+          underserved: [],
+        });
       },
     ),
     {
--- a/test/emulators/busy-cluster.ts
+++ b/test/emulators/busy-cluster.ts
@@ -56,17 +56,17 @@
 }
 
 /**
- * Partitions all machines from every node but one: heartbeats to the others, and the responses to them, are held
- * back until the partition ends.
+ * Partitions all machines from every node but one: messages between them and the other nodes are lost or held back
+ * until the partition ends.
  */
-export function partitionMachinesFromAllBut(world: Simulation, node: string, ms: number): void {
-  for (const machine of world.cloud.workers.keys())
-    for (const other of NODES) if (other !== node) world.network.partition(machine, other, ms);
+export function partitionMachinesFromAllBut(simulation: Simulation, node: string, ms: number): void {
+  for (const machine of simulation.cloud.workers.keys())
+    for (const other of NODES) if (other !== node) simulation.network.partition(machine, other, ms);
 }
 
 /** Runs the simulation for another `ms`; no rule may be violated and every accepted job must end. */
-export async function expectCleanEnd(world: Simulation, ms = 250_000): Promise<void> {
-  await world.clock.runUntil(world.clock.now + ms);
-  expect(world.checker.violations).toEqual([]);
-  expect(world.checker.unfinishedJobs()).toEqual([]);
+export async function expectCleanEnd(simulation: Simulation, ms = 250_000): Promise<void> {
+  await simulation.clock.runUntil(simulation.clock.now + ms);
+  expect(simulation.checker.violations).toEqual([]);
+  expect(simulation.checker.unfinishedJobs()).toEqual([]);
 }
--- a/test/emulators/fingerprint-days.ts
+++ b/test/emulators/fingerprint-days.ts
@@ -1,10 +1,10 @@
 /**
- * Seeded simulated days whose whole traffic is hashed. A hash covers what passes the wire encoders and what the
+ * Seeded simulated runs whose whole traffic is hashed. A hash covers what passes the wire encoders and what the
  * emulators store, but no internal names: it stays the same through every change that preserves the behaviour.
  */
 import { createHash } from 'node:crypto';
 import type { SubmittedJob } from './checker.js';
-import { drawConcurrentFaults, MAX_RUNTIME_MS } from './faults.js';
+import { drawConcurrentFaults, MAX_ADDITIONAL_RUNTIME_MS } from './faults.js';
 import {
   drawRun,
   seeded,
@@ -15,7 +15,7 @@
   type SimulationOptions,
 } from './simulation.js';
 
-const DAY_MS = 90_000;
+const RUN_MS = 90_000;
 const RECOVERY_MS = 150_000;
 const CONCURRENT_FAULTS_MS = 240_000;
 /** Interval at which the status pages of all controllers are hashed, in milliseconds. */
@@ -25,16 +25,16 @@
 const PRODUCTION_FAULTS: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
 const WIDE: RunSize = { jobs: 12, maxTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
 
-interface DayKind {
+interface RunKind {
   readonly seeds: readonly number[];
   options?(seed: number): SimulationOptions;
-  /** Draws the load and the faults; returns the length of the day in milliseconds. */
-  draw(world: Simulation, seed: number): number;
+  /** Draws the load and the faults; returns the length of the run in milliseconds. */
+  draw(simulation: Simulation, seed: number): number;
 }
 
 /** Draws gangs and services of every priority, some of them cancelled. */
-function drawForms(world: Simulation): void {
-  const { draw, clock } = world;
+function drawForms(simulation: Simulation): void {
+  const { draw, clock } = simulation;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
   for (let i = 0; i < 10; i += 1) {
     const id = `req-${String(600_000 + i)}`;
@@ -53,15 +53,15 @@
       oneZone: draw() < 0.3,
       spread: draw() < 0.3,
     };
-    if (form === 'service') world.runtimes.set(id, [10 * DAY_MS, 0]);
+    if (form === 'service') simulation.runtimes.set(id, [10 * RUN_MS, 0]);
     const cancelAfterMs = form === 'service' || draw() < 0.2 ? 60_000 * draw() : null;
-    clock.in(0.6 * DAY_MS * draw(), () => void world.user(job, cancelAfterMs));
+    clock.in(0.6 * RUN_MS * draw(), () => void simulation.user(job, cancelAfterMs));
   }
 }
 
 /** Long preemptible arrays fill a few machines; urgent jobs are submitted later and need their capacity. */
-function drawPreemption(world: Simulation): void {
-  const { draw, clock, cloud } = world;
+function drawPreemption(simulation: Simulation): void {
+  const { draw, clock, cloud } = simulation;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
   cloud.capacity = 4;
   for (let i = 0; i < 10; i += 1) {
@@ -80,42 +80,45 @@
       oneZone: false,
       spread: false,
     };
-    if (isPreemptible) world.runtimes.set(id, [60_000 + 60_000 * draw(), 4000 * draw()]);
-    clock.in(isPreemptible ? 10_000 * draw() : 40_000 + 60_000 * draw(), () => void world.user(job, null));
+    if (isPreemptible) simulation.runtimes.set(id, [60_000 + 60_000 * draw(), 4000 * draw()]);
+    clock.in(
+      isPreemptible ? 10_000 * draw() : 40_000 + 60_000 * draw(),
+      () => void simulation.user(job, null),
+    );
   }
 }
 
-function drawUpgrade(world: Simulation): number {
-  const { draw, clock } = world;
-  const crashAny = (): void => world.crash(Math.floor(draw() * 3), 2000);
-  drawRun(world, DAY_MS, 4, WIDE);
+function drawUpgrade(simulation: Simulation): number {
+  const { draw, clock } = simulation;
+  const crashAny = (): void => simulation.crash(Math.floor(draw() * 3), 2000);
+  drawRun(simulation, RUN_MS, 4, WIDE);
   for (let i = 0; i < 4; i += 1) clock.in(40_000 * draw(), crashAny);
   [2, 0, 1].forEach((node, i) =>
-    clock.in(10_000 + i * (2000 + 10_000 * draw()), () => world.upgrade(node, 4000)),
+    clock.in(10_000 + i * (2000 + 10_000 * draw()), () => simulation.upgrade(node, 4000)),
   );
-  clock.in(45_000 + 20_000 * draw(), () => world.reduceLimits());
+  clock.in(45_000 + 20_000 * draw(), () => simulation.reduceLimits());
   for (let i = 0; i < 4; i += 1) clock.in(45_000 + 25_000 * draw(), crashAny);
-  return DAY_MS + RECOVERY_MS;
+  return RUN_MS + RECOVERY_MS;
 }
 
-function drawDay(world: Simulation, faults: number, size?: RunSize): number {
-  drawRun(world, DAY_MS, faults, size);
-  return DAY_MS + RECOVERY_MS;
+function drawStandardRun(simulation: Simulation, faults: number, size?: RunSize): number {
+  drawRun(simulation, RUN_MS, faults, size);
+  return RUN_MS + RECOVERY_MS;
 }
 
-function drawOverlapping(world: Simulation, seed: number): number {
-  drawConcurrentFaults(world, 1 + (seed % 3), () => undefined);
-  return CONCURRENT_FAULTS_MS + 2 * MAX_RUNTIME_MS;
+function drawOverlapping(simulation: Simulation, seed: number): number {
+  drawConcurrentFaults(simulation, 1 + (seed % 3), () => undefined);
+  return CONCURRENT_FAULTS_MS + 2 * MAX_ADDITIONAL_RUNTIME_MS;
 }
 
-const DAY_KINDS: Readonly<Record<string, DayKind>> = {
-  quiet: { seeds: [1], draw: (world) => drawDay(world, 0) },
+const RUN_KINDS: Readonly<Record<string, RunKind>> = {
+  quiet: { seeds: [1], draw: (simulation) => drawStandardRun(simulation, 0) },
   faults: {
     seeds: [101, 102, 103, 104, 105, 106, 107],
     options: (seed) => ({ cpusMax: seed % 2 === 0 ? 0 : 16 }),
-    draw: (world, seed) => drawDay(world, 3 + (seed % 12)),
+    draw: (simulation, seed) => drawStandardRun(simulation, 3 + (seed % 12)),
   },
-  pipelines: { seeds: [201, 202, 203, 204, 205], draw: (world) => drawDay(world, 8, DAGS) },
+  pipelines: { seeds: [201, 202, 203, 204, 205], draw: (simulation) => drawStandardRun(simulation, 8, DAGS) },
   upgrade: {
     seeds: [301, 302, 303, 304],
     options: () => ({ limits: TIGHT, earlier: true }),
@@ -124,7 +127,7 @@
   'on-call': {
     seeds: [401, 402, 403, 404],
     options: () => ({ copies: true }),
-    draw: (world) => drawDay(world, 10, PRODUCTION_FAULTS),
+    draw: (simulation) => drawStandardRun(simulation, 10, PRODUCTION_FAULTS),
   },
   meetings: {
     seeds: [501, 502, 503, 504, 505, 506, 507, 508],
@@ -137,23 +140,23 @@
   },
   forms: {
     seeds: [601, 602, 603, 604, 605],
-    draw: (world) => {
-      drawForms(world);
-      return drawDay(world, 6, { jobs: 6, maxTasks: 4, machines: 8 });
+    draw: (simulation) => {
+      drawForms(simulation);
+      return drawStandardRun(simulation, 6, { jobs: 6, maxTasks: 4, machines: 8 });
     },
   },
   preemption: {
     seeds: [901, 902, 903, 904],
-    draw: (world, seed) => {
-      drawRun(world, DAY_MS, seed % 2 === 0 ? 0 : 4, { jobs: 2, maxTasks: 2, machines: 4 });
-      drawPreemption(world);
-      return DAY_MS + RECOVERY_MS;
+    draw: (simulation, seed) => {
+      drawRun(simulation, RUN_MS, seed % 2 === 0 ? 0 : 4, { jobs: 2, maxTasks: 2, machines: 4 });
+      drawPreemption(simulation);
+      return RUN_MS + RECOVERY_MS;
     },
   },
   sharing: {
     seeds: [701, 702, 703, 704],
     options: () => ({ sharing: true, copies: true }),
-    draw: (world) => drawDay(world, 8, PRODUCTION_FAULTS),
+    draw: (simulation) => drawStandardRun(simulation, 8, PRODUCTION_FAULTS),
   },
   'sharing-meetings': {
     seeds: [801, 802],
@@ -162,23 +165,23 @@
   },
 };
 
-export interface SeededDay {
+export interface SeededRun {
   readonly seed: number;
   readonly kind: string;
 }
 
-/** All days, in the order in which they are recorded. */
-export const SEEDED_DAYS: readonly SeededDay[] = Object.entries(DAY_KINDS).flatMap(([kind, { seeds }]) =>
+/** All simulated runs, in the order in which they are recorded. */
+export const SEEDED_RUNS: readonly SeededRun[] = Object.entries(RUN_KINDS).flatMap(([kind, { seeds }]) =>
   seeds.map((seed) => ({ seed, kind })),
 );
 
-/** Simulates a day and returns its line of the record. `onLine` is called with each message, in order. */
-export async function fingerprintDay(
-  { seed, kind }: SeededDay,
+/** Simulates a run and returns its line of the record. `onLine` is called with each line of the traffic, in order. */
+export async function fingerprintRun(
+  { seed, kind }: SeededRun,
   onLine: (line: string) => void = () => undefined,
 ): Promise<string> {
-  const dayKind = DAY_KINDS[kind];
-  if (dayKind === undefined) throw new RangeError(`unknown kind of day: ${kind}`);
+  const runKind = RUN_KINDS[kind];
+  if (runKind === undefined) throw new RangeError(`unknown kind of day: ${kind}`);
   const hash = createHash('sha256');
   let lines = 0;
   let now = (): number => 0;
@@ -188,20 +191,20 @@
     lines += 1;
     onLine(line);
   };
-  const world = new Simulation(seeded(seed), {
+  const simulation = new Simulation(seeded(seed), {
     sharing: false,
-    ...dayKind.options?.(seed),
+    ...runKind.options?.(seed),
     onMessage: hashMessage,
   });
-  now = () => world.clock.now;
+  now = () => simulation.clock.now;
   const hashStatus = (): void => {
-    for (const page of world.statusPages()) hashMessage('page', 'operators', JSON.stringify(page));
-    hashMessage('ready', 'balancer', JSON.stringify(world.ready()));
-    world.clock.in(STATUS_INTERVAL_MS, hashStatus);
+    for (const page of simulation.statusPages()) hashMessage('page', 'operators', JSON.stringify(page));
+    hashMessage('ready', 'balancer', JSON.stringify(simulation.ready()));
+    simulation.clock.in(STATUS_INTERVAL_MS, hashStatus);
   };
-  world.clock.in(STATUS_INTERVAL_MS, hashStatus);
-  await world.clock.runUntil(dayKind.draw(world, seed));
-  for (const [key, { value, modRevision }] of [...world.state.keys].sort(([a], [b]) => (a < b ? -1 : 1)))
+  simulation.clock.in(STATUS_INTERVAL_MS, hashStatus);
+  await simulation.clock.runUntil(runKind.draw(simulation, seed));
+  for (const [key, { value, modRevision }] of [...simulation.state.keys].sort(([a], [b]) => (a < b ? -1 : 1)))
     hashMessage('state', 'end', `${key} ${modRevision} ${JSON.stringify(value)}`);
   return `${seed} ${kind} ${lines} ${hash.digest('hex')}`;
 }
--- a/test/simulated-runs.test.ts
+++ b/test/simulated-runs.test.ts
@@ -4,35 +4,36 @@
 import { Checker } from './emulators/checker.js';
 import { drawRun, seeded, TIGHT, Simulation, type RunSize } from './emulators/simulation.js';
 
-const DAY_MS = 90_000;
-/** Time after the last fault: enough for every lease, boot and termination of a machine, in milliseconds. */
+/** The time over which `drawRun` spreads submissions and faults, in milliseconds. */
+const RUN_MS = 90_000;
+/** How long a run continues after that: enough for every lease, boot and termination of a machine, in milliseconds. */
 const RECOVERY_MS = 150_000;
 
-async function simulateDay(
+async function simulateRun(
   seed: number,
   faults: number,
   cpusMax: number,
   size?: RunSize,
 ): Promise<Simulation> {
-  const world = new Simulation(seeded(seed), { cpusMax, copies: size?.onCall === true });
-  drawRun(world, DAY_MS, faults, size);
-  await world.clock.runUntil(DAY_MS + RECOVERY_MS);
-  // The faults are taken to be over 40 s after the end of the day; from then on requests must be answered.
-  if (size?.onCall === true) world.checker.checkUnanswered(DAY_MS + 40_000, DAY_MS + RECOVERY_MS);
-  return world;
+  const simulation = new Simulation(seeded(seed), { cpusMax, copies: size?.onCall === true });
+  drawRun(simulation, RUN_MS, faults, size);
+  await simulation.clock.runUntil(RUN_MS + RECOVERY_MS);
+  // The faults are taken to be over 40 s after RUN_MS; from then on requests must be answered.
+  if (size?.onCall === true) simulation.checker.checkUnanswered(RUN_MS + 40_000, RUN_MS + RECOVERY_MS);
+  return simulation;
 }
 
 test('without faults every job completes and no rule is violated', async () => {
-  const world = await simulateDay(1, 0, 0);
-  expect(world.checker.violations).toEqual([]);
-  expect(world.checker.unfinishedJobs()).toEqual([]);
-  expect(world.checker.started).toBeGreaterThan(20);
+  const simulation = await simulateRun(1, 0, 0);
+  expect(simulation.checker.violations).toEqual([]);
+  expect(simulation.checker.unfinishedJobs()).toEqual([]);
+  expect(simulation.checker.started).toBeGreaterThan(20);
 });
 
 test('a team at its quota never exceeds it and completes all its jobs', async () => {
-  const world = await simulateDay(2, 0, 6);
-  expect(world.checker.violations).toEqual([]);
-  expect(world.checker.unfinishedJobs()).toEqual([]);
+  const simulation = await simulateRun(2, 0, 6);
+  expect(simulation.checker.violations).toEqual([]);
+  expect(simulation.checker.unfinishedJobs()).toEqual([]);
 });
 
 test('under faults of every kind no rule is violated and every accepted job ends', async () => {
@@ -41,9 +42,9 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 3, max: 14 }),
       async (seed, faults) => {
-        const world = await simulateDay(seed, faults, seed % 2 === 0 ? 0 : 16);
-        expect(world.checker.violations).toEqual([]);
-        expect(world.checker.unfinishedJobs()).toEqual([]);
+        const simulation = await simulateRun(seed, faults, seed % 2 === 0 ? 0 : 16);
+        expect(simulation.checker.violations).toEqual([]);
+        expect(simulation.checker.unfinishedJobs()).toEqual([]);
       },
     ),
     { seed: 7, numRuns: Number(process.env['DAYS'] ?? 25), endOnFailure: true },
@@ -53,11 +54,11 @@
 // At this size the chunks of one job, the transactions and the takeovers hold hundreds of claims; smaller runs never
 // fill them.
 test('with 160 machines, thousands of tasks and faults no rule is violated', async () => {
-  const world = await simulateDay(11, 10, 0, { jobs: 200, maxTasks: 60, machines: 160 });
-  expect(world.checker.violations).toEqual([]);
-  expect(world.checker.unfinishedJobs()).toEqual([]);
-  expect(world.cloud.peakMachines).toBeGreaterThan(100);
-  expect(world.checker.started).toBeGreaterThan(3000);
+  const simulation = await simulateRun(11, 10, 0, { jobs: 200, maxTasks: 60, machines: 160 });
+  expect(simulation.checker.violations).toEqual([]);
+  expect(simulation.checker.unfinishedJobs()).toEqual([]);
+  expect(simulation.cloud.peakMachines).toBeGreaterThan(100);
+  expect(simulation.checker.started).toBeGreaterThan(3000);
 }, 300_000);
 
 const DAGS: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
@@ -68,9 +69,9 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 0, max: 12 }),
       async (seed, faults) => {
-        const world = await simulateDay(seed, faults, 0, DAGS);
-        expect(world.checker.violations).toEqual([]);
-        expect(world.checker.unfinishedJobs()).toEqual([]);
+        const simulation = await simulateRun(seed, faults, 0, DAGS);
+        expect(simulation.checker.violations).toEqual([]);
+        expect(simulation.checker.unfinishedJobs()).toEqual([]);
       },
     ),
     { seed: 8, numRuns: Number(process.env['DAYS'] ?? 25), endOnFailure: true },
@@ -82,19 +83,20 @@
  * in between; some time after the last restart the limits of the store are reduced.
  */
 async function simulateUpgrade(seed: number, faults: number): Promise<Simulation> {
-  const world = new Simulation(seeded(seed), { limits: TIGHT, earlier: true });
-  const { draw, clock } = world;
+  const simulation = new Simulation(seeded(seed), { limits: TIGHT, earlier: true });
+  const { draw, clock } = simulation;
   const wide: RunSize = { jobs: 12, maxTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
-  drawRun(world, DAY_MS, faults, wide);
-  for (let i = 0; i < 4; i += 1) clock.in(40_000 * draw(), () => world.crash(Math.floor(draw() * 3), 2000));
+  drawRun(simulation, RUN_MS, faults, wide);
+  for (let i = 0; i < 4; i += 1)
+    clock.in(40_000 * draw(), () => simulation.crash(Math.floor(draw() * 3), 2000));
   [2, 0, 1].forEach((node, i) =>
-    clock.in(10_000 + i * (2000 + 10_000 * draw()), () => world.upgrade(node, 4000)),
+    clock.in(10_000 + i * (2000 + 10_000 * draw()), () => simulation.upgrade(node, 4000)),
   );
-  clock.in(45_000 + 20_000 * draw(), () => world.reduceLimits());
+  clock.in(45_000 + 20_000 * draw(), () => simulation.reduceLimits());
   for (let i = 0; i < 4; i += 1)
-    clock.in(45_000 + 25_000 * draw(), () => world.crash(Math.floor(draw() * 3), 2000));
-  await clock.runUntil(DAY_MS + RECOVERY_MS);
-  return world;
+    clock.in(45_000 + 25_000 * draw(), () => simulation.crash(Math.floor(draw() * 3), 2000));
+  await clock.runUntil(RUN_MS + RECOVERY_MS);
+  return simulation;
 }
 
 test('upgrades under load with leaders of both versions, then smaller limits, violate no rule', async () => {
@@ -103,11 +105,11 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 0, max: 6 }),
       async (seed, faults) => {
-        const world = await simulateUpgrade(seed, faults);
-        expect(world.checker.violations).toEqual([]);
-        expect(world.checker.unfinishedJobs()).toEqual([]);
+        const simulation = await simulateUpgrade(seed, faults);
+        expect(simulation.checker.violations).toEqual([]);
+        expect(simulation.checker.unfinishedJobs()).toEqual([]);
         // No claim records are left, neither those of the earlier version nor those of ended jobs.
-        expect([...world.state.keys.keys()].filter((key) => key.startsWith('run/'))).toEqual([]);
+        expect([...simulation.state.keys.keys()].filter((key) => key.startsWith('run/'))).toEqual([]);
       },
     ),
     { seed: 9, numRuns: Number(process.env['DAYS'] ?? 12), endOnFailure: true },
@@ -122,10 +124,10 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 2, max: 14 }),
       async (seed, faults) => {
-        const world = await simulateDay(seed, faults, 0, PRODUCTION_FAULTS);
-        expect(world.checker.violations).toEqual([]);
-        expect(world.checker.unfinishedJobs()).toEqual([]);
-        expect(world.checker.underserved((id) => world.faultyJobs.has(id))).toEqual([]);
+        const simulation = await simulateRun(seed, faults, 0, PRODUCTION_FAULTS);
+        expect(simulation.checker.violations).toEqual([]);
+        expect(simulation.checker.unfinishedJobs()).toEqual([]);
+        expect(simulation.checker.underserved((id) => simulation.faultyJobs.has(id))).toEqual([]);
       },
     ),
     {
