--- a/test/emulators/checker.ts
+++ b/test/emulators/checker.ts
@@ -1,6 +1,6 @@
 /**
- * Checks every rule of the protocol using only the responses to users and the tasks that run on machines.
- * It is independent of the implementation of the service.
+ * Checks every rule of the protocol using only what can be observed from outside: the responses to users, the
+ * commands to workers and the tasks that run on machines. It is independent of the implementation of the service.
  */
 import { asObject } from '../../src/core/values.js';
 
@@ -67,7 +67,7 @@
   /** Jobs that can never run or lack a required field: no controller may accept them. */
   readonly #invalidJobs = new Set<string>();
   started = 0;
-  /** Tasks that workers killed at lease expiry. */
+  /** Number of tasks that workers killed at lease expiry. */
   expiredTasks = 0;
 
   constructor(
@@ -186,9 +186,12 @@
   /** Records that a controller has commanded a worker to start tasks of these jobs. */
   recordCommands(starts: readonly string[], now: number): void {
     for (const id of starts) {
-      const at = this.#historyOf(id).cancelledAt;
-      if (at !== null && now > at + MAX_CANCELLATION_LAG_MS)
-        this.#violate('started_cancelled', `${id}, ${(now - at).toFixed(0)} ms after it was confirmed`);
+      const cancelledAt = this.#historyOf(id).cancelledAt;
+      if (cancelledAt !== null && now > cancelledAt + MAX_CANCELLATION_LAG_MS)
+        this.#violate(
+          'started_cancelled',
+          `${id}, ${(now - cancelledAt).toFixed(0)} ms after it was confirmed`,
+        );
     }
   }
 
@@ -274,21 +277,24 @@
   }
 
   #checkCancelled(job: string, task: number, now: number): void {
-    const at = this.#historyOf(job).cancelledAt;
-    if (at !== null && now > at + this.cancelMs) this.#violate('ran_cancelled', `${job}/${task}`);
+    const cancelledAt = this.#historyOf(job).cancelledAt;
+    if (cancelledAt !== null && now > cancelledAt + this.cancelMs)
+      this.#violate('ran_cancelled', `${job}/${task}`);
   }
 
   recordTaskEnd(job: string, task: number, machine: string, completed: boolean, now: number): void {
-    const at = this.#placed.findIndex((on) => on.job === job && on.task === task && on.machine === machine);
-    if (at < 0) return;
-    this.#placed.splice(at, 1);
+    const index = this.#placed.findIndex(
+      (placed) => placed.job === job && placed.task === task && placed.machine === machine,
+    );
+    if (index < 0) return;
+    this.#placed.splice(index, 1);
     if (completed) this.#historyOf(job).done.add(task);
     this.#checkCancelled(job, task, now);
   }
 
   /** Number of tasks on machines, of one job or of all. */
   placedTasks(job?: string): number {
-    return this.#placed.filter((on) => job === undefined || on.job === job).length;
+    return this.#placed.filter((placed) => job === undefined || placed.job === job).length;
   }
 
   /** Call periodically: reports cancelled tasks that should have stopped by now. */
@@ -298,7 +304,7 @@
       if (!isPaused(machine)) this.#checkCancelled(job, task, now);
   }
 
-  /** After the last fault, reads of an accepted job must be answered within a bound. */
+  /** After the last fault, requests about an accepted job must be answered within MAX_UNANSWERED_MS. */
   checkUnanswered(faultsEndedAt: number, now: number): void {
     for (const [id, { accepted, requestedAt, answeredAt }] of this.#histories) {
       const unanswered = now - Math.max(answeredAt, faultsEndedAt);
--- a/test/emulators/cloud.ts
+++ b/test/emulators/cloud.ts
@@ -62,7 +62,7 @@
   readonly onTaskCompleted?: (job: string) => void;
 }
 
-/** Emulator of a worker's agent: heartbeats, lease, tasks. */
+/** Emulator of a worker: heartbeats, lease, tasks. */
 export class Worker {
   session = 1;
   heartbeatSequence = 0;
@@ -131,7 +131,7 @@
     this.tasks.clear();
   }
 
-  /** Pauses the machine; its tasks then continue, or are killed at lease expiry. */
+  /** Pauses the machine; when it resumes its tasks continue, or are killed if its lease has expired. */
   pause(ms: number): void {
     const { now } = this.network.clock;
     if (this.pausedUntil < now) this.pausedFrom = now;
@@ -170,7 +170,7 @@
     const requestNumber = ++this.#requestNumber;
     const body = JSON.parse(JSON.stringify(this.heartbeatBody())) as unknown;
     let isFinished = false;
-    const next = (ms: number): void => {
+    const sendNextAfter = (ms: number): void => {
       isFinished = true;
       const round = ++this.#timerRound;
       clock.in(ms, () => {
@@ -180,7 +180,7 @@
     clock.in(4000, () => {
       if (isFinished || requestNumber !== this.#requestNumber) return;
       this.#tryNextNode();
-      next(1000);
+      sendNextAfter(1000);
     });
     const duplicate = this.environment.copy();
     if (duplicate !== null)
@@ -188,7 +188,7 @@
     // The machine cannot open connections: the heartbeat is not sent, so onHeartbeatSent is not called.
     if (this.network.isOutboundBlocked(this.listed.name)) {
       this.#tryNextNode();
-      next(1000);
+      sendNextAfter(1000);
       return;
     }
     this.environment.onHeartbeatSent?.((to) => this.deliver(to, body, () => undefined));
@@ -215,10 +215,10 @@
               response?.['conductor'] !== node
             ) {
               this.#node = String(response?.['conductor']);
-              next(250);
+              sendNextAfter(250);
             } else {
               this.#tryNextNode();
-              next(1000);
+              sendNextAfter(1000);
             }
           }),
         );
@@ -284,7 +284,7 @@
   }
 
   /** Executes commands that a leader sends directly, once the machine is awake, and replies with a heartbeat. */
-  handleDirectCommands(body: unknown, reply: (report: unknown) => void): void {
+  handleDirectCommands(body: unknown, reply: (heartbeat: unknown) => void): void {
     this.#whenAwake(() => {
       const raw = asObject(body);
       if (Number(raw?.['baton']) >= this.token && raw?.['watch'] === this.session) {
@@ -301,7 +301,7 @@
   readonly workers = new Map<string, Worker>();
   readonly #machines = new Map<
     string,
-    { readonly listed: ListedMachine; readonly rentedAt: number; upAt: number }
+    { readonly listed: ListedMachine; readonly provisionedAt: number; upAt: number }
   >();
   readonly #provisioned = new Map<string, string[]>();
   #nextMachineNumber = 0;
@@ -336,7 +336,7 @@
         stage: 'booting',
         ageS: 0,
       };
-      const machine = { listed, rentedAt: this.network.clock.now, upAt: Infinity };
+      const machine = { listed, provisionedAt: this.network.clock.now, upAt: Infinity };
       this.#machines.set(name, machine);
       names.push(name);
       const bootQuickly = this.#quickBootUntil > this.network.clock.now;
@@ -379,11 +379,11 @@
   list(): ListedMachine[] {
     const { now } = this.network.clock;
     return [...this.#machines.values()]
-      .filter(({ rentedAt }) => now - rentedAt > this.listLagMs)
-      .map(({ listed, rentedAt, upAt }) => ({
+      .filter(({ provisionedAt }) => now - provisionedAt > this.listLagMs)
+      .map(({ listed, provisionedAt, upAt }) => ({
         ...listed,
         stage: now - upAt >= this.stageLagMs ? ('running' as const) : ('booting' as const),
-        ageS: (now - rentedAt) / 1000,
+        ageS: (now - provisionedAt) / 1000,
       }));
   }
 
--- a/test/emulators/election-explorer.ts
+++ b/test/emulators/election-explorer.ts
@@ -359,7 +359,7 @@
             kind: 'transferLeadership',
             to: NODES.find((name) => name !== node.election.node) as string,
           });
-        // Fires each pending timer once, and then serves all other requests until none is left.
+        // Fires each pending timer once, and then serves the other requests, at most 40, until none is left.
         for (let left = node.pending.length; left > 0; left -= 1) {
           const at = node.pending.findIndex(({ kind }) => kind === 'wait');
           if (at < 0) break;
@@ -461,7 +461,7 @@
       ],
       pending.map((request) => [
         request.kind,
-        // All that matters of a round is whether the node still waits for it.
+        // Which of the node's current rounds it is; -1 if the node no longer waits for it.
         'round' in request
           ? [election.round, election.renewalRound, election.leaderWatchRound].indexOf(request.round)
           : null,
@@ -514,10 +514,10 @@
   for (let depth = 0; depth < bounds.depth && level.length > 0; depth += 1) {
     const nextLevel: [string, ModelState][] = [];
     for (const [from, state] of level) {
-      for (const [name, after] of explorer.successors(state, bounds.faults)) {
+      for (const [description, after] of explorer.successors(state, bounds.faults)) {
         const key = stateKey(after);
         if (seen.has(key) && explorer.violations.length === 0) continue;
-        seen.set(key, [from, name]);
+        seen.set(key, [from, description]);
         const found = checkState(key, after);
         if (found !== null) return found;
         if (seen.size >= bounds.states) return { states: seen.size, violations: [], path: [] };
--- a/test/emulators/simulation.ts
+++ b/test/emulators/simulation.ts
@@ -10,7 +10,7 @@
 import { ProcessClock, VirtualClock } from './clock.js';
 import { CloudEmulator, TYPES, Worker } from './cloud.js';
 import { Network, type Draw, type MessageListener } from './network.js';
-import { EarlierStateClient, StateClient, StateEmulator } from './state.js';
+import { EarlierStoreClient, StoreClient, StateEmulator } from './state.js';
 
 export const NODES = ['n-0', 'n-1', 'n-2'];
 const ZONES = ['a', 'b', 'a'];
@@ -62,7 +62,7 @@
   acceptsHeartbeats: false,
 };
 
-/** With SHARING in the environment every simulation shares heartbeats among controllers. */
+/** With SHARING in the environment, followers accept heartbeats in all simulations without the option `sharing`. */
 const ALWAYS_SHARES = process.env['SHARING'] !== undefined;
 
 /** Deviations from the default simulation. */
@@ -120,7 +120,7 @@
   dropsIntake = false;
   readonly #cancellationsRequested = new Set<string>();
   readonly #submissions = new Map<string, object>();
-  /** The last stage of each job that caused reads after writes: the first one reported, then done or withdrawn. */
+  /** By job: the stage that last caused reads after writes, which is the first stage reported, or `done` or `withdrawn`. */
   readonly #notedStages = new Map<string, string>();
   #readAfterWritesUntil = 0;
   #invalidRequestsUntil = 0;
@@ -279,7 +279,7 @@
   #invalidJobs(): [string, object][] {
     const [valid] = this.#submissions.values();
     if (valid === undefined) return [];
-    const faults: object[] = [
+    const invalidFields: object[] = [
       { cores: 64 },
       { memGb: 1000 },
       { benches: ['large'] },
@@ -296,9 +296,9 @@
       { urgency: 'soon' },
       ...(this.cpusMax > 0 ? [{ form: 'service', cores: 1, movements: Math.floor(this.cpusMax) + 1 }] : []),
     ];
-    return faults.map((fault) => {
+    return invalidFields.map((fields) => {
       const nameId = `req-7${String(this.#invalidCount++).padStart(6, '0')}`;
-      return [nameId, { ...valid, hall: null, awaits: null, ...fault, nameId }];
+      return [nameId, { ...valid, hall: null, awaits: null, ...fields, nameId }];
     });
   }
 
@@ -382,7 +382,7 @@
     const name = NODES[nodeIndex] ?? '';
     const settings = testSettings(nodeIndex, this.cpusMax, this.options.limits);
     const earlier = this.#nodesOfEarlierVersion.has(nodeIndex);
-    const Client = earlier ? EarlierStateClient : StateClient;
+    const Client = earlier ? EarlierStoreClient : StoreClient;
     const clock = new ProcessClock(this.clock, 1 + 0.001 * (this.draw() - 0.5), 200 * (this.draw() - 0.5));
     const cloudClient = this.cloud.clientFor(name);
     const node = new ControllerNode(settings, {
@@ -656,8 +656,8 @@
  * Submits the jobs of one DAG, each when its dependencies are accepted: a chain with branches. One of the jobs may
  * be cancelled, and any but the first may be submitted up to 15 s late.
  */
-export async function submitDag(world: Simulation, index: number, maxTasks: number): Promise<void> {
-  const { draw, clock } = world;
+export async function submitDag(simulation: Simulation, index: number, maxTasks: number): Promise<void> {
+  const { draw, clock } = simulation;
   const ids: string[] = [];
   const length = 2 + Math.floor(draw() * 5);
   const cancelled = draw() < 0.4 ? Math.floor(draw() * length) : -1;
@@ -670,14 +670,14 @@
     const tasks = 1 + Math.floor(draw() * Math.min(6, maxTasks));
     const placement = { spot: draw() < 0.7, zone: null, oneZone: false, spread: false };
     const job: SubmittedJob = { id, team: 'crew', tasks, cpus: 1, memoryGb: 1, ...placement, awaits };
-    void world.user(job, i === cancelled ? 20_000 * draw() : null);
-    while (!world.accepted.has(id)) await clock.sleep(100);
+    void simulation.user(job, i === cancelled ? 20_000 * draw() : null);
+    while (!simulation.accepted.has(id)) await clock.sleep(100);
   }
 }
 
 /** Draws a run: job arrivals, and faults of every kind that the protocol names. */
-export function drawRun(world: Simulation, lengthMs: number, faults: number, size = SMALL_RUN): void {
-  const { draw, clock, network, state, cloud } = world;
+export function drawRun(simulation: Simulation, lengthMs: number, faults: number, size = SMALL_RUN): void {
+  const { draw, clock, network, state, cloud } = simulation;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
   cloud.capacity = size.machines;
   for (let i = 0; i < size.jobs; i += 1) {
@@ -696,18 +696,18 @@
     const cancelAfter = draw() < 0.3 ? 20_000 * draw() : null;
     clock.in(lengthMs * 0.7 * draw(), () => {
       // The user of a faulty job cancels it after 90 s.
-      void world.user(job, world.faultyJobs.has(id) ? 90_000 : cancelAfter);
+      void simulation.user(job, simulation.faultyJobs.has(id) ? 90_000 : cancelAfter);
     });
   }
   for (let i = 0; i < (size.pipelines ?? 0); i += 1)
     clock.in(
       (size.pipelinesFromMs ?? 0) + lengthMs * 0.6 * draw(),
-      () => void submitDag(world, i, size.maxTasks),
+      () => void submitDag(simulation, i, size.maxTasks),
     );
   const hosts = (): string[] => [...NODES, 'state', 'cloud', ...cloud.workers.keys()];
   const injections: (() => void)[] = [
-    () => world.crash(Math.floor(draw() * 3), 1000 + 5000 * draw()),
-    () => NODES.forEach((_, i) => world.crash(i, 4000)),
+    () => simulation.crash(Math.floor(draw() * 3), 1000 + 5000 * draw()),
+    () => NODES.forEach((_, i) => simulation.crash(i, 4000)),
     () => network.partition(pick(NODES), 'state', 20_000 * draw()),
     () => network.partition(pick(NODES), 'cloud', 20_000 * draw()),
     () => state.outage(15_000 * draw()),
@@ -742,24 +742,24 @@
         if (host !== isolated) network.partition(isolated, host, forMs);
     },
     () => (cloud.unavailableUntil = clock.now + 15_000 * draw()),
-    () => world.refusePeers(40_000 * draw()),
-    () => world.pause(Math.floor(draw() * 3), 10_000 * draw()),
+    () => simulation.refusePeers(40_000 * draw()),
+    () => simulation.pause(Math.floor(draw() * 3), 10_000 * draw()),
   ];
   const productionInjections: (() => void)[] = [
     () => network.blockInbound(pick([...cloud.workers.keys()]) ?? '', 40_000 * draw()),
     () => {
       for (const name of cloud.workers.keys()) if (draw() < 0.4) network.blockInbound(name, 20_000 * draw());
     },
-    () => world.crash(Math.floor(draw() * 3), 20 + 80 * draw()),
+    () => simulation.crash(Math.floor(draw() * 3), 20 + 80 * draw()),
     () => {
       // One node crashes and restarts four times in a row, and another once during that time.
       const node = Math.floor(draw() * 3);
-      for (let i = 0; i < 4; i += 1) clock.in(700 * i, () => world.crash(node, 20 + 80 * draw()));
-      clock.in(1000 * draw(), () => world.crash((node + 1) % 3, 20 + 80 * draw()));
+      for (let i = 0; i < 4; i += 1) clock.in(700 * i, () => simulation.crash(node, 20 + 80 * draw()));
+      clock.in(1000 * draw(), () => simulation.crash((node + 1) % 3, 20 + 80 * draw()));
     },
     () => {
       // Isolates the leader from all but the workers: refused by the store, partitioned from peers and cloud.
-      const isolated = pick(world.leaders()) ?? pick(NODES);
+      const isolated = pick(simulation.leaders()) ?? pick(NODES);
       const forMs = 40_000 * draw();
       state.refuse(isolated, forMs);
       for (const other of NODES) if (other !== isolated) network.partition(isolated, other, forMs);
@@ -780,17 +780,17 @@
       };
       const id = `req-${String(500_000 + i)}`;
       const array = { id, team: 'crew', tasks: size.jobs, cpus: pick([2, 4]), memoryGb: 2, ...placement };
-      clock.in(lengthMs * 0.4 * draw(), () => void world.user(array, null));
+      clock.in(lengthMs * 0.4 * draw(), () => void simulation.user(array, null));
     }
     // For 15 s users poll many times as often.
     const pollOften = (untilMs: number): void => {
-      for (const id of world.accepted) if (draw() < 0.3) void world.ask(id);
+      for (const id of simulation.accepted) if (draw() < 0.3) void simulation.ask(id);
       if (clock.now < untilMs) clock.in(100, () => pollOften(untilMs));
     };
     clock.in(lengthMs * 0.6 * draw(), () => pollOften(clock.now + 15_000));
     injections.push(...productionInjections, ...productionInjections);
     for (let i = 0; i < size.jobs; i += 1)
-      if (draw() < 0.12) world.faultyJobs.add(`req-${String(i).padStart(6, '0')}`);
+      if (draw() < 0.12) simulation.faultyJobs.add(`req-${String(i).padStart(6, '0')}`);
   }
   for (let i = 0; i < faults; i += 1) clock.in(5000 + lengthMs * 0.8 * draw(), () => pick(injections)());
 }
--- a/test/emulators/state.ts
+++ b/test/emulators/state.ts
@@ -294,38 +294,38 @@
 }
 
 /** The connection of one node to the store. */
-export class StateClient implements KeyValueStore {
+export class StoreClient implements KeyValueStore {
   #lastContactAt: number | null = null;
 
   constructor(
     private readonly node: string,
-    private readonly service: StateEmulator,
+    private readonly store: StateEmulator,
     private readonly timeoutMs: number,
     private readonly clock: { monotonicMs(): number; awake(call: () => void): void },
   ) {}
 
-  /** Resolves while the process runs: later if it is paused, never if it has ended. */
+  /** Resolves immediately, or when a paused process resumes; never after the process has ended. */
   #whenAwake<T>(response: T): Promise<T> {
     return new Promise((resolve) => this.clock.awake(() => resolve(response)));
   }
 
   async #request<T>(request: string, serve: () => T, isResponseLost = false): Promise<T | 'down' | null> {
-    this.service.network.onMessage?.(this.node, 'state', request);
+    this.store.network.onMessage?.(this.node, 'state', request);
     const sentAt = this.clock.monotonicMs();
-    const response = await this.service.network.request<T | 'down'>(
+    const response = await this.store.network.request<T | 'down'>(
       this.node,
       'state',
       this.timeoutMs,
       (reply) => {
-        const { clock } = this.service.network;
+        const { clock } = this.store.network;
         const handle = (): void => {
-          const result = this.service.isDown(this.node) ? 'down' : serve();
+          const result = this.store.isDown(this.node) ? 'down' : serve();
           if (isResponseLost) return;
-          const delayMs = this.service.responseDelayMs();
+          const delayMs = this.store.responseDelayMs();
           if (delayMs > 0) clock.in(delayMs, () => reply(result));
           else reply(result);
         };
-        const delayMs = this.service.responseDelayMs();
+        const delayMs = this.store.responseDelayMs();
         if (delayMs > 0) clock.in(delayMs, handle);
         else handle();
       },
@@ -344,25 +344,25 @@
   }
 
   async read(key: string): Promise<ReadResult> {
-    const response = await this.#request(`read ${key}`, () => ({ entry: this.service.read(key) }));
+    const response = await this.#request(`read ${key}`, () => ({ entry: this.store.read(key) }));
     return response === null || response === 'down' ? 'unknown' : response;
   }
 
   async list(prefix: string): Promise<{ entries: Entry[]; revision: number } | 'unknown'> {
     const response = await this.#request(`list ${prefix}`, () => ({
-      entries: this.service.list(prefix),
-      revision: this.service.revision,
+      entries: this.store.list(prefix),
+      revision: this.store.revision,
     }));
     return response === null || response === 'down' ? 'unknown' : response;
   }
 
   async commit(txn: Transaction): Promise<CommitResult> {
-    const delayMs = this.service.transactionDelayMs(txn);
+    const delayMs = this.store.transactionDelayMs(txn);
     if (delayMs !== null) return this.#commitDelayed(txn, delayMs);
-    const isResponseLost = this.service.losesResponse(txn);
+    const isResponseLost = this.store.losesResponse(txn);
     const response = await this.#request(
       `transaction ${encodeTransaction(txn)}`,
-      () => (isResponseLost ? this.service.commitWithoutResponse(txn) : this.service.commit(txn)),
+      () => (isResponseLost ? this.store.commitWithoutResponse(txn) : this.store.commit(txn)),
       isResponseLost,
     );
     if (response === null) return { kind: 'unknown' };
@@ -370,13 +370,13 @@
   }
 
   async #commitDelayed(txn: Transaction, afterMs: number): Promise<CommitResult> {
-    const { clock, onMessage } = this.service.network;
+    const { clock, onMessage } = this.store.network;
     onMessage?.(this.node, 'state', `transaction ${encodeTransaction(txn)}`);
     // Values cross the wire: later changes to the caller's object must not affect the transaction.
     const sent = JSON.parse(JSON.stringify(txn)) as Transaction;
     const apply = (): void => {
-      if (this.service.isDown(this.node)) clock.in(500, apply);
-      else this.service.commitDelayed(sent);
+      if (this.store.isDown(this.node)) clock.in(500, apply);
+      else this.store.commitDelayed(sent);
     };
     clock.in(afterMs, apply);
     await clock.sleep(this.timeoutMs);
@@ -385,13 +385,13 @@
 
   async watch(prefix: string, after: number, waitMs: number): Promise<WatchResult> {
     const sentAt = this.clock.monotonicMs();
-    this.service.network.onMessage?.(this.node, 'state', `watch ${prefix} ${after} ${waitMs}`);
-    const result = await this.service.network.request<WatchResult>(
+    this.store.network.onMessage?.(this.node, 'state', `watch ${prefix} ${after} ${waitMs}`);
+    const result = await this.store.network.request<WatchResult>(
       this.node,
       'state',
       waitMs + this.timeoutMs,
       (reply) => {
-        this.service.watch(prefix, after, waitMs, () => this.service.isDown(this.node), reply);
+        this.store.watch(prefix, after, waitMs, () => this.store.isDown(this.node), reply);
       },
     );
     if (result !== null) this.#lastContactAt = Math.max(this.#lastContactAt ?? sentAt, sentAt);
@@ -399,30 +399,28 @@
   }
 
   async changesSince(prefix: string, after: number): Promise<WatchResult> {
-    const response = await this.#request(`changes ${prefix} ${after}`, () =>
-      this.service.since(prefix, after),
-    );
+    const response = await this.#request(`changes ${prefix} ${after}`, () => this.store.since(prefix, after));
     return response === null || response === 'down' ? { kind: 'unknown' } : response;
   }
 
   async grant(ttlMs: number): Promise<number | null> {
     const response = await this.#request(
       `grant ${ttlMs}`,
-      () => this.service.grant(ttlMs),
-      this.service.losesResponse(),
+      () => this.store.grant(ttlMs),
+      this.store.losesResponse(),
     );
     return response === 'down' ? null : response;
   }
 
   async revoke(lease: number): Promise<void> {
-    await this.#request(`revoke ${lease}`, () => this.service.revoke(lease), this.service.losesResponse());
+    await this.#request(`revoke ${lease}`, () => this.store.revoke(lease), this.store.losesResponse());
   }
 
   async renew(lease: number): Promise<boolean | null> {
     const response = await this.#request(
       `renew ${lease}`,
-      () => this.service.renew(lease),
-      this.service.losesResponse(),
+      () => this.store.renew(lease),
+      this.store.losesResponse(),
     );
     return response === 'down' ? null : response;
   }
@@ -447,7 +445,7 @@
 }
 
 /** The store client of a version without DAG dependencies: it sees no later keys or fields. */
-export class EarlierStateClient extends StateClient {
+export class EarlierStoreClient extends StoreClient {
   override async read(key: string): Promise<ReadResult> {
     if (LATER_KEYS.test(key)) return { entry: null };
     const read = await super.read(key);
