--- a/lab/addresses.ts
+++ b/lab/addresses.ts
@@ -5,11 +5,11 @@
 const PUBLIC_PORT = 21_000;
 const PEER_PORT = 21_100;
 const CLOUD_PORT = 21_200;
-const STATE_PORT = 21_300;
+const STORE_PORT = 21_300;
 const WORKER_PORT = 21_400;
-/** Workers listen on 127.32.0.0 and up; controllers reach the state service at 127.16.0.1 and up. */
+/** Workers listen on 127.32.0.0 and up; controllers reach the key-value store at 127.16.0.1 and up. */
 const WORKER_NETWORK = 32;
-const STATE_NETWORK = 16;
+const STORE_NETWORK = 16;
 const HOSTS_PER_BLOCK = 250;
 
 export const publicAddress = (controller: number): { host: string; port: number } => ({
@@ -18,9 +18,9 @@
 });
 export const peerAddress = (controller: number): string => `${LOOPBACK}:${PEER_PORT + controller}`;
 export const cloudAddress = { host: LOOPBACK, port: CLOUD_PORT };
-export const statePort = STATE_PORT;
-/** The state service has one address per controller, so that it can refuse a single controller. */
-export const stateHost = (controller: number): string => `127.${STATE_NETWORK}.0.${controller + 1}`;
+export const storePort = STORE_PORT;
+/** The key-value store has one address per controller, so that it can refuse a single controller. */
+export const storeHost = (controller: number): string => `127.${STORE_NETWORK}.0.${controller + 1}`;
 
 /** The address of the n-th machine's worker. */
 export function workerAddress(index: number): string {
--- a/lab/clock.ts
+++ b/lab/clock.ts
@@ -1,4 +1,4 @@
-/** One monotonic clock for all processes of the machine, so that their events can be put in one order. */
+/** Monotonic time that all processes of the lab share, so that their events can be put in one order. */
 
 const NANOSECONDS_PER_MS = 1e6;
 
--- a/lab/controllers.ts
+++ b/lab/controllers.ts
@@ -1,7 +1,7 @@
 /** Real controllers as processes: writes their settings, starts and kills them, and reads their status. */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { cloudAddress, peerAddress, publicAddress, stateHost, statePort } from './addresses.js';
+import { cloudAddress, peerAddress, publicAddress, storeHost, storePort } from './addresses.js';
 import { JsonClient } from './emulator/http.js';
 import type { Processes } from './processes.js';
 import type { Scenario } from './scenario.js';
@@ -121,7 +121,7 @@
       ),
       endpoints: {
         cloud: `${cloudAddress.host}:${cloudAddress.port}`,
-        state: `${stateHost(index)}:${statePort}`,
+        state: `${storeHost(index)}:${storePort}`,
       },
       cluster: {
         count: names.length,
--- a/lab/emulator/cloud.ts
+++ b/lab/emulator/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud emulator: rents, boots, lists and takes back machines over HTTP. */
+/** The cloud emulator: rents out, boots, lists and terminates machines over HTTP. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { monotonicMs } from '../clock.js';
 import { answerJson, bytesSince, readJson, TrafficMeter } from './http.js';
@@ -29,7 +29,7 @@
   address(index: number): string;
   /** Called when a machine has booted. */
   onUp(machine: MachineIdentity): void;
-  /** Called when a machine is gone, together with all its tasks. */
+  /** Called when a machine has failed or was terminated; all its tasks end with it. */
   onDown(name: string): void;
 }
 
@@ -37,7 +37,7 @@
   readonly identity: MachineIdentity;
   readonly rentedAt: number;
   readonly upAt: number;
-  diedAt: number | null;
+  failedAt: number | null;
 }
 
 export class Cloud {
@@ -65,7 +65,7 @@
   get running(): MachineIdentity[] {
     const now = monotonicMs();
     return [...this.#machines.values()]
-      .filter(({ upAt, diedAt }) => upAt <= now && diedAt === null)
+      .filter(({ upAt, failedAt }) => upAt <= now && failedAt === null)
       .map(({ identity }) => identity);
   }
 
@@ -75,12 +75,12 @@
     for (let i = 0; i < count; i += 1) this.#add(zones[i % zones.length] ?? '', 0);
   }
 
-  /** Cuts the power of machines: they stay listed until they are returned, for a while still as running. */
+  /** Makes machines fail without notice. They stay listed until they are terminated, at first still as running. */
   kill(names: readonly string[]): void {
     for (const name of names) {
       const machine = this.#machines.get(name);
-      if (machine === undefined || machine.diedAt !== null) continue;
-      machine.diedAt = monotonicMs();
+      if (machine === undefined || machine.failedAt !== null) continue;
+      machine.failedAt = monotonicMs();
       this.setup.onDown(name);
     }
   }
@@ -102,18 +102,18 @@
       spot: true,
     };
     const now = monotonicMs();
-    const machine: Machine = { identity, rentedAt: now, upAt: now + bootMs, diedAt: null };
+    const machine: Machine = { identity, rentedAt: now, upAt: now + bootMs, failedAt: null };
     this.#machines.set(name, machine);
     setTimeout(() => {
-      if (this.#machines.has(name) && machine.diedAt === null) this.setup.onUp(identity);
+      if (this.#machines.has(name) && machine.failedAt === null) this.setup.onUp(identity);
     }, bootMs);
     return name;
   }
 
   #countIn(zone: string): number {
     let count = 0;
-    for (const { identity, diedAt } of this.#machines.values())
-      if (identity.zone === zone && diedAt === null) count += 1;
+    for (const { identity, failedAt } of this.#machines.values())
+      if (identity.zone === zone && failedAt === null) count += 1;
     return count;
   }
 
@@ -128,12 +128,12 @@
     return names;
   }
 
-  #return(names: readonly string[]): void {
+  #terminate(names: readonly string[]): void {
     for (const name of names) {
       const machine = this.#machines.get(name);
       if (machine === undefined) continue;
       this.#machines.delete(name);
-      if (machine.diedAt === null) this.setup.onDown(name);
+      if (machine.failedAt === null) this.setup.onDown(name);
     }
   }
 
@@ -163,7 +163,7 @@
       else answerJson(response, 200, { skiffs: rented });
     } else if (url.pathname === '/machines/return') {
       const { skiffs } = body;
-      this.#return(Array.isArray(skiffs) ? skiffs.map(String) : []);
+      this.#terminate(Array.isArray(skiffs) ? skiffs.map(String) : []);
       answerJson(response, 200, {});
     } else answerJson(response, 404, {});
   }
@@ -192,14 +192,14 @@
       ({ identity, rentedAt, upAt }) =>
         identity.name > after && (upAt === rentedAt || now - rentedAt > this.setup.listLagMs),
     );
-    const skiffs = listed.slice(0, limit).map(({ identity, rentedAt, upAt, diedAt }) => ({
+    const skiffs = listed.slice(0, limit).map(({ identity, rentedAt, upAt, failedAt }) => ({
       nameId: identity.name,
       address: identity.address,
       bench: identity.type,
       hall: identity.zone,
       borrowed: identity.spot,
       stage:
-        diedAt !== null && now - diedAt > FAILED_SHOWN_AFTER_MS
+        failedAt !== null && now - failedAt > FAILED_SHOWN_AFTER_MS
           ? 'failed'
           : now >= upAt
             ? 'running'
--- a/lab/emulator/hollow-worker.ts
+++ b/lab/emulator/hollow-worker.ts
@@ -1,11 +1,11 @@
 /**
- * A worker without a machine: it implements PROTOCOL like a real worker (reports, sessions, fencing tokens, leases,
+ * A worker without a machine: it implements PROTOCOL like a real worker (heartbeats, sessions, fencing tokens, leases,
  * redirects, image fetches, direct commands), and its tasks are timers.
  */
 import type { JobDescription, LabEvent } from '../events.js';
 import { monotonicMs } from '../clock.js';
 
-const MIN_REPORT_GAP_MS = 500;
+const MIN_HEARTBEAT_GAP_MS = 500;
 const RESPONSE_TIMEOUT_MS = 4000;
 const NEXT_CONTROLLER_DELAY_MS = 1000;
 const REDIRECT_DELAY_MS = 500;
@@ -14,7 +14,7 @@
 /** The settings, job descriptions and callbacks that all workers of a process share. */
 export interface WorkerContext {
   readonly controllers: readonly string[];
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
   readonly cpus: number;
   readonly memoryGb: number;
@@ -25,14 +25,14 @@
   job(id: string): JobDescription | undefined;
   runMs(job: JobDescription, task: number): number;
   emit(event: LabEvent): void;
-  noteReport(ms: number): void;
-  noteLapse(): void;
+  recordHeartbeat(ms: number): void;
+  recordLeaseExpiry(): void;
   /** Runs work that belongs to the emulation rather than to the protocol, and measures its time separately. */
   simulate<T>(work: () => T): T;
 }
 
-/** Sends a report over the worker's connection; status 0 means that there was no response. */
-export type SendReport = (
+/** Posts a heartbeat over the worker's connection; status 0 means that there was no response. */
+export type PostHeartbeat = (
   controller: string,
   body: unknown,
   timeoutMs: number,
@@ -75,7 +75,7 @@
   readonly #images = new Map<string, { gb: number; readyAt: number }>();
   #controller: string;
   #leaseFrom = monotonicMs();
-  #reportTimer: NodeJS.Timeout | undefined;
+  #heartbeatTimer: NodeJS.Timeout | undefined;
   #leaseTimer: NodeJS.Timeout | undefined;
   #inFlight = false;
   #changed = false;
@@ -87,12 +87,12 @@
   constructor(
     readonly identity: MachineIdentity,
     private readonly context: WorkerContext,
-    private readonly sendReport: SendReport,
+    private readonly postHeartbeat: PostHeartbeat,
     private readonly draw: () => number,
   ) {
     const { controllers } = context;
     this.#controller = controllers[Math.floor(draw() * controllers.length)] ?? '';
-    this.#scheduleReport(draw() * context.reportMs);
+    this.#scheduleHeartbeat(draw() * context.heartbeatIntervalMs);
     this.#watchLease();
   }
 
@@ -103,11 +103,11 @@
     return live;
   }
 
-  /** Ends the worker because its machine lost power or was returned. */
+  /** Stops the worker because its machine has failed or was terminated. */
   stop(): void {
     if (this.#stopped) return;
     this.#stopped = true;
-    clearTimeout(this.#reportTimer);
+    clearTimeout(this.#heartbeatTimer);
     clearTimeout(this.#leaseTimer);
     this.#killAll(false);
   }
@@ -131,21 +131,21 @@
     else work();
   }
 
-  // --- reports -------------------------------------------------------------------------------------
+  // --- heartbeats ---------------------------------------------------------------------------------
 
-  #scheduleReport(inMs: number): void {
+  #scheduleHeartbeat(inMs: number): void {
     if (this.#stopped) return;
-    clearTimeout(this.#reportTimer);
-    this.#reportTimer = setTimeout(() => this.#runWhenAwake(() => void this.#report()), inMs);
+    clearTimeout(this.#heartbeatTimer);
+    this.#heartbeatTimer = setTimeout(() => this.#runWhenAwake(() => void this.#sendHeartbeat()), inMs);
   }
 
   #noteChange(): void {
     this.#changed = true;
     if (this.#inFlight) return;
-    this.#scheduleReport(Math.max(0, this.#lastSentAt + MIN_REPORT_GAP_MS - monotonicMs()));
+    this.#scheduleHeartbeat(Math.max(0, this.#lastSentAt + MIN_HEARTBEAT_GAP_MS - monotonicMs()));
   }
 
-  /** Builds the next report in the format of PROTOCOL. */
+  /** Builds the next heartbeat in the format of PROTOCOL. */
   body(): object {
     const { name, address, type, zone, spot } = this.identity;
     this.#sequence += 1;
@@ -169,7 +169,7 @@
     };
   }
 
-  async #report(): Promise<void> {
+  async #sendHeartbeat(): Promise<void> {
     if (this.#inFlight || this.#stopped) return;
     this.#checkLease();
     this.#inFlight = true;
@@ -177,7 +177,7 @@
     const sentAt = monotonicMs();
     this.#lastSentAt = sentAt;
     const session = this.#session;
-    const answer = await this.sendReport(this.#controller, this.body(), RESPONSE_TIMEOUT_MS);
+    const answer = await this.postHeartbeat(this.#controller, this.body(), RESPONSE_TIMEOUT_MS);
     this.#runWhenAwake(() => this.#handleResponse(answer, sentAt, session));
   }
 
@@ -197,7 +197,7 @@
       this.#nextController();
       return;
     }
-    this.context.noteReport(monotonicMs() - sentAt);
+    this.context.recordHeartbeat(monotonicMs() - sentAt);
     if (session === this.#session && typeof response.baton === 'number' && response.baton >= this.#token) {
       this.#raiseToken(response.baton);
       this.#leaseFrom = sentAt;
@@ -208,7 +208,7 @@
 
   #scheduleNext(): void {
     if (this.#changed) this.#noteChange();
-    else this.#scheduleReport(this.context.reportMs * (1 - JITTER + 2 * JITTER * this.draw()));
+    else this.#scheduleHeartbeat(this.context.heartbeatIntervalMs * (1 - JITTER + 2 * JITTER * this.draw()));
   }
 
   #redirect(to: unknown): void {
@@ -217,13 +217,13 @@
       return;
     }
     this.#controller = to;
-    this.#scheduleReport(this.draw() * REDIRECT_DELAY_MS);
+    this.#scheduleHeartbeat(this.draw() * REDIRECT_DELAY_MS);
   }
 
   #nextController(): void {
     const { controllers } = this.context;
     this.#controller = controllers[(controllers.indexOf(this.#controller) + 1) % controllers.length] ?? '';
-    this.#scheduleReport(NEXT_CONTROLLER_DELAY_MS);
+    this.#scheduleHeartbeat(NEXT_CONTROLLER_DELAY_MS);
   }
 
   #raiseToken(token: number): void {
@@ -251,33 +251,33 @@
 
   #checkLease(): void {
     if (monotonicMs() - this.#leaseFrom <= this.context.leaseMs) return;
-    this.context.noteLapse();
+    this.context.recordLeaseExpiry();
     this.#killAll(true);
     this.#session += 1;
     this.#leaseFrom = monotonicMs();
     this.#noteChange();
   }
 
-  #killAll(lapsed: boolean): void {
-    for (const task of this.#tasks.values()) this.#endTask(task, false, lapsed);
+  #killAll(leaseExpired: boolean): void {
+    for (const task of this.#tasks.values()) this.#endTask(task, false, leaseExpired);
     this.#tasks.clear();
   }
 
   // --- commands ------------------------------------------------------------------------------------
 
   /** Executes the commands of a direct request (`/do` in PROTOCOL). */
-  direct(body: unknown): { status: number; report: object } {
+  direct(body: unknown): { status: number; heartbeat: object } {
     const { baton, watch, cues } = (body ?? {}) as { baton?: unknown; watch?: unknown; cues?: unknown };
-    if (typeof baton !== 'number' || typeof watch !== 'number') return { status: 400, report: {} };
-    if (baton < this.#token || watch !== this.#session) return { status: 409, report: this.body() };
+    if (typeof baton !== 'number' || typeof watch !== 'number') return { status: 400, heartbeat: {} };
+    if (baton < this.#token || watch !== this.#session) return { status: 409, heartbeat: this.body() };
     const before = this.#token;
     this.#raiseToken(baton);
     this.#execute(cues);
     if (this.#token > before || this.#changed) this.#noteChange();
-    return { status: 200, report: this.body() };
+    return { status: 200, heartbeat: this.body() };
   }
 
-  /** Calls back now, or at the end of a hang. */
+  /** Runs the work now, or at the end of a hang. */
   whenAwake(work: () => void): void {
     this.#runWhenAwake(work);
   }
@@ -397,9 +397,10 @@
   }
 
   /** Marks the task as ended, and emits an `off` event if it was running. */
-  #endTask(task: HollowTask, done: boolean, lapsed: boolean): void {
+  #endTask(task: HollowTask, done: boolean, leaseExpired: boolean): void {
     clearTimeout(task.timer);
-    if (task.stage === 'running') this.context.emit({ kind: 'off', done, lapsed, ...this.#taskFields(task) });
+    if (task.stage === 'running')
+      this.context.emit({ kind: 'off', done, leaseExpired, ...this.#taskFields(task) });
     task.stage = 'ended';
   }
 }
--- a/lab/emulator/state-service.ts
+++ b/lab/emulator/state-service.ts
@@ -1,4 +1,4 @@
-/** The state service emulator: keys, transactions, leases and watches over HTTP, as PROTOCOL specifies them. */
+/** The key-value store emulator: serves keys, transactions, leases and watches over HTTP, as PROTOCOL specifies them. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import { createServer as createListener, type Server } from 'node:net';
 import { monotonicMs } from '../clock.js';
@@ -11,7 +11,7 @@
 const OUTAGE_POLL_MS = 50;
 
 /** Size of the store, and its changes and requests since the previous sample. */
-export interface StateSample {
+export interface StoreSample {
   readonly keys: number;
   readonly bytes: number;
   readonly changes: number;
@@ -19,7 +19,7 @@
 }
 
 /** Serves a store on one address per controller, so that a single controller can be refused. */
-export class StateService {
+export class StoreServer {
   readonly #store: Store;
   readonly #meter = new TrafficMeter();
   readonly #refusedUntil = new Map<string, number>();
@@ -68,7 +68,7 @@
     setTimeout(() => this.#store.extendLeases(), forMs);
   }
 
-  sample(): StateSample {
+  sample(): StoreSample {
     const changes = this.#store.changes - this.#changesSeen;
     this.#changesSeen = this.#store.changes;
     return { keys: this.#store.keyCount, bytes: this.#store.bytes, changes, requests: this.#meter.take() };
--- a/lab/emulator/store.ts
+++ b/lab/emulator/store.ts
@@ -1,4 +1,4 @@
-/** The data of the state service: keys with stamps, leases, and the recent changes for watches. */
+/** The data of the key-value store emulator: keys with stamps, leases, and the recent changes for watches. */
 
 interface Value {
   readonly data: unknown;
@@ -34,7 +34,7 @@
   | { readonly kind: 'limited' }
   | { readonly kind: 'invalid'; readonly reason: string };
 
-/** Limits that the service enforces. */
+/** Limits that the store enforces. */
 export interface StoreLimits {
   readonly writeRps: number;
   readonly valueKb: number;
--- a/lab/emulator/worker-host.ts
+++ b/lab/emulator/worker-host.ts
@@ -33,14 +33,14 @@
         worker.whenAwake(() => {
           if (request.url === '/status') answerJson(response, 200, worker.body());
           else {
-            const { status, report } = worker.direct(body);
-            answerJson(response, status, report);
+            const { status, heartbeat } = worker.direct(body);
+            answerJson(response, status, heartbeat);
           }
         });
     });
   });
   #events: LabEvent[] = [];
-  #reportMs: number[] = [];
+  #heartbeatLatenciesMs: number[] = [];
   #leasesLost = 0;
   #simulationMs = 0;
   #processorUsage = process.cpuUsage();
@@ -53,8 +53,8 @@
       job: (id) => this.#jobs.get(id),
       runMs: ({ id, runS: [min, max] }, task) => 1000 * (min + (max - min) * hashShare(`${id}/${task}`)),
       emit: (event) => void this.#events.push(event),
-      noteReport: (ms) => void this.#reportMs.push(ms),
-      noteLapse: () => {
+      recordHeartbeat: (ms) => void this.#heartbeatLatenciesMs.push(ms),
+      recordLeaseExpiry: () => {
         this.#leasesLost += 1;
       },
       simulate: (work) => {
@@ -142,15 +142,15 @@
       sample: {
         workers: this.#workers.size,
         tasks,
-        reports: this.#reportMs.length,
-        reportMs: this.#reportMs,
+        heartbeats: this.#heartbeatLatenciesMs.length,
+        heartbeatLatenciesMs: this.#heartbeatLatenciesMs,
         leasesLost: this.#leasesLost,
         traffic: this.#meter.take(),
         processorMs: (used.user + used.system) / MICROSECONDS_PER_MS,
         simulationMs: this.#simulationMs,
       },
     });
-    this.#reportMs = [];
+    this.#heartbeatLatenciesMs = [];
     this.#leasesLost = 0;
     this.#simulationMs = 0;
   }
--- a/lab/events.ts
+++ b/lab/events.ts
@@ -26,12 +26,12 @@
 
 /** One event of a run. */
 export type LabEvent =
-  /** A worker executed a start command, and begins to fetch the image. */
+  /** A worker has executed a start command and begins to fetch the image. */
   | (TaskFields & { readonly kind: 'begun'; readonly token: number })
   /** The task's image has been fetched, and the task runs on the machine. */
   | (TaskFields & { readonly kind: 'on' })
-  /** The task no longer runs on the machine; `lapsed`: it was killed because the worker's lease expired. */
-  | (TaskFields & { readonly kind: 'off'; readonly done: boolean; readonly lapsed: boolean })
+  /** The task no longer runs on the machine; `leaseExpired`: it was killed because the worker's lease expired. */
+  | (TaskFields & { readonly kind: 'off'; readonly done: boolean; readonly leaseExpired: boolean })
   | { readonly kind: 'submitting'; readonly at: number; readonly job: JobDescription }
   /** A controller answered a submission. */
   | { readonly kind: 'submitted'; readonly at: number; readonly job: string; readonly status: number }
@@ -52,8 +52,8 @@
   /** Workers that are up in this process. */
   readonly workers: number;
   readonly tasks: number;
-  readonly reports: number;
-  readonly reportMs: readonly number[];
+  readonly heartbeats: number;
+  readonly heartbeatLatenciesMs: readonly number[];
   readonly leasesLost: number;
   readonly traffic: Readonly<Record<string, { readonly messages: number; readonly bytes: number }>>;
   /** Processor time of the process, in milliseconds, and the part that simulates tasks and records events. */
--- a/lab/faults.ts
+++ b/lab/faults.ts
@@ -1,8 +1,8 @@
-/** Injects the scenario's faults into the emulated cloud, workers and state service and into the real controllers. */
-import { stateHost } from './addresses.js';
+/** Injects the scenario's faults into the emulated cloud, workers and key-value store and into the real controllers. */
+import { storeHost } from './addresses.js';
 import type { Controllers } from './controllers.js';
 import type { Cloud } from './emulator/cloud.js';
-import type { ToStateService } from './messages.js';
+import type { ToStore } from './messages.js';
 import type { Fault } from './scenario.js';
 
 /** The components that faults act on. */
@@ -13,7 +13,7 @@
   readonly draw: () => number;
   /** Index of the leader that the controllers reported last. */
   leader(): number;
-  sendToStateService(message: ToStateService): void;
+  sendToStore(message: ToStore): void;
   hang(names: readonly string[], forMs: number): void;
   /** Called when a controller has been killed or started again. */
   onControllerChange(index: number, up: boolean): void;
@@ -79,11 +79,11 @@
     }
     case 'state_refused': {
       const index = chosenController(fault.which);
-      targets.sendToStateService({ kind: 'refuse', address: stateHost(index), forMs: 1000 * fault.forS });
+      targets.sendToStore({ kind: 'refuse', address: storeHost(index), forMs: 1000 * fault.forS });
       return `the state service refuses ${controllers.names[index] ?? ''} (${fault.which}) for ${fault.forS} s`;
     }
     case 'state_outage':
-      targets.sendToStateService({ kind: 'outage', forMs: 1000 * fault.forS });
+      targets.sendToStore({ kind: 'outage', forMs: 1000 * fault.forS });
       return `the state service is out for ${fault.forS} s`;
   }
 }
--- a/lab/main.ts
+++ b/lab/main.ts
@@ -1,5 +1,5 @@
 /**
- * The scale run: real controllers, the lab's own state service and cloud, and hollow workers, on loopback and
+ * The scale run: real controllers, the lab's own key-value store and cloud, and hollow workers, on loopback and
  * in real time. Exit codes: 0 success; 1 a rule was violated or the run failed; 2 invalid arguments or scenario.
  */
 import { execFileSync } from 'node:child_process';
@@ -7,9 +7,9 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { Command, CommanderError, InvalidArgumentError } from 'commander';
-import { cloudAddress, listenError, publicAddress, stateHost, statePort } from './addresses.js';
+import { cloudAddress, listenError, publicAddress, storeHost, storePort } from './addresses.js';
 import type { Variant } from './controllers.js';
-import { runStateProcess } from './emulator/state-process.js';
+import { runStoreProcess } from './emulator/state-process.js';
 import { runWorkerHost } from './emulator/worker-host.js';
 import { formatFigures } from './report/text.js';
 import { writePage } from './report/page.js';
@@ -71,7 +71,7 @@
   const endpoints = [
     ...Array.from({ length: scenario.controllers }, (_, i) => publicAddress(i)),
     cloudAddress,
-    { host: stateHost(0), port: statePort },
+    { host: storeHost(0), port: storePort },
   ];
   for (const { host, port } of endpoints) {
     const error = await listenError(host, port);
@@ -134,7 +134,7 @@
 async function main(): Promise<void> {
   const [role] = process.argv.slice(2);
   if (role === 'state' && process.send !== undefined) {
-    runStateProcess();
+    runStoreProcess();
     return;
   }
   if (role === 'workers' && process.send !== undefined) {
--- a/lab/measure/samples.ts
+++ b/lab/measure/samples.ts
@@ -1,7 +1,7 @@
 /** Per-second samples of a run, and the figures computed from them. */
 import { mean, quantile } from 'simple-statistics';
 import type { Traffic } from '../emulator/http.js';
-import type { StateSample } from '../emulator/state-service.js';
+import type { StoreSample } from '../emulator/state-service.js';
 import type { WorkerSample } from '../events.js';
 import type { Quantiles } from './latencies.js';
 
@@ -21,8 +21,8 @@
   /** Seconds since the load began. */
   readonly at: number;
   readonly controllers: readonly ControllerSample[];
-  readonly state: StateSample | null;
-  readonly stateCore: number;
+  readonly store: StoreSample | null;
+  readonly storeCore: number;
   readonly workers: readonly WorkerSample[];
   readonly cloud: Readonly<Record<string, Traffic>>;
   readonly openJobs: number;
@@ -116,7 +116,7 @@
   const overWorkers = (second: Second, of: (sample: WorkerSample) => number): number =>
     second.workers.reduce((sum, sample) => sum + of(sample), 0);
   const workers = perSecond((second) => overWorkers(second, (sample) => sample.workers));
-  const reportsPerS = perSecond((second) => overWorkers(second, (sample) => sample.reports));
+  const heartbeatsPerS = perSecond((second) => overWorkers(second, (sample) => sample.heartbeats));
   const protocolMs = perSecond((second) =>
     overWorkers(second, (sample) => sample.processorMs - sample.simulationMs),
   );
@@ -124,21 +124,21 @@
     overWorkers(second, (sample) => sumTraffic(sample.traffic, 'bytes')),
   );
   const allCores = perSecond((second) => second.controllers.reduce((sum, { core }) => sum + core, 0));
-  const states = seconds.flatMap(({ state }) => (state === null ? [] : [state]));
-  const lastState = states.at(-1);
+  const storeSamples = seconds.flatMap(({ store }) => (store === null ? [] : [store]));
+  const lastStoreSample = storeSamples.at(-1);
   return {
     leader,
     follower,
     stateService: {
-      ...roleFigures(seconds.map(({ stateCore }) => ({ core: stateCore, residentMb: 0 }))),
-      keys: lastState?.keys ?? 0,
-      bytes: lastState?.bytes ?? 0,
-      changesPerS: average(states.map(({ changes }) => changes)),
-      requestsPerS: average(states.map(({ requests }) => sumTraffic(requests, 'messages'))),
-      bytesPerS: average(states.map(({ requests }) => sumTraffic(requests, 'bytes'))),
+      ...roleFigures(seconds.map(({ storeCore }) => ({ core: storeCore, residentMb: 0 }))),
+      keys: lastStoreSample?.keys ?? 0,
+      bytes: lastStoreSample?.bytes ?? 0,
+      changesPerS: average(storeSamples.map(({ changes }) => changes)),
+      requestsPerS: average(storeSamples.map(({ requests }) => sumTraffic(requests, 'messages'))),
+      bytesPerS: average(storeSamples.map(({ requests }) => sumTraffic(requests, 'bytes'))),
     },
     worker: {
-      reportsPerS: reportsPerS / Math.max(1, workers),
+      reportsPerS: heartbeatsPerS / Math.max(1, workers),
       redirectsPerS:
         perSecond((second) => overWorkers(second, ({ traffic }) => traffic['redirect']?.messages ?? 0)) /
         Math.max(1, workers),
@@ -151,7 +151,7 @@
     ),
     tasksRunning: perSecond((second) => overWorkers(second, (sample) => sample.tasks)),
     leasesLost: seconds.reduce((sum, second) => sum + overWorkers(second, (sample) => sample.leasesLost), 0),
-    leaderMsPerReport: (leader.core * 1000) / Math.max(1, reportsPerS),
-    controllersMsPerReport: (allCores * 1000) / Math.max(1, reportsPerS),
+    leaderMsPerReport: (leader.core * 1000) / Math.max(1, heartbeatsPerS),
+    controllersMsPerReport: (allCores * 1000) / Math.max(1, heartbeatsPerS),
   };
 }
--- a/lab/messages.ts
+++ b/lab/messages.ts
@@ -1,13 +1,13 @@
 /** Messages between the lab's processes. */
 import type { JobDescription, LabEvent, WorkerSample } from './events.js';
 import type { MachineIdentity, WorkerContext } from './emulator/hollow-worker.js';
-import type { StateSample } from './emulator/state-service.js';
+import type { StoreSample } from './emulator/state-service.js';
 import type { StoreLimits } from './emulator/store.js';
 
 /** Settings of a process of hollow workers. */
 export interface WorkerHostSetup extends Pick<
   WorkerContext,
-  'reportMs' | 'leaseMs' | 'cpus' | 'memoryGb' | 'cacheGb' | 'fetchGbPerS'
+  'heartbeatIntervalMs' | 'leaseMs' | 'cpus' | 'memoryGb' | 'cacheGb' | 'fetchGbPerS'
 > {
   /** Names and public addresses of the controllers. */
   readonly controllers: readonly { readonly name: string; readonly host: string; readonly port: number }[];
@@ -29,8 +29,8 @@
   | { readonly kind: 'sample'; readonly sample: WorkerSample }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** Messages to the state service's process. */
-export type ToStateService =
+/** Messages to the process of the key-value store. */
+export type ToStore =
   | {
       readonly kind: 'setup';
       readonly limits: StoreLimits;
@@ -41,8 +41,8 @@
   | { readonly kind: 'refuse'; readonly address: string; readonly forMs: number }
   | { readonly kind: 'outage'; readonly forMs: number };
 
-/** Messages from the state service's process. */
-export type FromStateService =
+/** Messages from the process of the key-value store. */
+export type FromStore =
   | { readonly kind: 'ready' }
-  | { readonly kind: 'sample'; readonly sample: StateSample }
+  | { readonly kind: 'sample'; readonly sample: StoreSample }
   | { readonly kind: 'failed'; readonly reason: string };
--- a/lab/run.ts
+++ b/lab/run.ts
@@ -1,34 +1,37 @@
-/** One run of a scenario at one size: starts all processes, plays the load, measures, checks the rules, and ends. */
+/**
+ * One run of a scenario at one size: starts all processes, generates the load, takes samples, checks the rules and
+ * stops the processes.
+ */
 import { mkdirSync, rmSync } from 'node:fs';
 import { totalmem } from 'node:os';
 import { join } from 'node:path';
-import { cloudAddress, publicAddress, stateHost, statePort, workerAddress } from './addresses.js';
+import { cloudAddress, publicAddress, storeHost, storePort, workerAddress } from './addresses.js';
 import { monotonicMs, sleep } from './clock.js';
 import { Controllers, faultLines, type Variant } from './controllers.js';
 import { Cloud } from './emulator/cloud.js';
 import type { MachineIdentity } from './emulator/hollow-worker.js';
-import type { StateSample } from './emulator/state-service.js';
+import type { StoreSample } from './emulator/state-service.js';
 import type { LabEvent, WorkerSample } from './events.js';
 import { injectFault } from './faults.js';
 import { StartLatencies, Distribution } from './measure/latencies.js';
 import { readUsage, type ProcessUsage } from './measure/process-usage.js';
 import { RuleChecker } from './measure/rules.js';
 import { figuresOf, type ControllerSample, type RunFigures, type Second } from './measure/samples.js';
-import type { FromStateService, FromWorkerHost, ToStateService, ToWorkerHost } from './messages.js';
+import type { FromStore, FromWorkerHost, ToStore, ToWorkerHost } from './messages.js';
 import { Processes } from './processes.js';
 import { seededDraw } from './random.js';
 import type { Scenario } from './scenario.js';
 import { Users } from './users.js';
 
 const SEED = 7;
-const STATE_SERVICE = 'state-service';
+const STORE_PROCESS = 'state-service';
 const READY_TIMEOUT_MS = 30_000;
 const LEADER_TIMEOUT_MS = 30_000;
 const SECOND_MS = 1000;
 /** Events of other processes are assumed to arrive within this time. */
 const MAX_EVENT_DELAY_MS = 1500;
 const LIST_LAG_MS = 4000;
-/** Share of the machine's memory that all processes together may hold; above it the run fails. */
+/** Share of this computer's memory that all processes together may hold; above it the run fails. */
 const MEMORY_SHARE = 0.5;
 const BYTES_PER_MB = 1024 * 1024;
 const MAX_REPORTED_VIOLATIONS = 10;
@@ -54,7 +57,7 @@
   readonly #users: Users;
   readonly #rules: RuleChecker;
   readonly #latencies: StartLatencies;
-  readonly #reportMs = new Distribution();
+  readonly #heartbeatLatenciesMs = new Distribution();
   readonly #hosts: readonly string[];
   readonly #children = new Map<string, ReturnType<Processes['startRole']>>();
   readonly #workerSamples = new Map<string, WorkerSample>();
@@ -64,7 +67,7 @@
   readonly #seconds: Second[] = [];
   readonly #faults: string[] = [];
   readonly #crashes: { readonly at: number; startedAfter: number | null }[] = [];
-  #stateSample: StateSample | null = null;
+  #storeSample: StoreSample | null = null;
   #leader = 0;
   #highestToken = 0;
   #tokenAtCrash = 0;
@@ -141,8 +144,8 @@
     for (const host of this.#hosts) this.#sendToHost(host, message);
   }
 
-  #sendToStateService(message: ToStateService): void {
-    this.#children.get(STATE_SERVICE)?.send(message, () => undefined);
+  #sendToStore(message: ToStore): void {
+    this.#children.get(STORE_PROCESS)?.send(message, () => undefined);
   }
 
   #recordEvents(events: readonly LabEvent[]): void {
@@ -151,7 +154,7 @@
     for (const event of events) if (event.kind === 'begun') this.#recordToken(event.token, event.at);
   }
 
-  /** The first start command with a higher fencing token than before a crash of the leader ends its failover time. */
+  /** The first start command with a higher fencing token than before the leader's crash ends the failover time. */
   #recordToken(token: number, at: number): void {
     this.#highestToken = Math.max(this.#highestToken, token);
     const crash = this.#crashes.at(-1);
@@ -159,11 +162,11 @@
       crash.startedAfter = at - crash.at;
   }
 
-  async #startRole(name: string, role: string, setup: ToStateService | ToWorkerHost): Promise<void> {
+  async #startRole(name: string, role: string, setup: ToStore | ToWorkerHost): Promise<void> {
     const child = this.#processes.startRole(name, role, this.program);
     this.#children.set(name, child);
     const ready = new Promise<void>((resolve, reject) => {
-      child.on('message', (message: FromStateService | FromWorkerHost) => {
+      child.on('message', (message: FromStore | FromWorkerHost) => {
         if (message.kind === 'ready') resolve();
         else if (message.kind === 'failed') {
           this.#failure ??= `${name}: ${message.reason}`;
@@ -180,13 +183,13 @@
     await ready;
   }
 
-  #recordSample(name: string, sample: WorkerSample | StateSample): void {
+  #recordSample(name: string, sample: WorkerSample | StoreSample): void {
     if ('keys' in sample) {
-      this.#stateSample = sample;
+      this.#storeSample = sample;
       return;
     }
     this.#workerSamples.set(name, sample);
-    if (this.#isMeasured) for (const ms of sample.reportMs) this.#reportMs.record(ms);
+    if (this.#isMeasured) for (const ms of sample.heartbeatLatenciesMs) this.#heartbeatLatenciesMs.record(ms);
   }
 
   get #elapsedS(): number {
@@ -201,7 +204,7 @@
   async execute(): Promise<RunResult> {
     try {
       await this.#start();
-      await this.#playLoad();
+      await this.#runLoad();
       await this.#drain();
       return { figures: this.#figures(), seconds: this.#seconds };
     } finally {
@@ -219,17 +222,17 @@
 
   async #start(): Promise<void> {
     const { scenario } = this;
-    await this.#startRole(STATE_SERVICE, 'state', {
+    await this.#startRole(STORE_PROCESS, 'state', {
       kind: 'setup',
       limits: scenario.state,
       requestRps: scenario.state.rps,
-      addresses: this.#controllers.names.map((_, i) => stateHost(i)),
-      port: statePort,
+      addresses: this.#controllers.names.map((_, i) => storeHost(i)),
+      port: storePort,
     });
     const setup = {
       ...scenario.machine,
       controllers: this.#controllers.names.map((name, i) => ({ name, ...publicAddress(i) })),
-      reportMs: 1000 * scenario.reportS,
+      heartbeatIntervalMs: 1000 * scenario.reportS,
       leaseMs: 1000 * scenario.leaseS,
       seed: SEED,
     };
@@ -262,7 +265,7 @@
     throw new RunError(`no leader was elected within ${LEADER_TIMEOUT_MS / 1000} s`);
   }
 
-  /** Waits two report intervals and one second, so that every initial worker has reported and been answered. */
+  /** Waits until every initial worker has had time for two heartbeats: two intervals and one second. */
   async #awaitWorkers(): Promise<void> {
     await sleep(2000 * this.scenario.reportS + 1000);
     this.progress(
@@ -270,8 +273,8 @@
     );
   }
 
-  /** Plays the load with its faults, and takes a sample every second. */
-  async #playLoad(): Promise<void> {
+  /** Generates the load and injects the faults, and takes a sample every second. */
+  async #runLoad(): Promise<void> {
     this.#startedAt = monotonicMs();
     await this.#sample(false);
     this.#users.start();
@@ -301,7 +304,7 @@
       zones: this.#zones,
       draw: this.#draw,
       leader: () => this.#leader,
-      sendToStateService: (message) => this.#sendToStateService(message),
+      sendToStore: (message) => this.#sendToStore(message),
       hang: (names, forMs) => this.#sendToAllHosts({ kind: 'hang', names, forMs }),
       onControllerChange: (index) => this.#usageBefore.delete(this.#controllers.names[index] ?? ''),
     });
@@ -318,7 +321,7 @@
     const starts = this.#latencies.startsBySecond.get(Math.floor(monotonicMs() / 1000) - 2) ?? 0;
     this.progress(
       `${String(last.at).padStart(4)} s  ${sum((one) => one.workers)} workers  ${sum((one) => one.tasks)} tasks  ` +
-        `${starts} starts/s  ${sum((one) => one.reports)} reports/s  leader ${(leader?.core ?? 0).toFixed(2)} core  ` +
+        `${starts} starts/s  ${sum((one) => one.heartbeats)} reports/s  leader ${(leader?.core ?? 0).toFixed(2)} core  ` +
         `${this.#users.openJobs} jobs open  ${this.#rules.violations.length} rules broken`,
     );
   }
@@ -373,20 +376,20 @@
       this.#peerBytesBefore.set(name, sent);
       return [{ name, role: i === this.#leader ? 'leader' : 'follower', ...used, peerBytes }];
     });
-    const state = this.#usageOf(STATE_SERVICE, seconds);
+    const storeUsage = this.#usageOf(STORE_PROCESS, seconds);
     const cloud = this.#cloud.meter.take();
     this.#checkMemory();
     if (!isRecorded) return;
     this.#seconds.push({
       at: Math.round(this.#elapsedS),
       controllers,
-      state: this.#stateSample,
-      stateCore: state?.core ?? 0,
+      store: this.#storeSample,
+      storeCore: storeUsage?.core ?? 0,
       workers: [...this.#workerSamples.values()],
       cloud,
       openJobs: this.#users.openJobs,
     });
-    this.#stateSample = null;
+    this.#storeSample = null;
   }
 
   #checkMemory(): void {
@@ -427,7 +430,7 @@
       startsPerS,
       startsPerSBest10: Math.max(0, ...tenSecondRates),
       changesPerStart: figures.stateService.changesPerS / Math.max(1e-9, startsPerS),
-      reportMs: this.#reportMs.describe(),
+      reportMs: this.#heartbeatLatenciesMs.describe(),
       acceptedMs: this.#latencies.accepted.describe(),
       begunMs: describe(this.#latencies.begun),
       onMs: describe(this.#latencies.on),
--- a/test/lab.test.ts
+++ b/test/lab.test.ts
@@ -29,7 +29,7 @@
 const on = (at: number, task: number, worker?: string, zone?: string): LabEvent =>
   ({ kind: 'on', ...eventFields(at, task, worker, zone) }) as LabEvent;
 const off = (at: number, task: number, done = true, worker?: string): LabEvent =>
-  ({ kind: 'off', done, lapsed: false, ...eventFields(at, task, worker) }) as LabEvent;
+  ({ kind: 'off', done, leaseExpired: false, ...eventFields(at, task, worker) }) as LabEvent;
 const polled = (at: number, status: number, stage: string | null): LabEvent => ({
   kind: 'polled',
   at,
@@ -178,7 +178,7 @@
   const events: LabEvent[] = [];
   const context = (leaseMs: number): WorkerContext => ({
     controllers: ['n-0', 'n-1'],
-    reportMs: 40,
+    heartbeatIntervalMs: 40,
     leaseMs,
     cpus: 8,
     memoryGb: 64,
@@ -188,8 +188,8 @@
     job: (id) => (id === 'req-1' ? JOB : undefined),
     runMs: () => 10_000,
     emit: (event) => void events.push(event),
-    noteReport: () => undefined,
-    noteLapse: () => undefined,
+    recordHeartbeat: () => undefined,
+    recordLeaseExpiry: () => undefined,
     simulate: (work) => work(),
   });
   const identity = { name: 'vm-1', address: '127.0.0.1:1', type: 't', zone: 'zone-1', spot: true };
