--- a/bench/between.mjs
+++ b/bench/between.mjs
@@ -1,7 +1,7 @@
-// Plays random days with faults between controllers, for an earlier version and the current sources, same seeds:
+// Compares an earlier version and the current sources in simulated runs with controller faults, on the same seeds:
 //   node bench/between.mjs [--against COMMIT] [--days 34]
-// Times are seconds of the tests' virtual time: median / 90th percentile / worst. A column is empty if a version
-// does not log its event.
+// Times are seconds of virtual time: median / 90th percentile / worst. A column is empty if a version does not log
+// its event.
 import { execFile, execFileSync } from 'node:child_process';
 import { availableParallelism } from 'node:os';
 import { join, resolve } from 'node:path';
@@ -32,13 +32,13 @@
 
 const run = promisify(execFile);
 const kinds = JSON.parse(execFileSync('node', [versions[0][1]], { encoding: 'utf8' }));
-const plays = kinds.flatMap((kind) => versions.map(([version, file]) => ({ kind, version, file })));
+const pendingRuns = kinds.flatMap((kind) => versions.map(([version, file]) => ({ kind, version, file })));
 const rows = new Map();
 const workers = Array.from({ length: Math.max(1, availableParallelism() - 2) }, async () => {
-  for (let play = plays.shift(); play !== undefined; play = plays.shift()) {
-    const { stdout, stderr } = await run('node', [play.file, play.kind, values.days], { maxBuffer: 1 << 26 });
+  for (let next = pendingRuns.shift(); next !== undefined; next = pendingRuns.shift()) {
+    const { stdout, stderr } = await run('node', [next.file, next.kind, values.days], { maxBuffer: 1 << 26 });
     if (stderr !== '') console.error(stderr);
-    rows.set(`${play.kind}|${play.version}`, JSON.parse(stdout.trim().split('\n').at(-1)));
+    rows.set(`${next.kind}|${next.version}`, JSON.parse(stdout.trim().split('\n').at(-1)));
   }
 });
 await Promise.all(workers);
--- a/bench/between.ts
+++ b/bench/between.ts
@@ -1,6 +1,7 @@
 /**
- * Plays random days with faults between controllers in the simulation of the tests, and measures the longest pause
- * between task starts, the machines returned alive and the leases lost. Prints one JSON line for a kind of fault.
+ * Performs simulated runs with faults of controllers and of their links to workers, peers and the key-value store.
+ * Measures the longest pause between task starts, and counts the machines returned alive and the leases lost. Prints
+ * one JSON line for one kind of fault.
  */
 import { build as buildHistogram, type Histogram } from 'hdr-histogram-js';
 import { seeded, Simulation } from '../test/emulators/simulation.js';
@@ -8,37 +9,38 @@
 const EARLIEST_FAULT_MS = 20_000;
 const OBSERVED_MS = 45_000;
 
-type Fault = (world: Simulation, leader: number, size: number) => void;
+type Fault = (simulation: Simulation, leader: number, size: number) => void;
 
 const others = (leader: number): number[] => [0, 1, 2].filter((node) => node !== leader);
-const cutFromWorkers: Fault = (world, leader, size) => {
-  for (const name of world.cloud.workers.keys())
-    world.network.partition(`n-${leader}`, name, 15_000 + 20_000 * size);
+const partitionFromWorkers: Fault = (simulation, leader, size) => {
+  for (const name of simulation.cloud.workers.keys())
+    simulation.network.partition(`n-${leader}`, name, 15_000 + 20_000 * size);
 };
 
 /** Kinds of faults; `size` is a random number from 0 to 1 that scales the fault. */
 const KINDS: Record<string, Fault> = {
-  'short stall': (world, leader, size) => world.pause(leader, 200 + 1000 * size),
-  'long stall': (world, leader, size) => world.pause(leader, 2500 + 6000 * size),
-  crash: (world, leader) => world.crash(leader, 5000),
-  'two crash': (world, leader, size) => {
-    world.crash(leader, 5000);
-    world.clock.in(1000 * size, () => world.crash(others(leader)[0] as number, 5000));
+  'short stall': (simulation, leader, size) => simulation.pause(leader, 200 + 1000 * size),
+  'long stall': (simulation, leader, size) => simulation.pause(leader, 2500 + 6000 * size),
+  crash: (simulation, leader) => simulation.crash(leader, 5000),
+  'two crash': (simulation, leader, size) => {
+    simulation.crash(leader, 5000);
+    simulation.clock.in(1000 * size, () => simulation.crash(others(leader)[0] as number, 5000));
   },
-  'no workers': cutFromWorkers,
-  'no state service': (world, leader, size) => world.state.refuse(`n-${leader}`, 10_000 + 20_000 * size),
-  'refused peers': (world, _, size) => world.refusePeers(10_000 + 25_000 * size),
-  'refused peers, no state service': (world, leader, size) => {
-    world.refusePeers(35_000);
-    world.clock.in(3000, () => world.state.refuse(`n-${leader}`, 10_000 + 20_000 * size));
+  'no workers': partitionFromWorkers,
+  'no state service': (simulation, leader, size) =>
+    simulation.state.refuse(`n-${leader}`, 10_000 + 20_000 * size),
+  'refused peers': (simulation, _, size) => simulation.refusePeers(10_000 + 25_000 * size),
+  'refused peers, no state service': (simulation, leader, size) => {
+    simulation.refusePeers(35_000);
+    simulation.clock.in(3000, () => simulation.state.refuse(`n-${leader}`, 10_000 + 20_000 * size));
   },
-  'outage, crash': (world, leader, size) => {
-    world.state.outage(5000 + 6000 * size);
-    world.clock.in(2000, () => world.crash(leader, 5000));
+  'outage, crash': (simulation, leader, size) => {
+    simulation.state.outage(5000 + 6000 * size);
+    simulation.clock.in(2000, () => simulation.crash(leader, 5000));
   },
 };
 
-interface Day {
+interface RunResult {
   readonly pause: number;
   readonly suspected: number | null;
   readonly elected: number | null;
@@ -49,10 +51,10 @@
   readonly unfinished: number;
 }
 
-async function playDay(seed: number, fault: Fault): Promise<Day> {
+async function simulateRun(seed: number, fault: Fault): Promise<RunResult> {
   const draw = seeded(seed);
-  const world = new Simulation(draw, { keepLog: true });
-  world.cloud.capacity = 40;
+  const simulation = new Simulation(draw, { keepLog: true });
+  simulation.cloud.capacity = 40;
   const jobTemplate = {
     team: 'crew',
     tasks: 8,
@@ -64,24 +66,24 @@
     spread: false,
   };
   for (let i = 0; i < 200; i += 1)
-    world.clock.in(2000 + 300 * i, () => {
-      void world.user({ ...jobTemplate, id: `req-${String(i).padStart(6, '0')}` }, null);
+    simulation.clock.in(2000 + 300 * i, () => {
+      void simulation.user({ ...jobTemplate, id: `req-${String(i).padStart(6, '0')}` }, null);
     });
-  await world.clock.runUntil(EARLIEST_FAULT_MS + 2000 * draw());
-  const faultAt = world.clock.now;
-  const [leader = 'n-0'] = world.leaders();
-  fault(world, Number(leader.slice(2)), draw());
+  await simulation.clock.runUntil(EARLIEST_FAULT_MS + 2000 * draw());
+  const faultAt = simulation.clock.now;
+  const [leader = 'n-0'] = simulation.leaders();
+  fault(simulation, Number(leader.slice(2)), draw());
   let pause = 0;
   let lastStartAt = faultAt;
-  let { started } = world.checker;
-  while (world.clock.now < faultAt + OBSERVED_MS) {
-    await world.clock.runUntil(world.clock.now + 100);
-    if (world.checker.started > started) lastStartAt = world.clock.now;
-    started = world.checker.started;
-    pause = Math.max(pause, world.clock.now - lastStartAt);
+  let { started } = simulation.checker;
+  while (simulation.clock.now < faultAt + OBSERVED_MS) {
+    await simulation.clock.runUntil(simulation.clock.now + 100);
+    if (simulation.checker.started > started) lastStartAt = simulation.clock.now;
+    started = simulation.checker.started;
+    pause = Math.max(pause, simulation.clock.now - lastStartAt);
   }
-  await world.clock.runUntil(faultAt + 150_000);
-  const logged = world.logged.filter(({ at }) => at >= faultAt);
+  await simulation.clock.runUntil(faultAt + 150_000);
+  const logged = simulation.logged.filter(({ at }) => at >= faultAt);
   const since = (at: number | undefined): number | null => (at === undefined ? null : at - faultAt);
   const whileObserved = logged.filter(({ at }) => at < faultAt + OBSERVED_MS);
   return {
@@ -89,11 +91,11 @@
     suspected: since(whileObserved.find(({ msg, peer }) => msg === 'peer suspected' && peer === leader)?.at),
     elected: since(whileObserved.find(({ msg }) => msg === 'leader elected')?.at),
     changes: whileObserved.filter(({ msg }) => msg === 'leader elected').length,
-    // No machine fails on these days, so every machine that is returned for another reason than idleness was alive.
+    // No machine fails in these runs, so every machine that is returned for another reason than idleness was alive.
     givenBack: logged.filter(({ msg, reason }) => msg === 'machine terminated' && reason !== 'idle').length,
-    leases: [...world.cloud.workers.values()].reduce((sum, { session }) => sum + session - 1, 0),
-    broken: world.checker.violations,
-    unfinished: world.checker.unfinishedJobs().length,
+    leases: [...simulation.cloud.workers.values()].reduce((sum, { session }) => sum + session - 1, 0),
+    broken: simulation.checker.violations,
+    unfinished: simulation.checker.unfinishedJobs().length,
   };
 }
 
@@ -109,16 +111,16 @@
   const [pause, suspected, elected] = [buildHistogram(), buildHistogram(), buildHistogram()];
   const totals = { changes: 0, givenBack: 0, leases: 0, broken: 0, unfinished: 0 };
   for (let seed = 1; seed <= days; seed += 1) {
-    const day = await playDay(seed, fault);
-    pause.recordValue(Math.max(1, day.pause));
-    if (day.suspected !== null) suspected.recordValue(Math.max(1, day.suspected));
-    if (day.elected !== null) elected.recordValue(Math.max(1, day.elected));
-    totals.changes += day.changes;
-    totals.givenBack += day.givenBack;
-    totals.leases += day.leases;
-    totals.broken += day.broken.length;
-    totals.unfinished += day.unfinished;
-    for (const rule of day.broken) console.error(`seed ${seed}, ${kind}: ${rule}`);
+    const result = await simulateRun(seed, fault);
+    pause.recordValue(Math.max(1, result.pause));
+    if (result.suspected !== null) suspected.recordValue(Math.max(1, result.suspected));
+    if (result.elected !== null) elected.recordValue(Math.max(1, result.elected));
+    totals.changes += result.changes;
+    totals.givenBack += result.givenBack;
+    totals.leases += result.leases;
+    totals.broken += result.broken.length;
+    totals.unfinished += result.unfinished;
+    for (const rule of result.broken) console.error(`seed ${seed}, ${kind}: ${rule}`);
   }
   const row = {
     kind,
--- a/bench/fleet.ts
+++ b/bench/fleet.ts
@@ -1,9 +1,9 @@
 /** Measures one version of the core at one size: start, burst, mass loss, takeover, huge array and tiny jobs. */
-import { FleetWorld, HUGE, TINY } from './world.js';
+import { FleetSimulation, HUGE, TINY } from './world.js';
 import { core, records } from '#version';
 
 const fleet = Number(process.argv[2] ?? 600);
-const world = new FleetWorld(core, records, fleet);
+const simulation = new FleetSimulation(core, records, fleet);
 
 interface Row {
   readonly phase: string;
@@ -18,30 +18,31 @@
 
 const rows: Row[] = [];
 function phase(name: string, seconds: number, before?: () => void): void {
-  world.reset();
+  simulation.reset();
   before?.();
-  world.run(seconds);
-  const costOf = (kind: string): { ms: number; count: number } => world.cost.get(kind) ?? { ms: 0, count: 0 };
-  const reports = costOf('reports').count;
+  simulation.run(seconds);
+  const costOf = (kind: string): { ms: number; count: number } =>
+    simulation.cost.get(kind) ?? { ms: 0, count: 0 };
+  const heartbeats = costOf('reports').count;
   rows.push({
     phase: name,
-    placed: world.placed,
-    reports,
-    msPerReport: costOf('batch').ms / Math.max(1, reports),
-    msPerPlaced: costOf('all').ms / Math.max(1, world.placed),
+    placed: simulation.placed,
+    reports: heartbeats,
+    msPerReport: costOf('batch').ms / Math.max(1, heartbeats),
+    msPerPlaced: costOf('all').ms / Math.max(1, simulation.placed),
     msPerTick: costOf('tick').ms / Math.max(1, costOf('tick').count),
-    worstMs: world.worst,
+    worstMs: simulation.worst,
     share: costOf('all').ms / (seconds * 1000),
   });
 }
 
 phase('start', 90);
-phase('burst', 60, () => world.setArrivalFactor(3));
+phase('burst', 60, () => simulation.setArrivalFactor(3));
 phase('loss', 45, () => {
-  world.setArrivalFactor(1);
-  world.failMachines(1 / 3);
+  simulation.setArrivalFactor(1);
+  simulation.failMachines(1 / 3);
 });
-phase('takeover', 30, () => world.takeover());
-phase('huge array', 60, () => world.submitJobs([HUGE]));
-phase('tiny jobs', 60, () => world.submitJobs(Array.from({ length: 400 }, () => TINY)));
+phase('takeover', 30, () => simulation.takeover());
+phase('huge array', 60, () => simulation.submitJobs([HUGE]));
+phase('tiny jobs', 60, () => simulation.submitJobs(Array.from({ length: 400 }, () => TINY)));
 process.stdout.write(JSON.stringify(rows) + '\n');
--- a/bench/run.mjs
+++ b/bench/run.mjs
@@ -1,6 +1,6 @@
 // Measures the core at several sizes, for an earlier version and the current sources:
 //   node bench/run.mjs [--against COMMIT] [--sizes 160,600,2000,6000] [--profile]
-// The figures are processor time of this machine: compare the ratios of versions, not the absolute values.
+// The figures are processor time of this computer: compare the ratios of versions, not the absolute values.
 import { execFileSync } from 'node:child_process';
 import { existsSync, mkdirSync, writeFileSync } from 'node:fs';
 import { join, resolve } from 'node:path';
--- a/bench/version.ts
+++ b/bench/version.ts
@@ -10,7 +10,7 @@
   readonly imageGb: number;
   readonly estimateS: number;
 }
-export interface Reported {
+export interface ReportedTask {
   readonly job: string;
   readonly task: number;
   readonly attempt: number;
--- a/bench/world.ts
+++ b/bench/world.ts
@@ -1,12 +1,12 @@
 /**
- * Runs a leader's core with a large fleet and without a network: simulated machines report, users submit, the state
- * service applies transactions and the cloud rents machines, in virtual time. Measures only the processor time of
- * `step`, by kind of batch.
+ * Runs a leader's core with a large fleet on virtual time and without a network: simulated workers send heartbeats,
+ * users submit jobs, the key-value store applies transactions, and the cloud rents out machines. Measures only the
+ * processor time of `step`, by kind of batch.
  */
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
-import type { Core, Effect, Records, Reported, Spec, State } from './version.js';
+import type { Core, Effect, Records, ReportedTask, Spec, State } from './version.js';
 
-const REPORT_MS = 2500;
+const HEARTBEAT_INTERVAL_MS = 2500;
 const LEASE_MS = 15_250;
 const BOOT_MS = 35_000;
 const COMMIT_MS = 5;
@@ -59,7 +59,7 @@
   },
 ];
 
-/** Additional load of a guest team: one array of very many short tasks, or many jobs with one task each. */
+/** Additional load: one array of very many short tasks, or many jobs with one task each. */
 export const HUGE: Shape = {
   jobClass: 'hymnal',
   priority: 2,
@@ -93,7 +93,7 @@
       { kind: 'deadline', class: 'rush', share: 0.998, times: 1.5 },
       { kind: 'wait', class: 'rush', share: 0.88, within_s: 3 },
     ],
-    workers: { report_s: REPORT_MS / 1000, lease_s: LEASE_MS / 1000, cancel_s: 35.25 },
+    workers: { report_s: HEARTBEAT_INTERVAL_MS / 1000, lease_s: LEASE_MS / 1000, cancel_s: 35.25 },
     state: { rps: 900, write_rps: 150, value_kb: 32, txn_ops: 32 },
     cloud: { rps: 8, list_lag_s: 10 },
     quota: { cpu: 0.612, ram_mb: 410, sockets: 1799 },
@@ -113,12 +113,12 @@
   readonly name: string;
   readonly zone: string;
   dead: boolean;
-  seq: number;
+  sequence: number;
   token: number;
   readonly tasks: Map<string, Task>;
   readonly images: Set<string>;
-  nextReport: number;
-  waiting: boolean;
+  nextHeartbeatAt: number;
+  isAwaitingReply: boolean;
 }
 
 /** Processor time of a kind of batch, in milliseconds, and number of such batches. */
@@ -127,7 +127,7 @@
   count: number;
 }
 
-export class FleetWorld {
+export class FleetSimulation {
   now = 1_000_000;
   readonly state: State;
   readonly machines = new Map<string, Machine>();
@@ -187,7 +187,7 @@
     else list.push(action);
   }
 
-  /** Makes the core leader, with the jobs and chunks that the state service holds. */
+  /** Makes the core leader, with the jobs and chunks in the key-value store. */
   #becomeLeader(): void {
     const jobs: unknown[] = [];
     const chunks: unknown[] = [];
@@ -215,7 +215,7 @@
   #tick(): void {
     this.#pending.push({ kind: 'tick' });
     this.#pending.push({ kind: 'viewConfirmed', sentAt: this.now });
-    this.#schedule(this.now + REPORT_MS / 4, () => this.#tick());
+    this.#schedule(this.now + HEARTBEAT_INTERVAL_MS / 4, () => this.#tick());
   }
 
   #arrivals(): void {
@@ -278,57 +278,57 @@
       name,
       zone,
       dead: false,
-      seq: 0,
+      sequence: 0,
       token: 0,
       tasks: new Map(),
       images: new Set(),
-      nextReport: 0,
-      waiting: false,
+      nextHeartbeatAt: 0,
+      isAwaitingReply: false,
     };
     this.machines.set(name, machine);
-    this.#report(machine);
+    this.#sendHeartbeat(machine);
   }
 
-  #scheduleReport(machine: Machine, at: number): void {
-    if (machine.nextReport > this.now && machine.nextReport <= at) return;
-    machine.nextReport = at;
+  #scheduleHeartbeat(machine: Machine, at: number): void {
+    if (machine.nextHeartbeatAt > this.now && machine.nextHeartbeatAt <= at) return;
+    machine.nextHeartbeatAt = at;
     this.#schedule(at, () => {
-      if (machine.nextReport <= this.now && machine.nextReport > 0) this.#report(machine);
+      if (machine.nextHeartbeatAt <= this.now && machine.nextHeartbeatAt > 0) this.#sendHeartbeat(machine);
     });
   }
 
-  #report(machine: Machine): void {
-    if (machine.dead || machine.waiting) return;
-    machine.nextReport = 0;
-    machine.waiting = true;
-    machine.seq += 1;
+  #sendHeartbeat(machine: Machine): void {
+    if (machine.dead || machine.isAwaitingReply) return;
+    machine.nextHeartbeatAt = 0;
+    machine.isAwaitingReply = true;
+    machine.sequence += 1;
     const reply = this.#nextReply++;
     this.#replies.set(reply, machine);
-    const tasks: Reported[] = [...machine.tasks.values()].map(({ job, task, attempt, stage }) => ({
+    const tasks: ReportedTask[] = [...machine.tasks.values()].map(({ job, task, attempt, stage }) => ({
       job,
       task,
       attempt,
       stage,
       exit: stage === 'exited' ? 'done' : null,
     }));
-    const { name, zone, seq, token } = machine;
-    const report = {
+    const { name, zone, sequence, token } = machine;
+    const heartbeat = {
       machine: name,
       address: '127.0.0.1:1',
       type: 'bench-32',
       zone,
       spot: true,
       agentEpoch: 1,
-      sequence: seq,
+      sequence,
       token,
       terminationNoticeS: null,
       tasks,
     };
-    this.#pending.push({ kind: 'heartbeat', reply, heartbeat: report });
+    this.#pending.push({ kind: 'heartbeat', reply, heartbeat });
   }
 
-  #reportChange(machine: Machine): void {
-    this.#scheduleReport(machine, this.now + 500);
+  #scheduleHeartbeatOnChange(machine: Machine): void {
+    this.#scheduleHeartbeat(machine, this.now + 500);
   }
 
   #answer(
@@ -338,7 +338,7 @@
     const machine = this.#replies.get(reply);
     this.#replies.delete(reply);
     if (machine === undefined || machine.dead) return;
-    machine.waiting = false;
+    machine.isAwaitingReply = false;
     const raised = machine.token < this.#term;
     machine.token = this.#term;
     for (const { op, job, task, attempt } of commands) {
@@ -347,8 +347,8 @@
       else if (op === 'forget') machine.tasks.delete(key);
       else machine.tasks.delete(key);
     }
-    if (raised || commands.length > 0) this.#reportChange(machine);
-    else this.#scheduleReport(machine, this.now + REPORT_MS * (0.75 + 0.5 * this.#draw()));
+    if (raised || commands.length > 0) this.#scheduleHeartbeatOnChange(machine);
+    else this.#scheduleHeartbeat(machine, this.now + HEARTBEAT_INTERVAL_MS * (0.75 + 0.5 * this.#draw()));
   }
 
   #start(machine: Machine, job: string, task: number, attempt: number): void {
@@ -361,10 +361,10 @@
     this.#schedule(this.now + fetchMs, () => {
       machine.images.add(spec.image);
       running.stage = 'running';
-      this.#reportChange(machine);
+      this.#scheduleHeartbeatOnChange(machine);
       this.#schedule(this.now + spec.estimateS * 1000 * (0.7 + 0.6 * this.#draw()), () => {
         running.stage = 'exited';
-        this.#reportChange(machine);
+        this.#scheduleHeartbeatOnChange(machine);
       });
     });
   }
@@ -377,8 +377,8 @@
           const machine = this.#replies.get(effect.reply);
           this.#replies.delete(effect.reply);
           if (machine !== undefined) {
-            machine.waiting = false;
-            this.#scheduleReport(machine, this.now + 1000);
+            machine.isAwaitingReply = false;
+            this.#scheduleHeartbeat(machine, this.now + 1000);
           }
         }
         break;
@@ -460,7 +460,9 @@
       if (this.#pending.length === 0) continue;
       const batch = this.#pending;
       this.#pending = [];
-      const reports = batch.filter((command) => (command as { kind: string }).kind === 'heartbeat').length;
+      const heartbeatCount = batch.filter(
+        (command) => (command as { kind: string }).kind === 'heartbeat',
+      ).length;
       const kind = batch.some((command) => (command as { kind: string }).kind === 'becomeLeader')
         ? 'load'
         : batch.some((command) => (command as { kind: string }).kind === 'tick')
@@ -472,7 +474,7 @@
       this.worst = Math.max(this.worst, ms);
       this.#addCost(kind, ms, 1);
       this.#addCost('all', ms, 1);
-      this.#addCost('reports', 0, reports);
+      this.#addCost('reports', 0, heartbeatCount);
       for (const effect of effects) this.#execute(effect);
     }
   }
@@ -491,14 +493,17 @@
     }
   }
 
-  /** The leader resigns; the next one loads the committed state, and all machines report to it again. */
+  /**
+   * The leader resigns, and the next one loads the committed state. Workers whose last heartbeat got no reply send
+   * another one within a second.
+   */
   takeover(): void {
     this.#term += 1;
     this.core.step(this.state, [{ kind: 'resign', reason: 'takeover' }], this.#time());
     this.#pending = [];
     for (const machine of this.#replies.values()) {
-      machine.waiting = false;
-      this.#scheduleReport(machine, this.now + 1000 * this.#draw());
+      machine.isAwaitingReply = false;
+      this.#scheduleHeartbeat(machine, this.now + 1000 * this.#draw());
     }
     this.#replies.clear();
     this.#becomeLeader();
