--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -76,7 +76,7 @@
 }
 
 /**
- * The limits that apply once every controller can keep them: for each, the smaller of the present and the
+ * The limits that apply once every controller can comply with them: for each, the smaller of the present and the
  * announced value, since the time at which the announced limits take effect is not known.
  */
 export function strictestLimits(settings: PlatformSettings): StoreLimits {
