--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -39,7 +39,7 @@
 const FLEET = 8000;
 const NAMES = Array.from({ length: FLEET }, (_, i) => `machine-zone-a-${i + 100_000}`);
 const TIMING = timing(testSettings(0));
-/** Limits that versions before portioned messages set to a peer: bytes of a frame, and names in a list. */
+/** Limits of earlier versions, which send each message as one frame: bytes per frame, and names per list. */
 const EARLIER_MAX_FRAME_BYTES = 64 * 1024;
 const EARLIER_MAX_NAMES = 2000;
 
@@ -58,7 +58,7 @@
   ...NO_OBSERVATIONS,
 };
 
-/** The list fields as declared by versions before portioned messages, whose decoder skips fields that it lacks. */
+/** The list fields as earlier versions with one frame per message declare them; their decoder skips unknown fields. */
 const EARLIER_TYPE = protobuf.Root.fromJSON({
   nested: {
     JobCount: { fields: { id: { type: 'string', id: 1 } } },
@@ -99,7 +99,7 @@
   } | null;
 }
 
-/** Decodes frames as a version before portioned messages does, and asserts that none exceeds its frame limit. */
+/** Decodes frames as an earlier version does, and asserts that none exceeds its frame limit. */
 function readAsEarlier(bytes: Uint8Array): EarlierMessage[] {
   const reader = protobuf.Reader.create(bytes);
   const found: EarlierMessage[] = [];
@@ -190,8 +190,8 @@
   });
 
   test('carries the keepalives and heartbeats of a second in a form that an earlier version accepts', () => {
-    const heartbeats = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 900_000, ageMs: 500 }));
-    const reports = NAMES.slice(0, 100).map((machine, i) => ({
+    const keepalives = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 900_000, ageMs: 500 }));
+    const heartbeats = NAMES.slice(0, 100).map((machine, i) => ({
       reference: i,
       heartbeat: report(
         machine,
@@ -205,8 +205,8 @@
       incarnation: 'x',
       term: TERM,
       sentAt: 5,
-      heartbeats: reports,
-      keepalives: heartbeats,
+      heartbeats,
+      keepalives,
     };
     const bytes = encodeIntake(message);
     for (const { node, intake } of readAsEarlier(bytes)) expect([node, intake === null]).toEqual(['', false]);
@@ -214,7 +214,7 @@
     const machines = found.flatMap((one) => one.keepalives.map(({ machine }) => machine));
     expect([...machines].sort()).toEqual(NAMES);
     const references = found.flatMap((one) => one.heartbeats.map(({ reference }) => reference));
-    expect(references.sort((a, b) => a - b)).toEqual(reports.map(({ reference }) => reference));
+    expect(references.sort((a, b) => a - b)).toEqual(heartbeats.map(({ reference }) => reference));
   });
 
   test('is rejected if it has more frames than any fleet needs', () => {
@@ -318,7 +318,7 @@
       push: () => undefined,
     });
     sharedHeartbeats.sendSnapshots();
-    const heartbeats = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 1, ageMs: 0 }));
+    const keepalives = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 1, ageMs: 0 }));
     sharedHeartbeats.receive({
       kind: 'heartbeats',
       node: 'n-1',
@@ -326,7 +326,7 @@
       term: TERM,
       sentAt: context.ports.clock.epochMs(),
       heartbeats: [],
-      keepalives: heartbeats,
+      keepalives,
     });
     sharedHeartbeats.announceAttention(NAMES);
     const added = sent.filter(({ isSnapshot }) => !isSnapshot);
@@ -490,18 +490,18 @@
   test('ended jobs are cached beside 8,000 live ones until the caches are dropped', async () => {
     const entries = NAMES.map((name) => ({ key: `job/req-${name}`, value: {}, stamp: 1 }));
     const state = { list: () => Promise.resolve({ entries, revision: 3 }) } as never;
-    const reads = new JobReader(state, systemClock, 10_000, 10);
-    await reads.find(`req-${NAMES[0]}`);
-    for (const name of NAMES) reads.rememberEnded(`gone-${name}`, { stage: 'done', done: 1 } as never);
-    expect(NAMES.filter((name) => !reads.hasEnded(`gone-${name}`))).toEqual([]);
-    reads.dropCaches();
-    expect(NAMES.filter((name) => reads.hasEnded(`gone-${name}`))).toEqual([]);
+    const reader = new JobReader(state, systemClock, 10_000, 10);
+    await reader.find(`req-${NAMES[0]}`);
+    for (const name of NAMES) reader.rememberEnded(`gone-${name}`, { stage: 'done', done: 1 } as never);
+    expect(NAMES.filter((name) => !reader.hasEnded(`gone-${name}`))).toEqual([]);
+    reader.dropCaches();
+    expect(NAMES.filter((name) => reader.hasEnded(`gone-${name}`))).toEqual([]);
   });
 
   test('a refused read takes precedence although 8,000 others were refused since', () => {
     const admission = new Admission(systemClock, 16);
     const admit = (name: string): number | null => admission.admit('show', name);
-    for (let held = 0; held < 12; held += 1) admission.admit('show');
+    for (let i = 0; i < 12; i += 1) admission.admit('show');
     for (const name of NAMES) admit(name);
     expect(admit(NAMES[0] ?? '')).toBeNull();
   });
@@ -525,7 +525,7 @@
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
   const { port } = server.address() as AddressInfo;
   const agents = Array.from({ length: workers }, () => new Agent({ keepAlive: true, maxSockets: 1 }));
-  const sendReport = (agent: Agent): Promise<number> =>
+  const sendHeartbeat = (agent: Agent): Promise<number> =>
     new Promise((resolve) => {
       const sent = request({ port, method: 'POST', path: '/v1/report', agent }, (response) => {
         response.resume();
@@ -536,7 +536,7 @@
     });
   const answers: number[] = [];
   for (let round = 0; round < 2; round += 1)
-    for (const agent of agents) answers.push(await sendReport(agent));
+    for (const agent of agents) answers.push(await sendHeartbeat(agent));
   for (const agent of agents) agent.destroy();
   expect(answers.filter((status) => status !== 200)).toEqual([]);
 });
--- a/test/read-consistency.test.ts
+++ b/test/read-consistency.test.ts
@@ -31,7 +31,7 @@
       return answer;
     };
     const { emulator } = this;
-    const service: KeyValueStore = {
+    const store: KeyValueStore = {
       read: async (key) => (await delayed(`read ${key}`, () => ({ entry: emulator.read(key) }))) ?? 'unknown',
       list: async (prefix) =>
         (await delayed(`list ${prefix}`, () => ({
@@ -58,7 +58,7 @@
       defer: (call: () => void) => this.clock.in(0, call),
       startMeasuring: () => () => ({ elapsedMs: 0, cpuMs: 0 }),
     };
-    this.reader = new JobReader(service, clock, rps, 80);
+    this.reader = new JobReader(store, clock, rps, 80);
   }
 
   submit(id: string): void {
