--- a/bench/between.ts
+++ b/bench/between.ts
@@ -1,6 +1,6 @@
 /**
  * Performs simulated runs with faults of controllers and of their links to workers, peers and the key-value store.
- * Measures the longest pause between task starts, and counts the machines returned alive and the leases lost. Prints
+ * Measures the longest pause between task starts, and counts the machines terminated alive and the leases lost. Prints
  * one JSON line for one kind of fault.
  */
 import { build as buildHistogram, type Histogram } from 'hdr-histogram-js';
@@ -11,7 +11,7 @@
 
 type Fault = (simulation: Simulation, leader: number, size: number) => void;
 
-const others = (leader: number): number[] => [0, 1, 2].filter((node) => node !== leader);
+const peersOf = (leader: number): number[] => [0, 1, 2].filter((node) => node !== leader);
 const partitionFromWorkers: Fault = (simulation, leader, size) => {
   for (const name of simulation.cloud.workers.keys())
     simulation.network.partition(`n-${leader}`, name, 15_000 + 20_000 * size);
@@ -24,7 +24,7 @@
   crash: (simulation, leader) => simulation.crash(leader, 5000),
   'two crash': (simulation, leader, size) => {
     simulation.crash(leader, 5000);
-    simulation.clock.in(1000 * size, () => simulation.crash(others(leader)[0] as number, 5000));
+    simulation.clock.in(1000 * size, () => simulation.crash(peersOf(leader)[0] as number, 5000));
   },
   'no workers': partitionFromWorkers,
   'no state service': (simulation, leader, size) =>
@@ -41,9 +41,9 @@
 };
 
 interface RunResult {
-  readonly pause: number;
-  readonly suspected: number | null;
-  readonly elected: number | null;
+  readonly longestPauseMs: number;
+  readonly suspectedAfterMs: number | null;
+  readonly electedAfterMs: number | null;
   readonly changes: number;
   readonly givenBack: number;
   readonly leases: number;
@@ -73,25 +73,27 @@
   const faultAt = simulation.clock.now;
   const [leader = 'n-0'] = simulation.leaders();
   fault(simulation, Number(leader.slice(2)), draw());
-  let pause = 0;
+  let longestPauseMs = 0;
   let lastStartAt = faultAt;
   let { started } = simulation.checker;
   while (simulation.clock.now < faultAt + OBSERVED_MS) {
     await simulation.clock.runUntil(simulation.clock.now + 100);
     if (simulation.checker.started > started) lastStartAt = simulation.clock.now;
     started = simulation.checker.started;
-    pause = Math.max(pause, simulation.clock.now - lastStartAt);
+    longestPauseMs = Math.max(longestPauseMs, simulation.clock.now - lastStartAt);
   }
   await simulation.clock.runUntil(faultAt + 150_000);
   const logged = simulation.logged.filter(({ at }) => at >= faultAt);
   const since = (at: number | undefined): number | null => (at === undefined ? null : at - faultAt);
   const whileObserved = logged.filter(({ at }) => at < faultAt + OBSERVED_MS);
   return {
-    pause,
-    suspected: since(whileObserved.find(({ msg, peer }) => msg === 'peer suspected' && peer === leader)?.at),
-    elected: since(whileObserved.find(({ msg }) => msg === 'leader elected')?.at),
+    longestPauseMs,
+    suspectedAfterMs: since(
+      whileObserved.find(({ msg, peer }) => msg === 'peer suspected' && peer === leader)?.at,
+    ),
+    electedAfterMs: since(whileObserved.find(({ msg }) => msg === 'leader elected')?.at),
     changes: whileObserved.filter(({ msg }) => msg === 'leader elected').length,
-    // No machine fails in these runs, so every machine that is returned for another reason than idleness was alive.
+    // No machine fails in these runs, so every machine terminated for a reason other than idleness was alive.
     givenBack: logged.filter(({ msg, reason }) => msg === 'machine terminated' && reason !== 'idle').length,
     leases: [...simulation.cloud.workers.values()].reduce((sum, { session }) => sum + session - 1, 0),
     broken: simulation.checker.violations,
@@ -112,9 +114,9 @@
   const totals = { changes: 0, givenBack: 0, leases: 0, broken: 0, unfinished: 0 };
   for (let seed = 1; seed <= days; seed += 1) {
     const result = await simulateRun(seed, fault);
-    pause.recordValue(Math.max(1, result.pause));
-    if (result.suspected !== null) suspected.recordValue(Math.max(1, result.suspected));
-    if (result.elected !== null) elected.recordValue(Math.max(1, result.elected));
+    pause.recordValue(Math.max(1, result.longestPauseMs));
+    if (result.suspectedAfterMs !== null) suspected.recordValue(Math.max(1, result.suspectedAfterMs));
+    if (result.electedAfterMs !== null) elected.recordValue(Math.max(1, result.electedAfterMs));
     totals.changes += result.changes;
     totals.givenBack += result.givenBack;
     totals.leases += result.leases;
--- a/bench/fleet.ts
+++ b/bench/fleet.ts
@@ -31,7 +31,7 @@
     msPerReport: costOf('batch').ms / Math.max(1, heartbeats),
     msPerPlaced: costOf('all').ms / Math.max(1, simulation.placed),
     msPerTick: costOf('tick').ms / Math.max(1, costOf('tick').count),
-    worstMs: simulation.worst,
+    worstMs: simulation.worstMs,
     share: costOf('all').ms / (seconds * 1000),
   });
 }
--- a/bench/world.ts
+++ b/bench/world.ts
@@ -9,7 +9,7 @@
 const HEARTBEAT_INTERVAL_MS = 2500;
 const LEASE_MS = 15_250;
 const BOOT_MS = 35_000;
-const COMMIT_MS = 5;
+const COMMIT_LATENCY_MS = 5;
 /** Time after which a probe of a dead machine fails. */
 const PROBE_TIMEOUT_MS = 750;
 const BATCH_MS = 5;
@@ -145,7 +145,7 @@
   #arrivalFactor = 1;
   readonly cost = new Map<string, Cost>();
   placed = 0;
-  worst = 0;
+  worstMs = 0;
 
   constructor(
     private readonly core: Core,
@@ -331,7 +331,7 @@
     this.#scheduleHeartbeat(machine, this.now + 500);
   }
 
-  #answer(
+  #handleReply(
     reply: number,
     commands: readonly { op: string; job: string; task: number; attempt: number }[],
   ): void {
@@ -372,7 +372,7 @@
   #execute(effect: Effect): void {
     switch (effect.kind) {
       case 'reply':
-        if (effect.body.kind === 'commands') this.#answer(effect.reply, effect.body.commands);
+        if (effect.body.kind === 'commands') this.#handleReply(effect.reply, effect.body.commands);
         else {
           const machine = this.#replies.get(effect.reply);
           this.#replies.delete(effect.reply);
@@ -384,7 +384,7 @@
         break;
       case 'commit': {
         const term = this.#term;
-        this.#schedule(this.now + COMMIT_MS, () => {
+        this.#schedule(this.now + COMMIT_LATENCY_MS, () => {
           // A transaction of an earlier leader fails, because its precondition on the term does not hold.
           if (term !== this.#term) return;
           const { preconditions, mutations } = effect.transaction;
@@ -471,7 +471,7 @@
       const from = performance.now();
       const effects = this.core.step(this.state, batch, this.#time());
       const ms = performance.now() - from;
-      this.worst = Math.max(this.worst, ms);
+      this.worstMs = Math.max(this.worstMs, ms);
       this.#addCost(kind, ms, 1);
       this.#addCost('all', ms, 1);
       this.#addCost('reports', 0, heartbeatCount);
@@ -512,6 +512,6 @@
   reset(): void {
     this.cost.clear();
     this.placed = 0;
-    this.worst = 0;
+    this.worstMs = 0;
   }
 }
