--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -58,7 +58,7 @@
   expect(simulation.state.rejected).toBe(0);
 });
 
-test('peers of both versions decode the messages of the other', () => {
+test('each version decodes the peer messages of the other', () => {
   const [status] = new StatusReader().push(Buffer.from(production.status, 'base64'));
   expect(status).toMatchObject({
     node: 'n-0',
