--- a/bench/between.ts
+++ b/bench/between.ts
@@ -28,14 +28,14 @@
   },
   'no workers': partitionFromWorkers,
   'no state service': (simulation, leader, size) =>
-    simulation.state.refuse(`n-${leader}`, 10_000 + 20_000 * size),
+    simulation.store.refuse(`n-${leader}`, 10_000 + 20_000 * size),
   'refused peers': (simulation, _, size) => simulation.refusePeers(10_000 + 25_000 * size),
   'refused peers, no state service': (simulation, leader, size) => {
     simulation.refusePeers(35_000);
-    simulation.clock.in(3000, () => simulation.state.refuse(`n-${leader}`, 10_000 + 20_000 * size));
+    simulation.clock.in(3000, () => simulation.store.refuse(`n-${leader}`, 10_000 + 20_000 * size));
   },
   'outage, crash': (simulation, leader, size) => {
-    simulation.state.outage(5000 + 6000 * size);
+    simulation.store.outage(5000 + 6000 * size);
     simulation.clock.in(2000, () => simulation.crash(leader, 5000));
   },
 };
@@ -67,7 +67,7 @@
   };
   for (let i = 0; i < 200; i += 1)
     simulation.clock.in(2000 + 300 * i, () => {
-      void simulation.user({ ...jobTemplate, id: `req-${String(i).padStart(6, '0')}` }, null);
+      void simulation.simulateUser({ ...jobTemplate, id: `req-${String(i).padStart(6, '0')}` }, null);
     });
   await simulation.clock.runUntil(EARLIEST_FAULT_MS + 2000 * draw());
   const faultAt = simulation.clock.now;
@@ -75,11 +75,11 @@
   fault(simulation, Number(leader.slice(2)), draw());
   let longestPauseMs = 0;
   let lastStartAt = faultAt;
-  let { started } = simulation.checker;
+  let { startedTasks: started } = simulation.checker;
   while (simulation.clock.now < faultAt + OBSERVED_MS) {
     await simulation.clock.runUntil(simulation.clock.now + 100);
-    if (simulation.checker.started > started) lastStartAt = simulation.clock.now;
-    started = simulation.checker.started;
+    if (simulation.checker.startedTasks > started) lastStartAt = simulation.clock.now;
+    started = simulation.checker.startedTasks;
     longestPauseMs = Math.max(longestPauseMs, simulation.clock.now - lastStartAt);
   }
   await simulation.clock.runUntil(faultAt + 150_000);
--- a/demo/emulators.ts
+++ b/demo/emulators.ts
@@ -9,12 +9,12 @@
 import type { ListedMachine, Mutation } from '../src/core/types.js';
 import { parseAddress } from '../src/config/settings.js';
 import type { Entry } from '../src/wire/key-value-store.js';
-import { asObject, isText } from '../src/core/values.js';
+import { asObject, isNonEmptyString } from '../src/core/values.js';
 import { Checker } from '../test/emulators/checker.js';
 import { VirtualClock } from '../test/emulators/clock.js';
 import { CloudEmulator, TYPES, Worker } from '../test/emulators/cloud.js';
 import { Network } from '../test/emulators/network.js';
-import { StateEmulator } from '../test/emulators/state.js';
+import { StoreEmulator } from '../test/emulators/state.js';
 import { seeded, testSettings } from '../test/emulators/simulation.js';
 
 const NODES = 3;
@@ -23,7 +23,7 @@
 
 const clock = new VirtualClock();
 const network = new Network(clock, seeded(1));
-const state = new StateEmulator(network);
+const state = new StoreEmulator(network);
 const checker = new Checker(30_000, 0);
 export const settings = Array.from({ length: NODES }, (_, i) => testSettings(i));
 const names = settings.map((one) => one.host_name);
@@ -33,11 +33,11 @@
 const cloud = new CloudEmulator(network, (listed: ListedMachine) => {
   const rules = {
     nodes: names,
-    reportMs: 1000,
+    heartbeatIntervalMs: 1000,
     leaseMs: 10_000,
     runMs: () => RUN_MS,
     isBroken: () => false,
-    copy: () => null,
+    drawDuplicate: () => null,
   };
   return new Worker(listed, network, rules, checker, (node, body, reply) => {
     const call = clients.get(node)?.request('POST', '/v1/report', JSON.stringify(body), 4000);
@@ -74,7 +74,7 @@
 app.post('/commit', (request, response) => {
   const body = asObject(request.body) ?? {};
   const apply = ((body['apply'] ?? []) as Record<string, unknown>[]).map((raw): Mutation => {
-    if (!isText(raw['put'])) return { remove: text(raw['remove']) };
+    if (!isNonEmptyString(raw['put'])) return { remove: text(raw['remove']) };
     const lease = raw['permit'];
     return { put: raw['put'], value: raw['data'], ...(typeof lease === 'number' ? { lease } : {}) };
   });
@@ -155,7 +155,7 @@
 });
 app.post('/machines/return', (request, response) => {
   const skiffs = asObject(request.body)?.['skiffs'];
-  for (const name of Array.isArray(skiffs) ? skiffs.filter(isText) : []) cloud.terminate(name);
+  for (const name of Array.isArray(skiffs) ? skiffs.filter(isNonEmptyString) : []) cloud.terminate(name);
   response.json({});
 });
 
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -6,7 +6,7 @@
 import { createServer } from 'node:net';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { HttpClient } from '../src/adapters/http-client.js';
-import { asObject, isText } from '../src/core/values.js';
+import { asObject, isNonEmptyString } from '../src/core/values.js';
 import { parseAddress } from '../src/config/settings.js';
 import { demoJob, settings, startEmulators } from './emulators.js';
 
@@ -71,7 +71,7 @@
   const until = Date.now() + TIMEOUT_MS;
   while (Date.now() < until) {
     const name = (await requestAny('GET', '/status', null))['leader'];
-    if (isText(name) && children.has(name)) return name;
+    if (isNonEmptyString(name) && children.has(name)) return name;
     await sleep(300);
   }
   fail('no leader was elected');
--- a/src/adapters/job-reader.ts
+++ b/src/adapters/job-reader.ts
@@ -3,7 +3,14 @@
  * of the live jobs is refreshed by one request for all lookups that arrived before it, so each result is as fresh as
  * a read made after its lookup. Ended jobs never change and are cached. Alternatives: docs/reads.md.
  */
-import { decodeEnded, decodeJob, endedKey, JOB_PREFIX, jobKey, jobOfKey } from '../core/persistence/index.js';
+import {
+  decodeEnded,
+  decodeJob,
+  endedKey,
+  JOB_PREFIX,
+  jobKey,
+  jobIdOfKey,
+} from '../core/persistence/index.js';
 import type { EndedRecord, JobSpec } from '../core/types.js';
 import type { KeyChange } from '../wire/key-value-store.js';
 import type { Clock } from './clock.js';
@@ -187,14 +194,14 @@
     if (jobs === 'unknown') return false;
     this.#live.clear();
     for (const { key, value, modRevision } of jobs.entries)
-      this.#live.set(jobOfKey(key), decodeLiveJob(value, modRevision));
+      this.#live.set(jobIdOfKey(key), decodeLiveJob(value, modRevision));
     this.#revision = jobs.revision;
     return true;
   }
 
   #applyChange({ key, value, modRevision }: KeyChange): void {
-    if (value === undefined) this.#live.delete(jobOfKey(key));
-    else this.#live.set(jobOfKey(key), decodeLiveJob(value, modRevision));
+    if (value === undefined) this.#live.delete(jobIdOfKey(key));
+    else this.#live.set(jobIdOfKey(key), decodeLiveJob(value, modRevision));
   }
 
   /**
--- a/src/adapters/peer-links.ts
+++ b/src/adapters/peer-links.ts
@@ -5,7 +5,7 @@
 import type { Log, EventCounter } from '../observability/logging.js';
 import { parseAddress, type PlatformSettings, type Timing } from '../config/settings.js';
 import type { IntakeMessage } from '../wire/intake.js';
-import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../wire/peers.js';
+import { encodeIntake, encodeStatus, PeerMessageReader, type PeerStatus } from '../wire/peers.js';
 import type { Clock } from './clock.js';
 
 /** Minimum of the bound on a link's unsent bytes; a link above the bound counts as stalled. */
@@ -99,7 +99,7 @@
       oldest?.destroy();
     }
     this.#acceptedSockets.add(socket);
-    const reader = new StatusReader((message) => {
+    const reader = new PeerMessageReader((message) => {
       if (this.#peerNames.has(message.node)) this.options.onIntake(message);
     });
     socket.setTimeout(4 * this.options.timing.workerLeaseMs, () => socket.destroy());
--- a/src/adapters/public-server.ts
+++ b/src/adapters/public-server.ts
@@ -24,7 +24,7 @@
 export interface PublicApi {
   readonly users: Pick<UserRequests, 'submit' | 'show' | 'cancel'>;
   /** Handles a heartbeat's body; `done` is called once with the status and body of the response. */
-  report(body: unknown, done: (status: number, body: string) => void): void;
+  handleHeartbeat(body: unknown, done: (status: number, body: string) => void): void;
   /** Whether the node can serve users and workers now. */
   ready(): boolean;
   /** The status page; `brief` omits the parts that require an iteration over all jobs and machines. */
@@ -53,7 +53,7 @@
   });
   request.on('end', () => {
     const body = bytes <= MAX_BODY_BYTES ? parseJson(Buffer.concat(chunks).toString('utf8')) : undefined;
-    api.report(body, (status, text) => sendJson(response, status, text));
+    api.handleHeartbeat(body, (status, text) => sendJson(response, status, text));
   });
   request.on('error', () => response.destroy());
 }
--- a/src/adapters/user-requests.ts
+++ b/src/adapters/user-requests.ts
@@ -42,12 +42,12 @@
   /** Whether a leader has recently confirmed that every cancellation has reached all dependent jobs. */
   hasPropagatedCancellations(): boolean;
   /** Machine types that the cloud provider offers, by name; empty until they are known. */
-  types(): ReadonlyMap<string, MachineType>;
+  machineTypes(): ReadonlyMap<string, MachineType>;
   /**
    * Task counts of a job and the number of its wait reason (its index in `WAIT_REASONS` plus one; 0: none), as the
    * leader last reported them; `null` if unknown.
    */
-  counts(id: string): { readonly done: number; readonly running: number; readonly why: number } | null;
+  taskCounts(id: string): { readonly done: number; readonly running: number; readonly why: number } | null;
 }
 
 /** Serves user requests. If the store does not answer, no method rejects; the response asks the user to retry. */
@@ -69,7 +69,7 @@
     const limits = this.context.teams.get(spec.team);
     if (limits === undefined) return `crew ${spec.team} is unknown`;
     let fitsAnyType = false;
-    for (const type of this.context.types().values()) {
+    for (const type of this.context.machineTypes().values()) {
       const hasAllowedZone = type.zones.some(
         (zone) =>
           satisfiesConstraints(spec, type.name, zone, false) ||
@@ -98,7 +98,7 @@
     if (found.kind === 'damaged') return { status: 200, body: encodeJobView({ id, stage: 'pending' }) };
     if (found.kind === 'ended') view = { id, stage: found.record.stage, done: found.record.done, running: 0 };
     else {
-      const { done, running, why } = this.context.counts(id) ?? { done: 0, running: 0, why: 0 };
+      const { done, running, why } = this.context.taskCounts(id) ?? { done: 0, running: 0, why: 0 };
       view = {
         id,
         stage: running > 0 ? 'running' : 'pending',
@@ -121,7 +121,7 @@
     const spec = parsed.value;
     const { id } = spec;
     if (this.#reader.hasEnded(id)) return this.#respond(id, await this.#lookUp(id));
-    if (this.context.types().size === 0) return RETRY_LATER;
+    if (this.context.machineTypes().size === 0) return RETRY_LATER;
     const reason = this.#infeasibilityReason(spec);
     if (reason !== null) {
       // Submission is idempotent: an accepted job stays accepted, whatever a later submission under its id contains.
@@ -251,7 +251,12 @@
       if (found.kind !== 'live' && found.kind !== 'damaged') return this.#renderJob(id, found);
       const tasks = found.kind === 'live' ? found.spec.tasks : 0;
       const at = Math.round(this.context.clock.epochMs());
-      const record: EndedRecord = { stage: 'withdrawn', tasks, done: this.context.counts(id)?.done ?? 0, at };
+      const record: EndedRecord = {
+        stage: 'withdrawn',
+        tasks,
+        done: this.context.taskCounts(id)?.done ?? 0,
+        at,
+      };
       const outcome = await this.context.store.commit({
         preconditions: [{ key: jobKey(id), modRevision: found.modRevision }],
         mutations: [{ remove: jobKey(id) }, { put: endedKey(id), value: record }],
--- a/src/controller/context.ts
+++ b/src/controller/context.ts
@@ -10,7 +10,7 @@
 
 /** Dependencies of a controller: adapters to the outside, the scheduling policy and the identity of its process. */
 export interface Ports {
-  readonly state: KeyValueStore;
+  readonly store: KeyValueStore;
   readonly cloud: Cloud;
   readonly workers: WorkerClient;
   readonly clock: Clock;
@@ -40,7 +40,7 @@
 }
 
 /** Milliseconds since the key-value store last answered this node; 0xffffffff: it never has. */
-export function storeContactAgeMs({ ports: { state, clock } }: ControllerContext): number {
-  const contact = state.lastContactAt();
+export function storeContactAgeMs({ ports: { store, clock } }: ControllerContext): number {
+  const contact = store.lastContactAt();
   return contact === null ? 0xffffffff : Math.max(0, Math.round(clock.monotonicMs() - contact));
 }
--- a/src/controller/effect-executor.ts
+++ b/src/controller/effect-executor.ts
@@ -64,7 +64,7 @@
         return void this.#terminate(effect);
       case 'saveDemandHistory':
         // A lost write costs nothing: the history is written again at its next interval.
-        return void this.context.ports.state.commit(effect.transaction);
+        return void this.context.ports.store.commit(effect.transaction);
       case 'attention': {
         this.handlers.announceAttention(effect.machines);
         return;
@@ -87,7 +87,7 @@
   }
 
   #commit({ id, transaction }: EffectOf<'commit'>): Promise<void> {
-    return this.context.ports.state
+    return this.context.ports.store
       .commit(transaction)
       .then((outcome) => this.context.commands.push({ kind: 'committed', id, outcome }));
   }
--- a/src/controller/failure-detector.ts
+++ b/src/controller/failure-detector.ts
@@ -5,7 +5,7 @@
  */
 import {
   Membership,
-  type Resignation,
+  type LeadershipTransfer,
   type SuspicionLevel,
   type SuspicionState,
 } from '../membership/membership.js';
@@ -29,7 +29,7 @@
   /** The leader that this node follows has crashed: its record may be replaced before its lease expires. */
   replaceCrashedLeader(): void;
   /** This node leads, and has to transfer the leadership to a peer. */
-  transferLeadership(transfer: Resignation): void;
+  transferLeadership(transfer: LeadershipTransfer): void;
   /** The nodes that are preferred as leaders. */
   preferredLeaders(): ReadonlySet<string>;
   /** The status has changed, and peers need it before the next regular exchange. */
--- a/src/controller/fallback-responder.ts
+++ b/src/controller/fallback-responder.ts
@@ -15,7 +15,13 @@
 import { MAX_TRACKED_MACHINES } from '../core/limits.js';
 import type { Heartbeat, WorkerCommand } from '../core/types.js';
 import type { Timing } from '../config/settings.js';
-import { relayKey, JOB_PREFIX, jobOfKey, packMachines, type RelayRecord } from '../core/persistence/index.js';
+import {
+  relayKey,
+  JOB_PREFIX,
+  jobIdOfKey,
+  packMachines,
+  type RelayRecord,
+} from '../core/persistence/index.js';
 
 /** The live jobs in a leader's view, and the epoch milliseconds of the read that confirmed the view. */
 export interface LiveJobsSnapshot {
@@ -121,7 +127,7 @@
     const jobs = await this.store.list(JOB_PREFIX);
     if (jobs === 'unknown') return;
     this.#liveJobs.clear();
-    for (const { key } of jobs.entries) this.#liveJobs.add(jobOfKey(key));
+    for (const { key } of jobs.entries) this.#liveJobs.add(jobIdOfKey(key));
     this.#revision = jobs.revision;
     this.#viewConfirmedAt = sentAt;
   }
@@ -136,8 +142,8 @@
       if (found === 'unread' || found.kind === 'tooOld') await this.#load();
       else if (found.kind === 'changes') {
         for (const { key, value } of found.changes) {
-          if (value === undefined) this.#liveJobs.delete(jobOfKey(key));
-          else this.#liveJobs.add(jobOfKey(key));
+          if (value === undefined) this.#liveJobs.delete(jobIdOfKey(key));
+          else this.#liveJobs.add(jobIdOfKey(key));
         }
         this.#revision = found.revision;
         this.#viewConfirmedAt = sentAt;
--- a/src/controller/heartbeat-intake.ts
+++ b/src/controller/heartbeat-intake.ts
@@ -146,7 +146,7 @@
   }
 
   /** Accepts a heartbeat for the leader; false: this node does not accept it now, and the caller has to route it. */
-  take(heartbeat: Heartbeat, done: RespondToWorker): boolean {
+  accept(heartbeat: Heartbeat, done: RespondToWorker): boolean {
     const view = this.#activeView();
     if (view === null || this.#pending.size >= MAX_TRACKED_MACHINES) return false;
     if (heartbeat.token > view.term) return false;
--- a/src/controller/leader-role.ts
+++ b/src/controller/leader-role.ts
@@ -10,7 +10,7 @@
   RELAY_PREFIX,
   FORMAT_KEY,
   JOB_PREFIX,
-  jobOfKey,
+  jobIdOfKey,
   DEMAND_KEY,
   DEMAND_PREFIX,
   parseChunkKey,
@@ -151,8 +151,8 @@
     for (;;) {
       const sentAt = this.context.ports.clock.monotonicMs();
       const [jobs, runs, demandHistory, format] = await Promise.all([
-        this.context.ports.state.list(JOB_PREFIX),
-        this.context.ports.state.list(RUN_PREFIX),
+        this.context.ports.store.list(JOB_PREFIX),
+        this.context.ports.store.list(RUN_PREFIX),
         this.#readDemandHistory(),
         this.#readFormat(election.modRevision),
       ]);
@@ -197,8 +197,8 @@
   /** Reads the job classes' demand history: the record of earlier versions, and the parts that this version writes. */
   async #readDemandHistory(): Promise<ClassDemandRecord[] | 'unknown'> {
     const [legacyRecord, parts] = await Promise.all([
-      this.context.ports.state.read(DEMAND_KEY),
-      this.context.ports.state.list(DEMAND_PREFIX),
+      this.context.ports.store.read(DEMAND_KEY),
+      this.context.ports.store.list(DEMAND_PREFIX),
     ]);
     if (legacyRecord === 'unknown' || parts === 'unknown') return 'unknown';
     // If several records contain a class, the last of them takes precedence.
@@ -210,13 +210,13 @@
    * now allow, the record is replaced by one with a smaller width.
    */
   async #readFormat(termRevision: number): Promise<FormatRecord | null | 'unknown'> {
-    const read = await this.context.ports.state.read(FORMAT_KEY);
+    const read = await this.context.ports.store.read(FORMAT_KEY);
     if (read === 'unknown') return 'unknown';
     const known = decodeFormat(read.entry?.value);
     if (known === null || read.entry === null) return null;
     const record = formatRecord(this.context.settings, known);
     if (record.tasks === known.tasks) return known;
-    const outcome = await this.context.ports.state.commit({
+    const outcome = await this.context.ports.store.commit({
       preconditions: [
         { key: TERM_KEY, modRevision: termRevision },
         { key: FORMAT_KEY, modRevision: read.entry.modRevision },
@@ -231,7 +231,7 @@
     let after = revision;
     while (this.context.leadershipView.leadingTerm === term) {
       const sentAt = this.context.ports.clock.monotonicMs();
-      const found = await this.context.ports.state.watch(
+      const found = await this.context.ports.store.watch(
         JOB_PREFIX,
         after,
         this.context.timing.watchTimeoutMs,
@@ -239,7 +239,7 @@
       if (found.kind === 'unknown') {
         await this.context.ports.clock.sleep(this.context.timing.tickMs);
       } else if (found.kind === 'tooOld') {
-        const jobs = await this.context.ports.state.list(JOB_PREFIX);
+        const jobs = await this.context.ports.store.list(JOB_PREFIX);
         if (jobs === 'unknown') continue;
         after = jobs.revision;
         this.context.commands.push({
@@ -252,7 +252,7 @@
         after = found.revision;
         for (const { key, value, modRevision } of found.changes) {
           const spec = decodeJob(value);
-          if (value === undefined) this.context.commands.push({ kind: 'jobRemoved', id: jobOfKey(key) });
+          if (value === undefined) this.context.commands.push({ kind: 'jobRemoved', id: jobIdOfKey(key) });
           else if (spec !== null)
             this.context.commands.push({ kind: 'jobAdded', job: { value: spec, modRevision } });
         }
@@ -265,7 +265,7 @@
   async resolveDependencies(ids: readonly string[]): Promise<void> {
     const found = await Promise.all(
       ids.map(async (id) => {
-        const job = await readJob(this.context.ports.state, id);
+        const job = await readJob(this.context.ports.store, id);
         return [
           id,
           job.kind === 'ended' ? job.record : job.kind === 'damaged' ? 'unknown' : job.kind,
@@ -281,7 +281,7 @@
     const chunks = new Map<string, number>();
     let isComplete = true;
     for (const id of ids) {
-      const job = await readJob(this.context.ports.state, id);
+      const job = await readJob(this.context.ports.store, id);
       if (job.kind === 'unknown') isComplete = false;
       else
         jobs.set(id, {
@@ -291,7 +291,7 @@
       if (!isComplete) break;
     }
     for (const key of isComplete ? keys : []) {
-      const read = await this.context.ports.state.read(key);
+      const read = await this.context.ports.store.read(key);
       if (read === 'unknown') isComplete = false;
       else if (read.entry !== null) chunks.set(key, read.entry.modRevision);
       if (!isComplete) break;
@@ -322,7 +322,7 @@
         )
           silentMachines += 1;
       if (silentMachines === 0) continue;
-      const found = await this.context.ports.state.list(RELAY_PREFIX);
+      const found = await this.context.ports.store.list(RELAY_PREFIX);
       if (found === 'unknown') continue;
       for (const { value } of found.entries) {
         const record = decodeRelay(value);
@@ -351,9 +351,9 @@
     );
     for (;;) {
       if (this.context.commands.state.leadership !== null) {
-        const askedAt = this.context.ports.clock.monotonicMs();
+        const requestedAt = this.context.ports.clock.monotonicMs();
         const machines = await this.context.ports.cloud.listMachines();
-        if (machines !== null) this.context.commands.push({ kind: 'machinesListed', askedAt, machines });
+        if (machines !== null) this.context.commands.push({ kind: 'machinesListed', requestedAt, machines });
       }
       await this.context.ports.clock.sleep(intervalMs);
     }
--- a/src/controller/node.ts
+++ b/src/controller/node.ts
@@ -8,7 +8,7 @@
 import { LatencyHistograms } from '../observability/latency.js';
 import { EventCounter } from '../observability/logging.js';
 import { createElection, type ElectionResult } from '../membership/election.js';
-import type { Resignation } from '../membership/membership.js';
+import type { LeadershipTransfer } from '../membership/membership.js';
 import type { LinkState } from '../membership/status.js';
 import { createCoreConfig } from '../config/core-config.js';
 import { strictestLimits, timing, type PlatformSettings } from '../config/settings.js';
@@ -119,7 +119,7 @@
     const { settings, ports, timing: times } = this.#context;
     return new FallbackResponder(
       settings.host_name,
-      ports.state,
+      ports.store,
       ports.clock,
       times,
       this.#maxValueBytes,
@@ -185,7 +185,7 @@
       candidates: () => this.#followers(),
       isAccepting: (node) => this.#peers.isAcceptingHeartbeats(node),
       send: (to, message) => this.sendIntake(to, message),
-      push: (heartbeat, ageMs, answer) =>
+      submitHeartbeat: (heartbeat, ageMs, answer) =>
         this.#executor.submitHeartbeat(heartbeat, ageMs, (reply) =>
           answer({
             isAccepted: reply.kind === 'commands',
@@ -201,7 +201,7 @@
     const delayMs = this.#leaderRole.isPreferredLeader ? 0 : CAMPAIGN_DELAY_TICKS * times.tickMs;
     return new ElectionDriver(
       createElection(settings.host_name, ports.incarnation, times, delayMs),
-      ports.state,
+      ports.store,
       ports.clock,
       {
         onElected: (result) => this.#onElected(result),
@@ -244,14 +244,14 @@
     const { settings, ports, commands, timing: times } = this.#context;
     return new FormatUpgrade({
       settings,
-      store: ports.state,
+      store: ports.store,
       clock: ports.clock,
       pollIntervalMs: 2 * times.maxHeartbeatIntervalMs,
       termRevision: () => commands.state.leadership?.modRevision ?? null,
       hasEarlierVersionPeer: () => this.#peers.hasPeerOfEarlierFormat(),
       onAdopted: (record) => {
         ports.log.info(record, 'storage format upgraded');
-        ports.state.applyLimits(strictestLimits(settings));
+        ports.store.applyLimits(strictestLimits(settings));
         commands.push({ kind: 'adoptLayout', layout: upgradedLayout(settings, record) });
       },
     });
@@ -272,12 +272,12 @@
       maxPreconditions: 4 * txn_ops,
       supportsDependencies: async () => (await this.#upgrade.refresh()) !== null,
       hasPropagatedCancellations: () => this.#peers.areDependenciesResolved(),
-      store: ports.state,
+      store: ports.store,
       clock: ports.clock,
       teams: commands.state.config.teams,
       requestTimeoutMs: times.storeTimeoutMs,
-      types: () => commands.state.machineTypes,
-      counts: (id) => this.#peers.countOf(id),
+      machineTypes: () => commands.state.machineTypes,
+      taskCounts: (id) => this.#peers.countOf(id),
     });
   }
 
@@ -362,7 +362,7 @@
     const intervalMs = this.#context.timing.storeTimeoutMs / 2;
     for (;;) {
       await this.#context.ports.clock.sleep(intervalMs);
-      if (storeContactAgeMs(this.#context) >= intervalMs) await this.#context.ports.state.read(LEADER_KEY);
+      if (storeContactAgeMs(this.#context) >= intervalMs) await this.#context.ports.store.read(LEADER_KEY);
       const to = this.#leaderRole.preferredSuccessor();
       if (to !== null && this.#failureDetector.isEligibleSuccessor(to))
         void this.#transferLeadership({ to, reason: 'a preferred leader is available again' });
@@ -421,7 +421,7 @@
   }
 
   /** Transfers the leadership: nothing new is begun, pending writes are committed, then the successor is named. */
-  async #transferLeadership({ to, reason }: Resignation): Promise<void> {
+  async #transferLeadership({ to, reason }: LeadershipTransfer): Promise<void> {
     const { commands, ports } = this.#context;
     const { leadership } = commands.state;
     if (leadership === null || this.#transferredTerm === leadership.term) return;
@@ -460,18 +460,18 @@
   }
 
   /** Handles a heartbeat as received; a malformed one is answered with status 400. */
-  report(body: unknown, done: (status: number, body: string) => void): void {
+  handleHeartbeat(body: unknown, done: (status: number, body: string) => void): void {
     const heartbeat = parseHeartbeat(body);
     if (heartbeat === null) {
       this.malformed.count('reports');
       done(400, '{"error":"malformed report"}');
-    } else this.#handleHeartbeat(heartbeat, done);
+    } else this.#routeHeartbeat(heartbeat, done);
   }
 
-  #handleHeartbeat(heartbeat: Heartbeat, done: (status: number, body: string) => void): void {
+  #routeHeartbeat(heartbeat: Heartbeat, done: (status: number, body: string) => void): void {
     if (this.#context.commands.state.leadership === null) {
       this.#failureDetector.recordWorkerContact();
-      if (!this.#intake.take(heartbeat, done)) this.#followerRole.answer(heartbeat, done);
+      if (!this.#intake.accept(heartbeat, done)) this.#followerRole.answer(heartbeat, done);
       return;
     }
     const follower = this.#sharedHeartbeats.redirect(heartbeat);
--- a/src/controller/shared-heartbeats.ts
+++ b/src/controller/shared-heartbeats.ts
@@ -29,7 +29,7 @@
   isAccepting(node: string): boolean;
   send(to: string, message: IntakeMessage): boolean;
   /** Submits a heartbeat to the core; `answer` is called once. `ageMs`: how long its forwarding took (ms). */
-  push(
+  submitHeartbeat(
     heartbeat: Heartbeat,
     ageMs: number,
     answer: (answer: Omit<ForwardedAnswer, 'reference'>) => void,
@@ -101,7 +101,9 @@
     }
     for (const { reference, heartbeat } of message.heartbeats) {
       this.#assignFollower(heartbeat.machine, message.node);
-      this.context.push(heartbeat, ageMs, (answer) => this.#answer(message.node, { reference, ...answer }));
+      this.context.submitHeartbeat(heartbeat, ageMs, (answer) =>
+        this.#answer(message.node, { reference, ...answer }),
+      );
     }
   }
 
--- a/src/core/attention.ts
+++ b/src/core/attention.ts
@@ -13,7 +13,7 @@
 }
 
 /** Marks that the next heartbeat of this machine has to reach the leader; does nothing for an unknown machine. */
-export function needAttention(state: CoreState, machineName: string): void {
+export function markForAttention(state: CoreState, machineName: string): void {
   const machine = state.machines.get(machineName);
   if (machine === undefined || state.attention.has(machine)) return;
   state.attention.add(machine);
@@ -21,7 +21,7 @@
 }
 
 /** Brings the set up to date after an answer. Returns whether the machine's next heartbeat has to reach the leader. */
-export function settleAttention(state: CoreState, machine: Machine): boolean {
+export function refreshAttention(state: CoreState, machine: Machine): boolean {
   const needs = [...machine.claims.values()].some(needsCommand);
   if (needs) state.attention.add(machine);
   else state.attention.delete(machine);
--- a/src/core/autoscaling/demand-history.ts
+++ b/src/core/autoscaling/demand-history.ts
@@ -3,7 +3,7 @@
  * determines the headroom for classes that cannot wait for a machine to boot, and is stored for the next leader.
  */
 import type { Effect } from '../effects.js';
-import { expectedRun, isReady } from '../jobs/jobs.js';
+import { expectedRunMs, isReady } from '../jobs/jobs.js';
 import type { Demand, JobState, Now } from '../model.js';
 import {
   DEMAND_KEY,
@@ -26,7 +26,7 @@
 function recordArrival(state: CoreState, job: JobState, now: Now): void {
   const { spec } = job;
   const known = state.demand.get(spec.jobClass);
-  const stayMs = expectedRun(state, spec) + state.config.timing.maxHeartbeatIntervalMs;
+  const stayMs = expectedRunMs(state, spec) + state.config.timing.maxHeartbeatIntervalMs;
   const until = now.monotonicMs - (now.epochMs - job.readyAt) + stayMs;
   state.demand.set(spec.jobClass, {
     spec,
@@ -34,11 +34,11 @@
     arrivals: [...(known?.arrivals ?? []), { until, job }],
     updatedAt: known?.updatedAt ?? now.monotonicMs,
     lastArrivalAt: now.monotonicMs,
-    meanArrivalGap:
+    meanArrivalGapMs:
       known === undefined
         ? state.config.policy.demandDecayMs * INITIAL_GAP_SHARE
-        : known.meanArrivalGap +
-          (now.monotonicMs - known.lastArrivalAt - known.meanArrivalGap) * ARRIVAL_GAP_WEIGHT,
+        : known.meanArrivalGapMs +
+          (now.monotonicMs - known.lastArrivalAt - known.meanArrivalGapMs) * ARRIVAL_GAP_WEIGHT,
   });
 }
 
@@ -72,11 +72,11 @@
 /** The stored form of the history, limited to the first `MAX_SAVED_CLASSES` classes. */
 function demandRecords(state: CoreState): ClassDemandRecord[] {
   const classes: ClassDemandRecord[] = [];
-  for (const [name, { spec, peak, meanArrivalGap }] of state.demand) {
+  for (const [name, { spec, peak, meanArrivalGapMs }] of state.demand) {
     if (classes.length >= MAX_SAVED_CLASSES) break;
     // Dependencies belong to a single job, not to its class.
     const { awaits: _, ...pattern } = spec;
-    classes.push({ spec: pattern, peak, gap: meanArrivalGap, ratio: state.runTimeRatio.get(name) ?? 1 });
+    classes.push({ spec: pattern, peak, gap: meanArrivalGapMs, ratio: state.runTimeRatio.get(name) ?? 1 });
   }
   return classes;
 }
@@ -113,7 +113,7 @@
     state.demand.set(spec.jobClass, {
       spec,
       peak,
-      meanArrivalGap: gap,
+      meanArrivalGapMs: gap,
       arrivals: [],
       updatedAt: now.monotonicMs,
       lastArrivalAt: now.monotonicMs,
--- a/src/core/autoscaling/headroom-planning.ts
+++ b/src/core/autoscaling/headroom-planning.ts
@@ -53,8 +53,8 @@
 }
 
 /** Whether no more arrivals of a class are expected: none has come for several mean gaps, or several boot times. */
-function hasEnded({ lastArrivalAt, meanArrivalGap }: Demand, bootS: number, now: Now): boolean {
-  const maxGapMs = Math.min(MAX_ARRIVAL_GAPS * meanArrivalGap, MAX_ARRIVAL_GAP_BOOTS * 1000 * bootS);
+function hasEnded({ lastArrivalAt, meanArrivalGapMs }: Demand, bootS: number, now: Now): boolean {
+  const maxGapMs = Math.min(MAX_ARRIVAL_GAPS * meanArrivalGapMs, MAX_ARRIVAL_GAP_BOOTS * 1000 * bootS);
   return now.monotonicMs - lastArrivalAt > maxGapMs;
 }
 
--- a/src/core/autoscaling/scale-out.ts
+++ b/src/core/autoscaling/scale-out.ts
@@ -35,7 +35,7 @@
   effects: Effect[],
 ): void {
   for (let left = count; left > 0; left -= MAX_INSTANCES_PER_REQUEST) {
-    const requestId = `t${leadership.term}-${state.nextRequest++}`;
+    const requestId = `t${leadership.term}-${state.nextRequestNumber++}`;
     const instances = {
       type: kind.type.name,
       zone: kind.zone,
--- a/src/core/autoscaling/task-planning.ts
+++ b/src/core/autoscaling/task-planning.ts
@@ -1,5 +1,5 @@
 /** Plans a job's waiting tasks onto the machines of a capacity plan, and requests the instances that are missing. */
-import { expectedRun } from '../jobs/jobs.js';
+import { expectedRunMs } from '../jobs/jobs.js';
 import { isBestEffort, isCostSensitive } from '../jobs/best-effort.js';
 import type { JobState } from '../model.js';
 import {
@@ -102,7 +102,7 @@
     candidates: known.candidates,
     kinds,
     latestStartAt,
-    runMs: spec.form === 'service' ? Infinity : expectedRun(state, spec),
+    runMs: spec.form === 'service' ? Infinity : expectedRunMs(state, spec),
     isSpotOnly: isCostSensitive(state, job, now),
   };
   const limit = Math.max(MAX_PLANNED_TASKS, PLANNED_TASKS_PER_MACHINE * state.machines.size);
--- a/src/core/command-handlers.ts
+++ b/src/core/command-handlers.ts
@@ -59,7 +59,7 @@
   for (const name of machines) {
     const machine = state.machines.get(name);
     if (machine !== undefined)
-      machine.lastRelayedAt = Math.max(machine.lastRelayedAt ?? 0, now.monotonicMs - ageMs);
+      machine.lastContactElsewhereAt = Math.max(machine.lastContactElsewhereAt ?? 0, now.monotonicMs - ageMs);
   }
 }
 
--- a/src/core/create-state.ts
+++ b/src/core/create-state.ts
@@ -15,14 +15,14 @@
   machineTypes: new Map(),
   jobs: new Map(),
   machines: new Map(),
-  nextMachine: 0,
+  nextDiscoveryOrder: 0,
   terminatedMachines: new Set(),
   finalOutcomes: new Map(),
   pendingHeartbeats: new Set(),
-  answerable: [],
+  answerCandidates: [],
   attention: new Set(),
   newAttentionNames: [],
-  unexpected: [],
+  unexpectedMachines: [],
   silentZones: new Map(),
   isOverloaded: false,
   health: null,
@@ -31,7 +31,7 @@
   pendingLayout: null,
   dirtyJobs: { start: new Set(), end: new Set(), exit: new Set(), clean: new Set() },
   commit: null,
-  nextCommit: 1,
+  nextCommitId: 1,
   commitNotBefore: 0,
   pendingReconciliation: null,
   writesJobsSingly: false,
@@ -45,7 +45,7 @@
   queue: [],
   reservedJobs: [],
   guaranteedJobs: new Set(),
-  head: null,
+  headReservation: null,
   isPlacementDue: false,
   lastPlacementAt: 0,
   deferrablePlacements: Infinity,
@@ -57,7 +57,7 @@
   changedMachines: new Set(),
   capacityIndex: new CapacityIndex(),
   provisioningRequests: new Map(),
-  nextRequest: 1,
+  nextRequestNumber: 1,
   provisionNotBefore: 0,
   provisioningBlockedUntil: new Map(),
   nextPlanAt: 0,
@@ -77,10 +77,10 @@
   state.machines.clear();
   state.terminatedMachines.clear();
   state.pendingHeartbeats.clear();
-  state.answerable.length = 0;
+  state.answerCandidates.length = 0;
   state.attention.clear();
   state.newAttentionNames.length = 0;
-  state.unexpected.length = 0;
+  state.unexpectedMachines.length = 0;
   state.silentZones.clear();
   state.health = null;
   state.pendingLayout = null;
@@ -98,7 +98,7 @@
   state.queue = [];
   state.reservedJobs = [];
   state.guaranteedJobs.clear();
-  state.head = null;
+  state.headReservation = null;
   for (const claims of state.claimsByPriority.values()) claims.clear();
   state.preemptedClaims.clear();
   state.outstandingByClass.clear();
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -120,8 +120,12 @@
   | { readonly kind: 'reconciled'; readonly found: ReconciledRecords | null }
   /** The cloud's machine types. */
   | { readonly kind: 'catalog'; readonly types: readonly MachineType[] }
-  /** The cloud's list of machines, requested at `askedAt`. */
-  | { readonly kind: 'machinesListed'; readonly askedAt: number; readonly machines: readonly ListedMachine[] }
+  /** The cloud's list of machines, requested at `requestedAt`. */
+  | {
+      readonly kind: 'machinesListed';
+      readonly requestedAt: number;
+      readonly machines: readonly ListedMachine[];
+    }
   /** The outcome of a provisioning request: the names of the new machines, or why there are none. */
   | {
       readonly kind: 'provisioned';
--- a/src/core/fleet/failure-detection.ts
+++ b/src/core/fleet/failure-detection.ts
@@ -122,8 +122,11 @@
 /** The reason to terminate a machine that has never reported to this leader; null if there is none. */
 function checkNeverReported(pass: DetectionPass, machine: Machine): TerminationReason | null {
   const { state, now, health } = pass;
-  const { lastRelayedAt } = machine;
-  if (lastRelayedAt !== null && now.monotonicMs - lastRelayedAt < state.config.timing.silenceTimeoutMs)
+  const { lastContactElsewhereAt } = machine;
+  if (
+    lastContactElsewhereAt !== null &&
+    now.monotonicMs - lastContactElsewhereAt < state.config.timing.silenceTimeoutMs
+  )
     return null;
   const zoneSilentSince = health.partitionedZones.has(machine.zone)
     ? state.silentZones.get(machine.zone)
@@ -165,7 +168,7 @@
   const { state, now } = pass;
   if (isUnreachable(machine)) return TerminationReason.unreachable;
   if (machine.lastHeartbeatAt === null) return checkNeverReported(pass, machine);
-  const silentMs = now.monotonicMs - Math.max(machine.lastHeartbeatAt, machine.lastRelayedAt ?? 0);
+  const silentMs = now.monotonicMs - Math.max(machine.lastHeartbeatAt, machine.lastContactElsewhereAt ?? 0);
   if (machine.reclaimedAt !== null) {
     const goneAfterMs = RECLAIMED_SILENCE_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
     if (now.monotonicMs > machine.reclaimedAt && silentMs > goneAfterMs) return TerminationReason.reclaimed;
--- a/src/core/fleet/graceful-eviction.ts
+++ b/src/core/fleet/graceful-eviction.ts
@@ -1,5 +1,5 @@
 /** Graceful eviction of tasks from a machine that the cloud is about to reclaim. */
-import { needAttention } from '../attention.js';
+import { markForAttention } from '../attention.js';
 import type { LiveClaim, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import { expectedEnd } from './expected-end.js';
@@ -27,6 +27,6 @@
     if (claim.stopRequested || expectedEnd(state, claim, now) <= reclaimedAt) continue;
     if (canSaveLater(state, claim, reclaimedAt, now)) continue;
     claim.stopRequested = true;
-    needAttention(state, machine.name);
+    markForAttention(state, machine.name);
   }
 }
--- a/src/core/fleet/health-summary.ts
+++ b/src/core/fleet/health-summary.ts
@@ -146,7 +146,7 @@
 
 function countMachine(pass: SummaryPass, machine: Machine): void {
   const { state, now, fleet } = pass;
-  const { lastHeartbeatAt, lastRelayedAt } = machine;
+  const { lastHeartbeatAt, lastContactElsewhereAt } = machine;
   const zone = zoneCountsOf(pass.zones, machine.zone);
   if (lastHeartbeatAt !== null && lastHeartbeatAt > fleet.lastHeartbeatAt)
     fleet.lastHeartbeatAt = lastHeartbeatAt;
@@ -154,7 +154,7 @@
   if (shouldBeUp(machine)) countRunning(pass, zone, machine);
   if (lastHeartbeatAt === null || machine.terminationReason !== null) return;
   fleet.known += 1;
-  const silentMs = now.monotonicMs - Math.max(lastHeartbeatAt, lastRelayedAt ?? 0);
+  const silentMs = now.monotonicMs - Math.max(lastHeartbeatAt, lastContactElsewhereAt ?? 0);
   if (silentMs > SILENT_INTERVALS * state.config.timing.maxHeartbeatIntervalMs) fleet.silent += 1;
 }
 
--- a/src/core/fleet/heartbeats.ts
+++ b/src/core/fleet/heartbeats.ts
@@ -77,7 +77,7 @@
  */
 function recordDirectAnswer(machine: Machine, hasNewEpoch: boolean, now: Now): void {
   machine.leaseExpired ||= hasNewEpoch;
-  if (!machine.leaseExpired) machine.lastRelayedAt = now.monotonicMs;
+  if (!machine.leaseExpired) machine.lastContactElsewhereAt = now.monotonicMs;
 }
 
 /** Records the cloud's notice that it will reclaim the machine. */
@@ -121,7 +121,7 @@
   const isKnown = state.machines.has(heartbeat.machine);
   const machine = getOrCreateMachine(state, heartbeat.machine, now);
   if (!isNewer(machine, heartbeat)) return false;
-  if (!isKnown) state.unexpected.push(heartbeat.machine);
+  if (!isKnown) state.unexpectedMachines.push(heartbeat.machine);
   adoptDescription(state, machine, heartbeat, now);
   if (!isDirectAnswer) observeResponse(state, machine, heartbeat, now);
   const hasNewEpoch = heartbeat.agentEpoch > machine.agentEpoch && machine.agentEpoch > 0;
--- a/src/core/fleet/machines.ts
+++ b/src/core/fleet/machines.ts
@@ -23,7 +23,7 @@
     unacknowledgedStarts: [],
     unresponsiveSince: null,
     missedResponses: 0,
-    lastRelayedAt: null,
+    lastContactElsewhereAt: null,
     leaseExpired: false,
     discoveredAt: now.monotonicMs,
     isReconciled: false,
@@ -51,7 +51,7 @@
 export function getOrCreateMachine(state: CoreState, name: string, now: Now): Machine {
   const known = state.machines.get(name);
   if (known !== undefined) return known;
-  const machine = createMachine(name, state.nextMachine++, now);
+  const machine = createMachine(name, state.nextDiscoveryOrder++, now);
   state.machines.set(name, machine);
   return machine;
 }
--- a/src/core/fleet/pending-heartbeats.ts
+++ b/src/core/fleet/pending-heartbeats.ts
@@ -6,7 +6,7 @@
 export function holdHeartbeat(state: CoreState, machine: Machine, reply: number, now: Now): void {
   machine.pendingHeartbeat = { reply, since: now.monotonicMs };
   state.pendingHeartbeats.add(machine);
-  state.answerable.push(machine);
+  state.answerCandidates.push(machine);
 }
 
 /** Removes and returns a machine's pending heartbeat, which the caller must answer; null if there is none. */
--- a/src/core/fleet/probes.ts
+++ b/src/core/fleet/probes.ts
@@ -15,7 +15,8 @@
 const REACHABLE_INTERVALS = 2;
 
 const isOverdue = (state: CoreState, machine: Machine, now: Now): boolean =>
-  now.monotonicMs - Math.max(machine.lastHeartbeatAt ?? machine.discoveredAt, machine.lastRelayedAt ?? 0) >
+  now.monotonicMs -
+    Math.max(machine.lastHeartbeatAt ?? machine.discoveredAt, machine.lastContactElsewhereAt ?? 0) >
   OVERDUE_INTERVALS * state.config.timing.maxHeartbeatIntervalMs;
 
 /** Whether a machine should be up and sending heartbeats: it has sent one, or holds claims. */
--- a/src/core/fleet/task-reports.ts
+++ b/src/core/fleet/task-reports.ts
@@ -1,5 +1,5 @@
 /** Applies what a heartbeat reports about individual tasks: their stages and exits. */
-import { expectedRun } from '../jobs/jobs.js';
+import { expectedRunMs } from '../jobs/jobs.js';
 import { isDone, taskKey, type LiveClaim, type Machine, type Now } from '../model.js';
 import { recordUnclaimedCompletion, releaseClaim } from '../persistence/claims.js';
 import type { CoreState } from '../state.js';
@@ -91,6 +91,6 @@
   claim.stage = task.stage;
   if (task.stage !== 'running' || claim.runningSince !== null) return;
   claim.runningSince = now.monotonicMs;
-  claim.expectedEnd = now.monotonicMs + expectedRun(state, spec);
+  claim.expectedEnd = now.monotonicMs + expectedRunMs(state, spec);
   recordImageUse(state, machine, spec.image, spec.imageGb);
 }
--- a/src/core/fleet/worker-commands.ts
+++ b/src/core/fleet/worker-commands.ts
@@ -1,8 +1,8 @@
 /** Answers to heartbeats: the commands to start, stop and forget tasks. */
-import { settleAttention } from '../attention.js';
+import { refreshAttention } from '../attention.js';
 import type { Effect } from '../effects.js';
 import { isDone, isExitDurable, taskKey, type Machine } from '../model.js';
-import { isDurable, releaseClaim } from '../persistence/claims.js';
+import { isClaimDurable, releaseClaim } from '../persistence/claims.js';
 import { hasFreshView, type CoreState } from '../state.js';
 import type { ReportedTask, WorkerCommand } from '../types.js';
 import { takePendingHeartbeat } from './pending-heartbeats.js';
@@ -12,7 +12,7 @@
 /** Whether a start for this machine is still waiting for the commit of its claim. */
 export function awaitsCommit(state: CoreState, machine: Machine): boolean {
   for (const claim of machine.claims.values()) {
-    if (!claim.startSent && claim.job.finalStage === null && !isDurable(state, claim)) return true;
+    if (!claim.startSent && claim.job.finalStage === null && !isClaimDurable(state, claim)) return true;
   }
   return false;
 }
@@ -49,7 +49,7 @@
     if (job.finalStage !== null || claim.stopRequested || isDone(job, task)) {
       // No leader has sent this start or will send it, so the task cannot be on the machine.
       if (!claim.startSent) releaseClaim(state, claim, false);
-    } else if (!listed.has(key) && isDurable(state, claim)) {
+    } else if (!listed.has(key) && isClaimDurable(state, claim)) {
       claim.startSent = true;
       commands.push({ op: 'start', job: job.spec.id, task, attempt });
     }
@@ -76,7 +76,7 @@
   const pending = takePendingHeartbeat(state, machine);
   if (pending === null || leadership === null) return;
   const commands = commandsFor(state, machine);
-  settleAttention(state, machine);
+  refreshAttention(state, machine);
   const starts = commands.filter(({ op }) => op === 'start');
   recordResponse(
     state,
--- a/src/core/heartbeat-answers.ts
+++ b/src/core/heartbeat-answers.ts
@@ -21,7 +21,7 @@
 /** Schedules the pending heartbeat of a claim's machine to be checked again in this step. */
 function scheduleRecheck(state: CoreState, claim: LiveClaim | undefined): void {
   const machine = claim && state.machines.get(claim.machine);
-  if (machine !== undefined && machine.pendingHeartbeat !== null) state.answerable.push(machine);
+  if (machine !== undefined && machine.pendingHeartbeat !== null) state.answerCandidates.push(machine);
 }
 
 /**
@@ -60,7 +60,7 @@
  * scheduled for this step.
  */
 export function answerHeartbeats(state: CoreState, now: Now, checkAll: boolean, effects: Effect[]): void {
-  const toConsider = state.answerable.splice(0);
+  const toConsider = state.answerCandidates.splice(0);
   for (const machine of checkAll ? [...state.pendingHeartbeats] : toConsider)
     answerIfReady(state, machine, false, now, effects);
   // Pending heartbeats are in the order of arrival: the loop ends at the first that may wait longer.
--- a/src/core/jobs/best-effort.ts
+++ b/src/core/jobs/best-effort.ts
@@ -3,7 +3,7 @@
 import type { JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
-import { expectedRun } from './jobs.js';
+import { expectedRunMs } from './jobs.js';
 
 /** The lowest priority that a job can be submitted with. */
 export const LOW_PRIORITY = 3;
@@ -35,5 +35,5 @@
   if (now.epochMs - readyAt < maxWaitMs) return true;
   const outstanding = state.outstandingByClass.get(spec.jobClass) ?? 0;
   const rounds = outstanding / Math.max(1, spotSlots(state, spec));
-  return rounds * expectedRun(state, spec) < MAX_BEST_EFFORT_WAITS * maxWaitMs;
+  return rounds * expectedRunMs(state, spec) < MAX_BEST_EFFORT_WAITS * maxWaitMs;
 }
--- a/src/core/jobs/dependencies.ts
+++ b/src/core/jobs/dependencies.ts
@@ -8,7 +8,7 @@
 import type { FinalOutcome, JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { EndedRecord, FinalStage } from '../types.js';
-import { expectedRun, isReady, startLatency, updateTaskCounts } from './jobs.js';
+import { expectedRunMs, isReady, startLatency, updateTaskCounts } from './jobs.js';
 
 /** Outcomes are kept up to this number, or up to twice the number of jobs if that is more. */
 const MIN_REMEMBERED_OUTCOMES = 4000;
@@ -102,7 +102,7 @@
 
 /** Expected time in milliseconds from when a job is ready until it is done. */
 const expectedCompletionMs = (state: CoreState, { spec }: JobState): number =>
-  startLatency(state) + LAST_TASK_RUN_FACTOR * expectedRun(state, spec);
+  startLatency(state) + LAST_TASK_RUN_FACTOR * expectedRunMs(state, spec);
 
 /**
  * Removes an ended job from the index. If `outcome` is null, the committed record is not available,
--- a/src/core/jobs/jobs.ts
+++ b/src/core/jobs/jobs.ts
@@ -3,7 +3,7 @@
  * counts that placement and autoscaling read are updated with each change, so that neither has to
  * iterate over all jobs or all machines.
  */
-import { needAttention } from '../attention.js';
+import { markForAttention } from '../attention.js';
 import { allocate, isFaultyJob, noResources, release } from '../placement/resources.js';
 import { isDone, taskKey, type JobState, type LiveClaim, type Machine } from '../model.js';
 import type { CoreState } from '../state.js';
@@ -29,7 +29,7 @@
  * Expected run time of a task in milliseconds: the submitted estimate as adjusted by the policy, corrected by
  * the ratio of run time to estimate observed in its class.
  */
-export function expectedRun(state: CoreState, spec: JobSpec): number {
+export function expectedRunMs(state: CoreState, spec: JobSpec): number {
   return state.config.policy.expectedRunMs(spec) * (state.runTimeRatio.get(spec.jobClass) ?? 1);
 }
 
@@ -46,11 +46,11 @@
   const waiting = waitingTasks(job);
   // No capacity is held or planned for the waiting tasks of a faulty job.
   const outstanding = job.claims.size + (isFaultyJob(job) ? 0 : waiting);
-  if (outstanding !== job.outstanding) {
+  if (outstanding !== job.outstandingCount) {
     const { jobClass } = job.spec;
     const classOutstanding = state.outstandingByClass.get(jobClass) ?? 0;
-    state.outstandingByClass.set(jobClass, classOutstanding + outstanding - job.outstanding);
-    job.outstanding = outstanding;
+    state.outstandingByClass.set(jobClass, classOutstanding + outstanding - job.outstandingCount);
+    job.outstandingCount = outstanding;
   }
   if (waiting > 0 && job.waitingCount === 0) {
     state.waitingJobs.add(job);
@@ -84,7 +84,7 @@
   release(machine.allocated, spec);
   state.claimsByPriority.get(spec.priority)?.add(claim);
   state.changedMachines.add(machine);
-  needAttention(state, machine.name);
+  markForAttention(state, machine.name);
   addUsage(state, spec);
   updateTaskCounts(state, job);
 }
@@ -94,7 +94,7 @@
   const { job, task } = claim;
   const { spec } = job;
   const machine = state.machines.get(claim.machine);
-  needAttention(state, claim.machine);
+  markForAttention(state, claim.machine);
   job.claims.delete(task);
   state.claimsByPriority.get(spec.priority)?.delete(claim);
   state.preemptedClaims.delete(claim);
@@ -140,6 +140,6 @@
   // tasks that are on machines or were lost, not the job's size.
   job.attempts.delete(task);
   const claim = job.claims.get(task);
-  if (claim !== undefined) needAttention(state, claim.machine);
+  if (claim !== undefined) markForAttention(state, claim.machine);
   updateTaskCounts(state, job);
 }
--- a/src/core/jobs/objectives.ts
+++ b/src/core/jobs/objectives.ts
@@ -7,7 +7,7 @@
 import type { ClassObjectives, JobState, Now } from '../model.js';
 import type { CoreState } from '../state.js';
 import type { JobSpec } from '../types.js';
-import { expectedRun, startLatency } from './jobs.js';
+import { expectedRunMs, startLatency } from './jobs.js';
 
 const NO_OBJECTIVES: ClassObjectives = { startTargetsMs: [], deadlineMultiples: [], finishTargetsMs: [] };
 /** Multiples of the deadline to be met by a class whose objectives define none: the deadline itself. */
@@ -61,7 +61,7 @@
     callback({ slackMs: placeWithinMs - ageMs, atRiskBelowMs: placeWithinMs / 2 });
   }
   if (finishTargetsMs.length === 0 && !hasDeadline(job)) return;
-  const runMs = expectedRun(state, job.spec);
+  const runMs = expectedRunMs(state, job.spec);
   const completionMs = runMs + latencyMs;
   const atRiskBelowMs = AT_RISK_RUN_SHARE * runMs;
   for (const targetMs of finishTargetsMs)
@@ -126,7 +126,7 @@
 
 /** Milliseconds that a job may wait and still be done within `targetMs`: the configured share of its slack. */
 function spendableSlackMs(state: CoreState, spec: JobSpec, targetMs: number): number {
-  return (targetMs - expectedRun(state, spec)) * state.config.policy.deadlineSlackShare(spec);
+  return (targetMs - expectedRunMs(state, spec)) * state.config.policy.deadlineSlackShare(spec);
 }
 
 /** Milliseconds from being ready within which a job's tasks should start to meet all objectives, with slack to spare. */
@@ -137,7 +137,7 @@
   if (finishTargetMs !== undefined) waitMs = Math.min(waitMs, spendableSlackMs(state, spec, finishTargetMs));
   if (spec.deadlineS !== null) return Math.min(waitMs, spendableSlackMs(state, spec, spec.deadlineS * 1000));
   const scaleOutWaitMs = SCALE_OUT_WAIT_SHARE * state.config.policy.maxWaitMs(spec);
-  return Math.min(waitMs, expectedRun(state, spec), scaleOutWaitMs);
+  return Math.min(waitMs, expectedRunMs(state, spec), scaleOutWaitMs);
 }
 
 /** Monotonic time in milliseconds of the latest start that a job's objectives still allow. */
@@ -153,6 +153,6 @@
   if (!hasDeadline(job) || spec.deadlineS !== null) return ownLatestStart;
   // Dependents set the deadline: the job may use only a share of the slack beyond its own run.
   const slackShare = state.config.policy.deadlineSlackShare(spec);
-  const slackMs = slackShare * (timeLeftMs - expectedRun(state, spec));
+  const slackMs = slackShare * (timeLeftMs - expectedRunMs(state, spec));
   return now.monotonicMs + Math.max(0, Math.min(slackMs, ownLatestStart - now.monotonicMs));
 }
--- a/src/core/leadership.ts
+++ b/src/core/leadership.ts
@@ -44,7 +44,7 @@
   state.legacyChunkTasks = command.legacyChunkTasks;
   for (const [zone, since] of command.silentZones ?? []) state.silentZones.set(zone, since);
   state.writeBudget.at = now.monotonicMs;
-  state.nextRequest = 1;
+  state.nextRequestNumber = 1;
   state.provisionNotBefore = firstProvisioningAt(state, command.term, now);
   // Jobs are added in the order of arrival, so that each comes after the jobs that it depends on.
   const byArrival = [...command.jobs].sort((a, b) => a.modRevision - b.modRevision);
--- a/src/core/model/job.ts
+++ b/src/core/model/job.ts
@@ -81,7 +81,7 @@
   /** Number of its tasks that wait for a machine, as last counted. */
   waitingCount: number;
   /** Number of its tasks on machines or, unless the job is faulty, waiting for one, as last counted. */
-  outstanding: number;
+  outstandingCount: number;
   /** Number of its tasks that workers report as running. */
   runningCount: number;
   /** Reason for the job's next write; null: nothing has to be written. */
--- a/src/core/model/machine.ts
+++ b/src/core/model/machine.ts
@@ -90,7 +90,7 @@
    * When it was last known to be in contact with another controller: a follower that answers workers for an
    * unreachable leader reported it, or it answered a direct call while its lease had not expired; null: never.
    */
-  lastRelayedAt: number | null;
+  lastContactElsewhereAt: number | null;
 
   // Whether it receives its answers: written by `fleet/response-tracking` and `fleet/keepalives`.
   /** When a heartbeat of it was last answered; null: never, or the leader was overloaded at that time. */
--- a/src/core/model/scheduling.ts
+++ b/src/core/model/scheduling.ts
@@ -44,5 +44,5 @@
   /** When a job of the class last arrived. */
   lastArrivalAt: number;
   /** Moving average of the time between two arrivals, in milliseconds. */
-  meanArrivalGap: number;
+  meanArrivalGapMs: number;
 }
--- a/src/core/persistence/claims.ts
+++ b/src/core/persistence/claims.ts
@@ -9,7 +9,7 @@
 import { markDirty } from './dirty-jobs.js';
 
 /** Whether a claim is committed to the key-value store, so that its start may be sent. */
-export function isDurable(state: CoreState, claim: LiveClaim): boolean {
+export function isClaimDurable(state: CoreState, claim: LiveClaim): boolean {
   return claim.version <= getOrCreateChunk(state, claim.job, claim.task).committedVersion;
 }
 
--- a/src/core/persistence/commit.ts
+++ b/src/core/persistence/commit.ts
@@ -69,8 +69,8 @@
   const { preconditions, mutations, chunks, completing, cancelling, superseded } = draft;
   if (mutations.length === 0) return null;
   state.writeBudget.level -= mutations.length;
-  const id = state.nextCommit;
-  state.nextCommit += 1;
+  const id = state.nextCommitId;
+  state.nextCommitId += 1;
   state.commit = { id, chunks, completing, cancelling, superseded };
   return { kind: 'commit', id, transaction: { preconditions, mutations } };
 }
--- a/src/core/persistence/job-lifecycle.ts
+++ b/src/core/persistence/job-lifecycle.ts
@@ -1,5 +1,5 @@
 /** Adds jobs to the leader's state, and ends them. */
-import { needAttention } from '../attention.js';
+import { markForAttention } from '../attention.js';
 import { registerDependencies, unregisterDependencies } from '../jobs/dependencies.js';
 import { updateTaskCounts } from '../jobs/jobs.js';
 import type { FinalOutcome, JobState } from '../model.js';
@@ -18,7 +18,7 @@
     priority: job.value.priority,
     inheritedDeadline: Infinity,
     waitingCount: 0,
-    outstanding: 0,
+    outstandingCount: 0,
     runningCount: 0,
     writeReason: null,
     exitsPendingSince: 0,
@@ -71,7 +71,7 @@
   outcome: FinalOutcome | null,
 ): void {
   job.finalStage = stage;
-  for (const { machine } of job.claims.values()) needAttention(state, machine);
+  for (const { machine } of job.claims.values()) markForAttention(state, machine);
   updateTaskCounts(state, job);
   unregisterDependencies(state, job, outcome);
   markDirty(state, job);
--- a/src/core/persistence/records/chunks.ts
+++ b/src/core/persistence/records/chunks.ts
@@ -1,6 +1,6 @@
 /** Chunk records, in the format of the first versions and in a compact format. Both can be decoded. */
 import type { ChunkRecord, Claim } from '../../types.js';
-import { asObject, isAmount, isCount, type Json } from '../../values.js';
+import { asObject, isNonNegativeNumber, isNonNegativeInteger, type JsonObject } from '../../values.js';
 
 /** A claim in the format of the first versions; `createdAt` in epoch milliseconds. */
 type ClaimRow = readonly [attempt: number, machine: string, agentEpoch: number, createdAt: number];
@@ -44,7 +44,7 @@
   };
 }
 
-function decodeClaims(rows: Json): Record<string, Claim> {
+function decodeClaims(rows: JsonObject): Record<string, Claim> {
   const claims: Record<string, Claim> = {};
   for (const [task, row] of Object.entries(rows)) {
     const [attempt, machine, agentEpoch, createdAt] = row as ClaimRow;
@@ -54,15 +54,16 @@
 }
 
 /** Decodes claims of the compact format; null: some part is malformed. */
-function decodeCompactClaims(latest: unknown, claimsByAgent: Json): Record<string, Claim> | null {
+function decodeCompactClaims(latest: unknown, claimsByAgent: JsonObject): Record<string, Claim> | null {
   const claims: Record<string, Claim> = {};
-  if (!isAmount(latest)) return null;
+  if (!isNonNegativeNumber(latest)) return null;
   for (const [agent, list] of Object.entries(claimsByAgent)) {
     const [, machine, agentEpoch] = /^(.+):(\d+)$/.exec(agent) ?? [];
     if (machine === undefined || typeof list !== 'string') return null;
     for (const claim of list.split(' ')) {
       const [task, attempt, age] = claim.split('.').map(Number);
-      if (!isCount(task) || !isCount(attempt) || !isCount(age)) return null;
+      if (!isNonNegativeInteger(task) || !isNonNegativeInteger(attempt) || !isNonNegativeInteger(age))
+        return null;
       const createdAt = latest - AGE_UNIT_MS * age;
       claims[task] = { attempt, machine, agentEpoch: Number(agentEpoch), createdAt };
     }
--- a/src/core/persistence/records/controllers.ts
+++ b/src/core/persistence/records/controllers.ts
@@ -1,5 +1,5 @@
 /** Records of the controllers: term, leader, formats that each can read, and machines that followers answer. */
-import { asObject, isAmount, isCount, isText } from '../../values.js';
+import { asObject, isNonNegativeNumber, isNonNegativeInteger, isNonEmptyString } from '../../values.js';
 import { packByBytes } from './packing.js';
 
 /** The format that this program writes once all controllers can read it; earlier versions use 1. */
@@ -17,8 +17,9 @@
 /** Decodes the format record, or a node's declaration, which omits the widths; null if the value is neither. */
 export function decodeFormat(value: unknown): FormatRecord | null {
   const raw = asObject(value);
-  if (raw === null || !isCount(raw['format'])) return null;
-  const width = (field: string): number => (isCount(raw[field]) && raw[field] > 0 ? raw[field] : Infinity);
+  if (raw === null || !isNonNegativeInteger(raw['format'])) return null;
+  const width = (field: string): number =>
+    isNonNegativeInteger(raw[field]) && raw[field] > 0 ? raw[field] : Infinity;
   return { format: raw['format'], wide: width('wide'), tasks: width('tasks') };
 }
 
@@ -33,8 +34,8 @@
 /** Decodes a relay record; null if the value is not one. Malformed names of machines are left out. */
 export function decodeRelay(value: unknown): RelayRecord | null {
   const raw = asObject(value);
-  if (raw === null || !isAmount(raw['at']) || !Array.isArray(raw['machines'])) return null;
-  return { at: raw['at'], machines: raw['machines'].filter(isText) };
+  if (raw === null || !isNonNegativeNumber(raw['at']) || !Array.isArray(raw['machines'])) return null;
+  return { at: raw['at'], machines: raw['machines'].filter(isNonEmptyString) };
 }
 
 /** Splits names of machines into parts that each fit into a value of `maxValueBytes`. */
@@ -49,7 +50,7 @@
 /** Decodes a term record; null if the value is not one. */
 export function decodeTerm(value: unknown): TermRecord | null {
   const term = asObject(value)?.['term'];
-  return isCount(term) ? { term } : null;
+  return isNonNegativeInteger(term) ? { term } : null;
 }
 
 /** The record of the leader. */
@@ -66,9 +67,14 @@
 /** Decodes a leader record; null if the value is not one. */
 export function decodeLeader(value: unknown): LeaderRecord | null {
   const raw = asObject(value);
-  if (raw === null || !isCount(raw['term']) || !isText(raw['node']) || !isText(raw['incarnation'])) {
+  if (
+    raw === null ||
+    !isNonNegativeInteger(raw['term']) ||
+    !isNonEmptyString(raw['node']) ||
+    !isNonEmptyString(raw['incarnation'])
+  ) {
     return null;
   }
-  const successor = isText(raw['successor']) ? { successor: raw['successor'] } : {};
+  const successor = isNonEmptyString(raw['successor']) ? { successor: raw['successor'] } : {};
   return { term: raw['term'], node: raw['node'], incarnation: raw['incarnation'], ...successor };
 }
--- a/src/core/persistence/records/demand.ts
+++ b/src/core/persistence/records/demand.ts
@@ -1,6 +1,6 @@
 /** Records of the demand that a leader has observed, stored for the next leader. */
 import type { JobSpec } from '../../types.js';
-import { asObject, isAmount } from '../../values.js';
+import { asObject, isNonNegativeNumber } from '../../values.js';
 import { decodeJob } from './jobs.js';
 import { packByBytes } from './packing.js';
 
@@ -25,9 +25,9 @@
     return (
       raw !== null &&
       decodeJob(raw['spec']) !== null &&
-      isAmount(raw['peak']) &&
-      isAmount(raw['gap']) &&
-      isAmount(raw['ratio'])
+      isNonNegativeNumber(raw['peak']) &&
+      isNonNegativeNumber(raw['gap']) &&
+      isNonNegativeNumber(raw['ratio'])
     );
   });
 }
--- a/src/core/persistence/records/keys.ts
+++ b/src/core/persistence/records/keys.ts
@@ -40,7 +40,7 @@
 export const jobKey = (id: string): string => JOB_PREFIX + id;
 
 /** The id of the job whose record is under a key with `JOB_PREFIX`. */
-export const jobOfKey = (key: string): string => key.slice(JOB_PREFIX.length);
+export const jobIdOfKey = (key: string): string => key.slice(JOB_PREFIX.length);
 
 /** Key of the record of a job's end. */
 export const endedKey = (id: string): string => `ended/${id}`;
--- a/src/core/placement/easy.ts
+++ b/src/core/placement/easy.ts
@@ -64,7 +64,7 @@
     }
     head ??= reserveForHead(pass, job);
   }
-  state.head = head;
+  state.headReservation = head;
 }
 
 function beginPass(state: CoreState, queue: readonly JobState[], now: Now): PlacementPass {
--- a/src/core/placement/headroom.ts
+++ b/src/core/placement/headroom.ts
@@ -20,8 +20,8 @@
 
 /** Number of tasks of a class that headroom is needed for, beyond those on machines or waiting. */
 function headroomNeed(state: CoreState, demand: Demand, now: Now): number {
-  const { spec, peak, lastArrivalAt, meanArrivalGap } = demand;
-  if (now.monotonicMs - lastArrivalAt > MAX_ARRIVAL_GAPS * meanArrivalGap) return 0;
+  const { spec, peak, lastArrivalAt, meanArrivalGapMs } = demand;
+  if (now.monotonicMs - lastArrivalAt > MAX_ARRIVAL_GAPS * meanArrivalGapMs) return 0;
   const isBlocked = [...state.provisioningBlockedUntil.values()].some((until) => until > now.monotonicMs);
   const share = isBlocked ? BLOCKED_PROVISIONING_SHARE : 1;
   return Math.ceil(share * peak) - (state.outstandingByClass.get(spec.jobClass) ?? 0);
--- a/src/core/placement/job-queue.ts
+++ b/src/core/placement/job-queue.ts
@@ -1,7 +1,7 @@
 /** The queue: jobs with waiting tasks, in the order in which they are served. */
 import { LOW_PRIORITY } from '../jobs/best-effort.js';
 import { countLostObjectives, timeToDeadlineMs } from '../jobs/objectives.js';
-import { expectedRun, waitingTasks } from '../jobs/jobs.js';
+import { expectedRunMs, waitingTasks } from '../jobs/jobs.js';
 import type { JobState, Now, QueuePosition } from '../model.js';
 import type { CoreState } from '../state.js';
 
@@ -14,7 +14,7 @@
 
 function positionOf(state: CoreState, job: JobState, now: Now): QueuePosition {
   const { lost, all } = countLostObjectives(state, job, now);
-  const runMs = expectedRun(state, job.spec);
+  const runMs = expectedRunMs(state, job.spec);
   const slackMs = timeToDeadlineMs(job, 1, now) - runMs;
   const rank = state.guaranteedJobs.has(job) ? 0 : 1;
   const { priority, modRevision } = job;
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -5,7 +5,7 @@
  * once the tasks are proven gone. A task that would end about as soon by itself is not stopped, and
  * one that has been stopped before must first have run for more than its checkpoint interval.
  */
-import { needAttention } from '../attention.js';
+import { markForAttention } from '../attention.js';
 import { spotSlots } from '../jobs/best-effort.js';
 import { hasDeadline } from '../jobs/objectives.js';
 import { expectedEnd } from '../fleet/expected-end.js';
@@ -199,7 +199,7 @@
 
 function requestStop(state: CoreState, claim: LiveClaim, now: Now): void {
   claim.stopRequested = true;
-  needAttention(state, claim.machine);
+  markForAttention(state, claim.machine);
   claim.job.lastPreemptedAt = now.monotonicMs;
   state.preemptedClaims.add(claim);
 }
--- a/src/core/placement/scoring.ts
+++ b/src/core/placement/scoring.ts
@@ -1,7 +1,7 @@
 /** Scores the placement of a job's task on a machine: the lower, the better. */
 import { isBestEffort, isCostSensitive } from '../jobs/best-effort.js';
 import { isDeadlineAtRisk, isStartSensitive, startDeadline } from '../jobs/objectives.js';
-import { expectedRun } from '../jobs/jobs.js';
+import { expectedRunMs } from '../jobs/jobs.js';
 import { isSchedulable } from '../fleet/machines.js';
 import type { JobState, Machine, Now } from '../model.js';
 import type { CoreState } from '../state.js';
@@ -47,7 +47,7 @@
   const isReserved = state.reservedJobs.includes(job);
   return {
     job,
-    runMs: expectedRun(state, job.spec),
+    runMs: expectedRunMs(state, job.spec),
     avoidsConstrainedTypes: avoidsConstrainedTypes(pass, job),
     isCostSensitive: isCostSensitive(state, job, now) && !isReserved,
     isBestEffort: isBestEffort(state, job.spec),
--- a/src/core/placement/wait-reason.ts
+++ b/src/core/placement/wait-reason.ts
@@ -21,6 +21,6 @@
   if (isFaultyJob(job)) return 'fails wherever it is tried';
   if (job.waitingCount === 0) return null;
   if (state.reservedJobs.includes(job)) return 'its room is reserved';
-  if (state.head?.job === job.spec.id) return 'first in the queue';
+  if (state.headReservation?.job === job.spec.id) return 'first in the queue';
   return job.lastPreemptedAt > job.lastPlacedAt ? 'stopped for more urgent work' : 'waits for room';
 }
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -54,7 +54,7 @@
   /** Machines by name. */
   readonly machines: Map<string, Machine>;
   /** The discovery order of the next machine. */
-  nextMachine: number;
+  nextDiscoveryOrder: number;
   /** Names of terminated machines, oldest first; bounded. */
   readonly terminatedMachines: Set<string>;
   /** By id: how jobs ended, as read from or written to the key-value store; bounded. */
@@ -67,13 +67,13 @@
    * Machines whose pending heartbeat is to be checked in this step: it is new, or the commit that it waits for may be
    * settled.
    */
-  readonly answerable: Machine[];
+  readonly answerCandidates: Machine[];
   /** Machines whose next heartbeat answer may have to carry a command. */
   readonly attention: Set<Machine>;
   /** Names of the machines newly marked as needing attention in this step, to be announced to followers. */
   readonly newAttentionNames: string[];
   /** Names of the machines that have sent a heartbeat since the latest tick and were unknown before. */
-  readonly unexpected: string[];
+  readonly unexpectedMachines: string[];
 
   // Health.
   /** Zones found to be partitioned, and since when they have been silent, as far as known. */
@@ -95,7 +95,7 @@
   /** The commit in flight; null: none. */
   commit: CommitInFlight | null;
   /** Id of the next commit. */
-  nextCommit: number;
+  nextCommitId: number;
   commitNotBefore: number;
   /** Ids of the jobs that are being reconciled, during which no commit is made; null: no reconciliation. */
   pendingReconciliation: readonly string[] | null;
@@ -129,7 +129,7 @@
   /** Jobs within their team's guarantee, as of the latest tick. */
   readonly guaranteedJobs: Set<JobState>;
   /** The reservation of the head job, the first job of the queue that does not fit; null: there is none. */
-  head: HeadReservation | null;
+  headReservation: HeadReservation | null;
 
   // Placement.
   /** Some change since the latest pass over the queue may allow tasks to be placed. */
@@ -156,7 +156,7 @@
   /** Provisioning requests in flight, by request id. */
   readonly provisioningRequests: Map<string, ProvisioningRequest>;
   /** Number of the next provisioning request. */
-  nextRequest: number;
+  nextRequestNumber: number;
   provisionNotBefore: number;
   /** By kind of machine (type, zone, and spot or on-demand): the time until which none is requested. */
   readonly provisioningBlockedUntil: Map<string, number>;
--- a/src/core/step.ts
+++ b/src/core/step.ts
@@ -84,7 +84,7 @@
 }
 
 function logUnexpectedMachines(state: CoreState, effects: Effect[]): void {
-  const unexpected = state.unexpected.splice(0);
+  const unexpected = state.unexpectedMachines.splice(0);
   if (unexpected.length === 0) return;
   log(effects, 'unexpected machines reported', {
     machines: unexpected.length,
--- a/src/membership/membership.ts
+++ b/src/membership/membership.ts
@@ -31,7 +31,7 @@
 }
 
 /** A leader's transfer of its leadership: the successor, and the reason. */
-export interface Resignation {
+export interface LeadershipTransfer {
   readonly to: string;
   readonly reason: string;
 }
@@ -371,7 +371,7 @@
     now: number,
     storeContactAgeMs: number,
     preferred: ReadonlySet<string> = new Set(),
-  ): Resignation | null {
+  ): LeadershipTransfer | null {
     if (this.isStalled(now) && this.#laggingSince === null) return null;
     const candidates: { peer: Peer; why: string }[] = [];
     for (const peer of this.#peers.values()) {
--- a/src/observability/status-page.ts
+++ b/src/observability/status-page.ts
@@ -52,7 +52,7 @@
  */
 export function describeLeaderView(state: CoreState, now: Now): object {
   const queue = waitingJobs(state, now);
-  const { head } = state;
+  const { headReservation: head } = state;
   let pricePerHour = 0;
   for (const machine of state.machines.values()) {
     const type = state.machineTypes.get(machine.type);
--- a/src/service.ts
+++ b/src/service.ts
@@ -17,7 +17,7 @@
   const clock = systemClock;
   const serviceTiming = timing(settings);
   const node = new ControllerNode(settings, {
-    state: new HttpKeyValueStore(settings, clock),
+    store: new HttpKeyValueStore(settings, clock),
     cloud: new HttpCloud(settings, clock),
     workers: new HttpWorkerClient(
       2 * serviceTiming.maxHeartbeatIntervalMs,
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -3,15 +3,22 @@
  * malformed input.
  */
 import type { ListedMachine, MachineType } from '../core/types.js';
-import { asObject, isAmount, isFlag, isText } from '../core/values.js';
+import { asObject, isNonNegativeNumber, isBoolean, isNonEmptyString } from '../core/values.js';
 
 function parseType(body: unknown): MachineType | null {
   const raw = asObject(body);
   if (raw === null) return null;
   const { name, cores, gpus, memGb, cacheGb, fetchGbPerS, hourly, lowPrice, readyS, halls } = raw;
-  if (!isText(name) || !isAmount(cores) || !isAmount(memGb)) return null;
-  if (!isAmount(hourly) || !isAmount(readyS) || !Array.isArray(halls) || !halls.every(isText)) return null;
-  const amountOr = (value: unknown, fallback: number): number => (isAmount(value) ? value : fallback);
+  if (!isNonEmptyString(name) || !isNonNegativeNumber(cores) || !isNonNegativeNumber(memGb)) return null;
+  if (
+    !isNonNegativeNumber(hourly) ||
+    !isNonNegativeNumber(readyS) ||
+    !Array.isArray(halls) ||
+    !halls.every(isNonEmptyString)
+  )
+    return null;
+  const amountOr = (value: unknown, fallback: number): number =>
+    isNonNegativeNumber(value) ? value : fallback;
   return {
     name,
     cpus: cores,
@@ -53,17 +60,23 @@
   if (raw === null) return null;
   const stage = MACHINE_STAGES.get(raw['stage']);
   const { nameId, bench, hall, borrowed, heldS } = raw;
-  if (stage === undefined || !isText(nameId) || !isText(bench) || !isText(hall) || !isFlag(borrowed)) {
+  if (
+    stage === undefined ||
+    !isNonEmptyString(nameId) ||
+    !isNonEmptyString(bench) ||
+    !isNonEmptyString(hall) ||
+    !isBoolean(borrowed)
+  ) {
     return null;
   }
   return {
     name: nameId,
-    address: isText(raw['address']) ? raw['address'] : '',
+    address: isNonEmptyString(raw['address']) ? raw['address'] : '',
     type: bench,
     zone: hall,
     spot: borrowed,
     stage,
-    ageS: isAmount(heldS) ? heldS : 0,
+    ageS: isNonNegativeNumber(heldS) ? heldS : 0,
   };
 }
 
@@ -75,7 +88,7 @@
 
 /** Reads the names of newly provisioned machines. */
 export function parseProvisioned(body: unknown): string[] | null {
-  return parseList(asObject(body)?.['skiffs'], (entry) => (isText(entry) ? entry : null));
+  return parseList(asObject(body)?.['skiffs'], (entry) => (isNonEmptyString(entry) ? entry : null));
 }
 
 /** Encodes a request for machines; `request` is its idempotency key. */
--- a/src/wire/key-value-store.ts
+++ b/src/wire/key-value-store.ts
@@ -3,7 +3,7 @@
  * malformed input.
  */
 import type { Transaction } from '../core/types.js';
-import { asObject, isCount, isText } from '../core/values.js';
+import { asObject, isNonNegativeInteger, isNonEmptyString } from '../core/values.js';
 
 /** A stored entry; its revision is that of its last modification. */
 export interface Entry {
@@ -39,7 +39,7 @@
 /** Reads an entry in the store's format. */
 function parseEntry(body: unknown): Entry | null {
   const raw = asObject(body);
-  if (raw === null || !isText(raw['key']) || !isCount(raw['stamp'])) return null;
+  if (raw === null || !isNonEmptyString(raw['key']) || !isNonNegativeInteger(raw['stamp'])) return null;
   return { key: raw['key'], value: raw['data'], modRevision: raw['stamp'] };
 }
 
@@ -49,13 +49,13 @@
 /** Reads the store's revision, which every response carries. */
 export function parseRevision(body: unknown): number | null {
   const revision = asObject(body)?.['ledgerRev'];
-  return isCount(revision) ? revision : null;
+  return isNonNegativeInteger(revision) ? revision : null;
 }
 
 /** Reads the keys whose preconditions failed. */
 export function parseFailedKeys(body: unknown): string[] | null {
   const failed = asObject(body)?.['failed'];
-  return Array.isArray(failed) && failed.every(isText) ? failed : null;
+  return Array.isArray(failed) && failed.every(isNonEmptyString) ? failed : null;
 }
 
 /** Reads one page of a list. */
@@ -80,10 +80,10 @@
   const changes: KeyChange[] = [];
   for (const body of raw['events'] as unknown[]) {
     const event = asObject(body);
-    if (event === null || !isCount(event['stamp'])) return null;
-    if (isText(event['put'])) {
+    if (event === null || !isNonNegativeInteger(event['stamp'])) return null;
+    if (isNonEmptyString(event['put'])) {
       changes.push({ key: event['put'], value: event['data'], modRevision: event['stamp'] });
-    } else if (isText(event['remove'])) {
+    } else if (isNonEmptyString(event['remove'])) {
       changes.push({ key: event['remove'], value: undefined, modRevision: event['stamp'] });
     } else {
       return null;
@@ -97,7 +97,7 @@
 /** Reads the id of a granted lease. */
 export function parseLease(body: unknown): number | null {
   const lease = asObject(body)?.['permit'];
-  return isCount(lease) ? lease : null;
+  return isNonNegativeInteger(lease) ? lease : null;
 }
 
 /** Encodes a request for a lease with this time to live, in milliseconds. */
--- a/src/wire/peers.ts
+++ b/src/wire/peers.ts
@@ -291,7 +291,7 @@
     : first;
 
 /** Splits a stream into messages; throws on malformed or oversized frames. */
-export class StatusReader {
+export class PeerMessageReader {
   #buffer: Uint8Array = new Uint8Array(0);
   #partial: PartialMessage | null = null;
   /** Complete statuses that `push` has not returned yet. */
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,6 +1,12 @@
 /** Wire format of the user API: job descriptions in, responses out. Only this module contains its field names. */
 import type { FinalStage, JobForm, JobSpec, Priority } from '../core/types.js';
-import { asObject, isAmount, isCount, isFlag, isText } from '../core/values.js';
+import {
+  asObject,
+  isNonNegativeNumber,
+  isNonNegativeInteger,
+  isBoolean,
+  isNonEmptyString,
+} from '../core/values.js';
 
 /** Format of a job id. */
 export const JOB_ID = /^req-\d{1,18}$/;
@@ -50,24 +56,25 @@
     return value;
   }
 
-  text = (field: string): string => this.required(field, isText, 'a text');
-  flag = (field: string): boolean => this.required(field, isFlag, 'true or false');
-  amount = (field: string): number => this.required(field, isAmount, 'a number of at least 0');
+  text = (field: string): string => this.required(field, isNonEmptyString, 'a text');
+  flag = (field: string): boolean => this.required(field, isBoolean, 'true or false');
+  amount = (field: string): number => this.required(field, isNonNegativeNumber, 'a number of at least 0');
 }
 
-const isTextList = (value: unknown): value is string[] => Array.isArray(value) && value.every(isText);
+const isTextList = (value: unknown): value is string[] =>
+  Array.isArray(value) && value.every(isNonEmptyString);
 
 const isJobIdList = (value: unknown): value is string[] =>
   isTextList(value) && value.every((id) => JOB_ID.test(id));
 
 function parseJobId(fields: SubmissionFields): string {
-  const id = fields.required('nameId', isText, 'a job id');
+  const id = fields.required('nameId', isNonEmptyString, 'a job id');
   if (!JOB_ID.test(id)) throw new InvalidFieldError('nameId must be of the form req-000000');
   return id;
 }
 
 function parseTaskCount(fields: SubmissionFields): number {
-  const tasks = fields.required('movements', isCount, 'a whole number');
+  const tasks = fields.required('movements', isNonNegativeInteger, 'a whole number');
   if (tasks < 1 || tasks > MAX_TASKS) throw new InvalidFieldError(`movements must be 1 to ${MAX_TASKS}`);
   return tasks;
 }
@@ -83,8 +90,8 @@
     tasks: parseTaskCount(fields),
   };
   const types = fields.optional('benches', isTextList, 'null or a list of texts');
-  const zone = fields.optional('hall', isText, 'null or a text');
-  const deadlineS = fields.optional('curtainS', isAmount, 'null or a number');
+  const zone = fields.optional('hall', isNonEmptyString, 'null or a text');
+  const deadlineS = fields.optional('curtainS', isNonNegativeNumber, 'null or a number');
   const awaits = fields.optional('awaits', isJobIdList, 'null or a list of job ids') ?? [];
   return {
     ...identity,
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,6 +1,12 @@
 /** Wire format of the worker API: heartbeats in, commands out. Only this module contains its field names. */
 import type { ExitReason, Heartbeat, ReportedTask, TaskStage, WorkerCommand } from '../core/types.js';
-import { asObject, isCount, isFlag, isText, isAmount } from '../core/values.js';
+import {
+  asObject,
+  isNonNegativeInteger,
+  isBoolean,
+  isNonEmptyString,
+  isNonNegativeNumber,
+} from '../core/values.js';
 
 const STAGES = new Map<unknown, TaskStage>([
   ['pulling', 'fetching'],
@@ -35,7 +41,7 @@
   if (raw === null) return null;
   const name = parseTaskName(raw['movement']);
   const stage = STAGES.get(raw['stage']);
-  if (name === null || stage === undefined || !isCount(raw['take'])) return null;
+  if (name === null || stage === undefined || !isNonNegativeInteger(raw['take'])) return null;
   // An exit with a reason that this version does not know is still an exit, and counts as an error.
   const exit = stage === 'exited' ? (EXITS.get(raw['cadence']) ?? 'error') : null;
   return { job: name.job, task: name.task, attempt: raw['take'], stage, exit };
@@ -47,9 +53,21 @@
   if (raw === null) return null;
   const { skiff, address, bench, hall, borrowed, watch, barNo, baton } = raw;
   const notice = raw['recallS'] ?? null;
-  if (!isText(skiff) || !isText(address) || !isText(bench) || !isText(hall)) return null;
-  if (!isFlag(borrowed) || !isCount(watch) || !isCount(barNo) || !isCount(baton)) return null;
-  if (notice !== null && !isAmount(notice)) return null;
+  if (
+    !isNonEmptyString(skiff) ||
+    !isNonEmptyString(address) ||
+    !isNonEmptyString(bench) ||
+    !isNonEmptyString(hall)
+  )
+    return null;
+  if (
+    !isBoolean(borrowed) ||
+    !isNonNegativeInteger(watch) ||
+    !isNonNegativeInteger(barNo) ||
+    !isNonNegativeInteger(baton)
+  )
+    return null;
+  if (notice !== null && !isNonNegativeNumber(notice)) return null;
   const listed = raw['movements'] ?? [];
   if (!Array.isArray(listed)) return null;
   const tasks: ReportedTask[] = [];
--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -2,18 +2,18 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
-import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { CoreHarness, job, heartbeatOf, task, TERM } from './emulators/core-harness.js';
 import {
   startBusyCluster,
-  CANCEL,
+  CANCEL_TIMEOUT_MS,
   DEPUTY_SEED,
   expectCleanEnd,
-  FROM,
-  LEASE,
+  ALL_RUNNING_AT_MS,
+  WORKER_LEASE_MS,
   partitionMachinesFromAllBut,
 } from './emulators/busy-cluster.js';
 import { drawConcurrentFaults, MAX_ADDITIONAL_RUNTIME_MS, partitionZones } from './emulators/faults.js';
-import { NODES, seeded, TIGHT, Simulation } from './emulators/simulation.js';
+import { NODES, seeded, TIGHT_LIMITS, Simulation } from './emulators/simulation.js';
 
 // The store refuses the leader while another controller confirms a cancellation, and is then down for all nodes: the
 // leader cannot learn of the cancellation.
@@ -25,37 +25,39 @@
   ['one follower, the store also refuses the follower in the other zone', 0, 'deputyRefused'],
 ])('cancelled tasks stop in a store outage: cancellation confirmed by %s', async (_, follower, variant) => {
   // The deputy must be the only controller in its zone, so this variant needs a seed with another leader.
-  const { world, leader, others, ids } = await startBusyCluster(
+  const { simulation, leader, others, ids } = await startBusyCluster(
     variant === 'deputyRefused' ? DEPUTY_SEED : 3,
   );
-  const { clock, state, checker } = world;
+  const { clock, store, checker } = simulation;
   const trace: string[] = [];
-  const record = (line: string): number => trace.push(`${((clock.now - FROM) / 1000).toFixed(1)} s  ${line}`);
-  const outage = 2 * CANCEL;
+  const record = (line: string): number =>
+    trace.push(`${((clock.now - ALL_RUNNING_AT_MS) / 1000).toFixed(1)} s  ${line}`);
+  const outage = 2 * CANCEL_TIMEOUT_MS;
   const refusedLeader = NODES[leader] ?? '';
   const confirmingNode = NODES[variant === 'deputyRefused' ? 2 : (others[follower] ?? 0)] ?? '';
   if (variant === 'deputyRefused') {
     expect(refusedLeader).toBe('n-0');
-    partitionZones(world, 2 * outage);
+    partitionZones(simulation, 2 * outage);
     await clock.runUntil(clock.now + 8000);
-    state.refuse('n-1', outage);
+    store.refuse('n-1', outage);
   }
-  state.refuse(refusedLeader, outage);
+  store.refuse(refusedLeader, outage);
   record(`the state service refuses ${refusedLeader}, which leads`);
-  if (variant === 'leaderOnly') partitionMachinesFromAllBut(world, refusedLeader, outage);
+  if (variant === 'leaderOnly') partitionMachinesFromAllBut(simulation, refusedLeader, outage);
   await clock.runUntil(clock.now + 100);
   const [kept = '', ...cancelled] = ids;
-  for (const id of cancelled) expect(await world.until(world.withdraw(id, confirmingNode))).toBe(true);
+  for (const id of cancelled)
+    expect(await simulation.until(simulation.cancel(id, confirmingNode))).toBe(true);
   record(`${confirmingNode} has confirmed that ${cancelled.join(' and ')} are cancelled`);
   const confirmedAt = clock.now;
-  state.outage(outage);
+  store.outage(outage);
   record('the state service is down for all');
   const runningCancelledTasks = (): number => cancelled.reduce((sum, id) => sum + checker.placedTasks(id), 0);
   // The test shows nothing unless all six cancelled tasks still run when the outage begins.
   expect(runningCancelledTasks()).toBe(6);
-  if (variant === 'leaderRestarts') clock.in(4000, () => world.crash(leader, 700));
+  if (variant === 'leaderRestarts') clock.in(4000, () => simulation.crash(leader, 700));
   let previous = -1;
-  for (let at = 0; at < CANCEL; at += 500) {
+  for (let at = 0; at < CANCEL_TIMEOUT_MS; at += 500) {
     await clock.runUntil(confirmedAt + at);
     if (runningCancelledTasks() !== previous)
       record(
@@ -63,33 +65,33 @@
       );
     previous = runningCancelledTasks();
     // Heartbeats are answered for as long as is safe, so that a short outage costs no running tasks.
-    if (at === LEASE && variant === 'none') expect(runningCancelledTasks()).toBeGreaterThan(0);
+    if (at === WORKER_LEASE_MS && variant === 'none') expect(runningCancelledTasks()).toBeGreaterThan(0);
   }
   expect(runningCancelledTasks()).toBe(0);
   if (follower === 0 && variant === 'none')
     await expect(`${trace.join('\n')}\n`).toMatchFileSnapshot('traces/store-outage-cancellations.txt');
-  await expectCleanEnd(world, 400_000);
+  await expectCleanEnd(simulation, 400_000);
 });
 
 test('a cancellation learned while a write of its job is reconciled stops its tasks immediately', () => {
   const harness = new CoreHarness();
   const commitOf = (effects: readonly Effect[]): number =>
     effects.flatMap((effect) => (effect.kind === 'commit' ? [effect.id] : []))[0] ?? 0;
-  harness.hear(report('m', 1));
-  harness.add(job('req-1', 2, 4, 50));
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
+  harness.addJob(job('req-1', 2, 4, 50));
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')] as const;
-  harness.hear(report('m', 2));
-  harness.hear(report('m', 3, running));
+  harness.deliverHeartbeat(heartbeatOf('m', 2));
+  harness.deliverHeartbeat(heartbeatOf('m', 3, running));
   // One of two tasks has ended; the write of its end gets no response, nor does the read that reconciles it.
   const ended = [task('req-1/0', 1, 'exited', 'done'), running[1]] as const;
-  harness.hear(report('m', 4, ended));
+  harness.deliverHeartbeat(heartbeatOf('m', 4, ended));
   harness.now += harness.state.config.timing.exitBatchDelayMs;
-  const id = commitOf(harness.raw({ kind: 'tick' }));
-  harness.raw({ kind: 'committed', id, outcome: { kind: 'unknown' } });
-  harness.raw({ kind: 'reconciled', found: null });
+  const id = commitOf(harness.step({ kind: 'tick' }));
+  harness.step({ kind: 'committed', id, outcome: { kind: 'unknown' } });
+  harness.step({ kind: 'reconciled', found: null });
   // The watch responds: the job was cancelled by its user, and the view is confirmed again.
-  harness.raw({ kind: 'jobRemoved', id: 'req-1' }, { kind: 'viewConfirmed', sentAt: harness.now });
-  const effects = harness.raw({ kind: 'heartbeat', reply: 70, heartbeat: report('m', 5, ended) });
+  harness.step({ kind: 'jobRemoved', id: 'req-1' }, { kind: 'viewConfirmed', sentAt: harness.now });
+  const effects = harness.step({ kind: 'heartbeat', reply: 70, heartbeat: heartbeatOf('m', 5, ended) });
   expect(effects).toContainEqual(
     expect.objectContaining({
       body: expect.objectContaining({
@@ -107,9 +109,9 @@
   const { workerLeaseMs, tickMs } = harness.state.config.timing;
   const names = ['m', 'n', 'o', 'p'];
   const sendHeartbeats = (seq: number, session: number): Effect[] =>
-    names.flatMap((name) => harness.hear(report(name, seq, [], { agentEpoch: session })));
+    names.flatMap((name) => harness.deliverHeartbeat(heartbeatOf(name, seq, [], { agentEpoch: session })));
   sendHeartbeats(1, 1);
-  harness.add(job('req-1', 4, 8, 90));
+  harness.addJob(job('req-1', 4, 8, 90));
   sendHeartbeats(2, 1);
   const authorityEnd = harness.state.leadership?.authorityUntil ?? 0;
   harness.isViewConfirmed = false;
@@ -118,45 +120,45 @@
     const session = harness.now > authorityEnd + workerLeaseMs ? 2 : 1;
     const effects = names.flatMap((name, i) => {
       const running = session === 1 ? [task(`req-1/${i}`, 1, 'running')] : [];
-      return harness.hear(report(name, seq, running, { agentEpoch: session }));
+      return harness.deliverHeartbeat(heartbeatOf(name, seq, running, { agentEpoch: session }));
     });
     const answered = effects.some((effect) => effect.kind === 'reply' && effect.body.kind === 'commands');
     expect(answered).toBe(harness.now < authorityEnd);
     // No machine is terminated during the outage either.
-    expect(harness.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
+    expect(harness.stepAndCommit({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
   }
   harness.isViewConfirmed = true;
   harness.now += tickMs;
-  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
+  harness.stepAndCommit({ kind: 'viewConfirmed', sentAt: harness.now });
   // The first machine sends a heartbeat immediately, the others a second later.
-  harness.hear(report('m', 90, [], { agentEpoch: 2 }));
-  expect(harness.do({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
+  harness.deliverHeartbeat(heartbeatOf('m', 90, [], { agentEpoch: 2 }));
+  expect(harness.stepAndCommit({ kind: 'tick' }).some(({ kind }) => kind === 'terminate')).toBe(false);
   harness.now += 1000;
   const restarted = names.flatMap((name) =>
-    CoreHarness.starts(harness.hear(report(name, 99, [], { agentEpoch: 2 }))),
+    CoreHarness.startedTasks(harness.deliverHeartbeat(heartbeatOf(name, 99, [], { agentEpoch: 2 }))),
   );
   expect(restarted.sort()).toEqual([0, 1, 2, 3].map((i) => `req-1/${i}#2`));
 });
 
 // 1. A transaction without a response is applied late, after newer ones.
 test('delayed transactions: a cancellation applied after the job was reported done changes nothing', async () => {
-  const { world, others, ids } = await startBusyCluster(3, { jobs: 1, runs: [24_000, 0] });
+  const { simulation, others, ids } = await startBusyCluster(3, { jobs: 1, runs: [24_000, 0] });
   const [id = ''] = ids;
   const at = NODES[others[0] ?? 0] ?? '';
-  await world.clock.runUntil(FROM + 2000);
-  world.state.delayNextTransaction(
+  await simulation.clock.runUntil(ALL_RUNNING_AT_MS + 2000);
+  simulation.store.delayNextTransaction(
     ({ mutations }) => mutations.some((write) => 'put' in write && write.put === `ended/${id}`),
     20_000,
   );
-  expect(await world.until(world.withdraw(id, at))).toBe(false);
-  await world.clock.runUntil(FROM + 18_000);
-  for (const node of NODES) expect(await world.until(world.ask(id, node))).toBe('done');
-  await world.clock.runUntil(FROM + 30_000);
+  expect(await simulation.until(simulation.cancel(id, at))).toBe(false);
+  await simulation.clock.runUntil(ALL_RUNNING_AT_MS + 18_000);
+  for (const node of NODES) expect(await simulation.until(simulation.queryStage(id, node))).toBe('done');
+  await simulation.clock.runUntil(ALL_RUNNING_AT_MS + 30_000);
   // No controller may answer from its memory: all of them restart.
-  for (const node of [0, 1, 2]) world.crash(node, 500);
-  await world.clock.runUntil(FROM + 45_000);
-  for (const node of NODES) expect(await world.until(world.ask(id, node))).toBe('done');
-  await expectCleanEnd(world);
+  for (const node of [0, 1, 2]) simulation.crash(node, 500);
+  await simulation.clock.runUntil(ALL_RUNNING_AT_MS + 45_000);
+  for (const node of NODES) expect(await simulation.until(simulation.queryStage(id, node))).toBe('done');
+  await expectCleanEnd(simulation);
 });
 
 test('delayed transactions: claims applied after newer ones of the same chunk survive a failover', async () => {
@@ -175,8 +177,8 @@
   simulation.cloud.capacity = 4;
   simulation.runtimes.set(id, [90_000, 0]);
   const claims: number[] = [];
-  const commit = simulation.state.commit.bind(simulation.state);
-  simulation.state.commit = (txn) => {
+  const commit = simulation.store.commit.bind(simulation.store);
+  simulation.store.commit = (txn) => {
     const outcome = commit(txn);
     if (
       outcome.kind === 'applied' &&
@@ -187,12 +189,12 @@
   };
   const delayMs = 9000;
   let sentAt = Infinity;
-  simulation.state.delayNextTransaction(({ mutations }) => {
+  simulation.store.delayNextTransaction(({ mutations }) => {
     const isClaim = mutations.some((write) => 'put' in write && write.put.startsWith('run/'));
     if (isClaim) sentAt = simulation.clock.now;
     return isClaim;
   }, delayMs);
-  void simulation.user({ ...placement, id, tasks: 4 }, null);
+  void simulation.simulateUser({ ...placement, id, tasks: 4 }, null);
   while (sentAt === Infinity) await simulation.clock.runUntil(simulation.clock.now + 100);
   await simulation.clock.runUntil(sentAt + delayMs - 100);
   // Newer claims of the same chunk have been written, and their tasks have been started.
@@ -201,14 +203,14 @@
   await simulation.clock.runUntil(sentAt + delayMs + 50);
   simulation.crash(NODES.indexOf(simulation.leaders()[0] ?? ''), 3000);
   await expectCleanEnd(simulation, 300_000);
-  expect(simulation.checker.started).toBe(4);
+  expect(simulation.checker.startedTasks).toBe(4);
 });
 
 // 2. Jobs of two or three tasks end far apart across a change of leader.
 test('task ends seen by different leaders make a job done exactly once, neither early nor lost', async () => {
-  const { world, ids } = await startBusyCluster(3, { jobs: 2, runs: [22_000, 14_000] });
-  const { clock, checker } = world;
-  const started = checker.started;
+  const { simulation, ids } = await startBusyCluster(3, { jobs: 2, runs: [22_000, 14_000] });
+  const { clock, checker } = simulation;
+  const started = checker.startedTasks;
   // The first tasks end; their leader crashes before it has written that, and so does the next one.
   for (let i = 0; i < 2; i += 1) {
     const before = checker.placedTasks();
@@ -216,12 +218,13 @@
     // Long enough for the leader to receive the heartbeat, too short for it to commit the end.
     await clock.runUntil(clock.now + 1300);
     for (const id of ids)
-      if (checker.placedTasks(id) > 0) expect(await world.until(world.ask(id))).not.toBe('done');
-    world.crash(NODES.indexOf(world.leaders()[0] ?? ''), 5000);
+      if (checker.placedTasks(id) > 0)
+        expect(await simulation.until(simulation.queryStage(id))).not.toBe('done');
+    simulation.crash(NODES.indexOf(simulation.leaders()[0] ?? ''), 5000);
     await clock.runUntil(clock.now + 4000);
   }
-  await expectCleanEnd(world);
-  expect(checker.started).toBe(started);
+  await expectCleanEnd(simulation);
+  expect(checker.startedTasks).toBe(started);
 });
 
 // 3. A stale heartbeat arrives after newer ones.
@@ -230,56 +233,56 @@
   const claims = { 0: { attempt: 2, machine: 'm', agentEpoch: 3, createdAt: harness.now } };
   harness.takeOver(job('req-1', 1, 4, 50), claims);
   harness.now += 3000;
-  harness.hear(report('n', 1));
+  harness.deliverHeartbeat(heartbeatOf('n', 1));
   const claim = (): unknown => [...(harness.state.jobs.get('req-1')?.claims.values() ?? [])];
   const held = [expect.objectContaining({ machine: 'm', attempt: 2 })];
   // Heartbeats of an earlier attempt, an earlier session, out of order, and with the token of the previous leader.
   const sendStale = (seq: number, session: number, exit: 'stopped' | 'error'): Effect[] =>
-    harness.hear(
-      report('m', seq, [task('req-1/0', 1, 'exited', exit)], { agentEpoch: session, token: TERM - 1 }),
+    harness.deliverHeartbeat(
+      heartbeatOf('m', seq, [task('req-1/0', 1, 'exited', exit)], { agentEpoch: session, token: TERM - 1 }),
     );
   sendStale(40, 3, 'stopped');
   expect(claim()).toEqual(held);
   sendStale(90, 2, 'error');
   sendStale(12, 3, 'error');
-  harness.hear(report('m', 30, [], { agentEpoch: 3, token: TERM - 1 }));
+  harness.deliverHeartbeat(heartbeatOf('m', 30, [], { agentEpoch: 3, token: TERM - 1 }));
   expect(claim()).toEqual(held);
   expect(harness.state.machines.get('m')).toMatchObject({ agentEpoch: 3, heartbeatSequence: 40 });
 });
 
 // 4. A leader is partitioned from the store and its peers; workers and users still reach it.
 test('a leader partitioned with its workers and users: cancelled tasks stop in time, no stale read', async () => {
-  const { world, leader, others, ids } = await startBusyCluster();
-  const { clock, checker } = world;
+  const { simulation, leader, others, ids } = await startBusyCluster();
+  const { clock, checker } = simulation;
   const isolated = NODES[leader] ?? '';
   const partitionMs = 70_000;
   for (const host of [...others.map((node) => NODES[node] ?? ''), 'state', 'cloud'])
-    world.network.partition(isolated, host, partitionMs);
-  partitionMachinesFromAllBut(world, isolated, partitionMs);
-  await clock.runUntil(FROM + 6000);
-  const [next = ''] = world.leaders().filter((node) => node !== isolated);
+    simulation.network.partition(isolated, host, partitionMs);
+  partitionMachinesFromAllBut(simulation, isolated, partitionMs);
+  await clock.runUntil(ALL_RUNNING_AT_MS + 6000);
+  const [next = ''] = simulation.leaders().filter((node) => node !== isolated);
   expect(next).not.toBe('');
-  for (const id of ids) expect(await world.until(world.withdraw(id, next))).toBe(true);
+  for (const id of ids) expect(await simulation.until(simulation.cancel(id, next))).toBe(true);
   expect(checker.placedTasks()).toBe(9);
   const from = clock.now;
   const answers: (string | null)[] = [];
-  while (clock.now < from + CANCEL) {
+  while (clock.now < from + CANCEL_TIMEOUT_MS) {
     await clock.runUntil(clock.now + 1000);
-    for (const id of ids) answers.push(await world.until(world.ask(id, isolated)));
+    for (const id of ids) answers.push(await simulation.until(simulation.queryStage(id, isolated)));
   }
   expect(answers.filter((stage) => stage !== null)).toEqual([]);
-  expect(world.ready()[leader]).toBe(false);
+  expect(simulation.ready()[leader]).toBe(false);
   expect(checker.placedTasks()).toBe(0);
-  await expectCleanEnd(world);
+  await expectCleanEnd(simulation);
 });
 
 // 5. A machine is paused for seconds, so that commands and responses are delayed, and then resumes.
 test.each([
-  ['within its lease', 0.7 * LEASE],
-  ['across its lease', 1.2 * LEASE],
+  ['within its lease', 0.7 * WORKER_LEASE_MS],
+  ['across its lease', 1.2 * WORKER_LEASE_MS],
 ])('a machine paused %s during a leader crash runs nothing twice', async (_, pauseMs) => {
-  const { world, leader } = await startBusyCluster();
-  const { clock, cloud, checker } = world;
+  const { simulation, leader } = await startBusyCluster();
+  const { clock, cloud, checker } = simulation;
   const [name = ''] = cloud.workers.keys();
   const worker = cloud.workers.get(name);
   worker?.pause(pauseMs);
@@ -287,15 +290,16 @@
     [...(worker?.tasks.values() ?? [])].map(({ job: id, task: n, take }) => [`${id}/${n}`, take]),
   );
   expect(attempts.size).toBeGreaterThan(0);
-  await clock.runUntil(FROM + 1000);
-  world.crash(leader, 20_000);
-  await clock.runUntil(FROM + pauseMs + 1000);
+  await clock.runUntil(ALL_RUNNING_AT_MS + 1000);
+  simulation.crash(leader, 20_000);
+  await clock.runUntil(ALL_RUNNING_AT_MS + pauseMs + 1000);
   const tasksAfterPause = [...(cloud.workers.get(name)?.tasks.values() ?? [])];
   // A machine that resumes within its lease continues its tasks, and none of them is started again elsewhere.
-  if (pauseMs < LEASE && cloud.workers.has(name)) expect(tasksAfterPause.length).toBe(attempts.size);
+  if (pauseMs < WORKER_LEASE_MS && cloud.workers.has(name))
+    expect(tasksAfterPause.length).toBe(attempts.size);
   for (const { job: id, task: n, take } of tasksAfterPause)
     expect(take).toBeGreaterThanOrEqual(attempts.get(`${id}/${n}`) ?? 1);
-  await expectCleanEnd(world);
+  await expectCleanEnd(simulation);
   expect(checker.placedTasks()).toBe(0);
 });
 
@@ -304,60 +308,61 @@
 test.each([3, 4, 5, 6, 7, 8])(
   'claims of unreachable machines survive three failovers, and no task is restarted needlessly (%d)',
   async (seed) => {
-    const { world } = await startBusyCluster(seed);
-    const { clock, cloud, checker } = world;
-    const started = checker.started;
-    const partitionMs = 0.85 * LEASE;
+    const { simulation } = await startBusyCluster(seed);
+    const { clock, cloud, checker } = simulation;
+    const started = checker.startedTasks;
+    const partitionMs = 0.85 * WORKER_LEASE_MS;
     for (const name of cloud.workers.keys())
-      for (const node of NODES) world.network.partition(name, node, partitionMs);
+      for (const node of NODES) simulation.network.partition(name, node, partitionMs);
     for (let i = 0; i < 3; i += 1) {
       await clock.runUntil(clock.now + 2200);
-      world.crash(NODES.indexOf(world.leaders()[0] ?? ''), 4000);
+      simulation.crash(NODES.indexOf(simulation.leaders()[0] ?? ''), 4000);
     }
-    await clock.runUntil(FROM + partitionMs);
+    await clock.runUntil(ALL_RUNNING_AT_MS + partitionMs);
     expect(checker.placedTasks()).toBe(9);
-    await expectCleanEnd(world);
-    expect(checker.started).toBe(started + checker.expiredTasks);
+    await expectCleanEnd(simulation);
+    expect(checker.startedTasks).toBe(started + checker.expiredTasks);
     expect(
-      world.logged.filter(({ msg, tasks }) => msg === 'machine terminated' && Number(tasks) > 0),
+      simulation.logged.filter(({ msg, tasks }) => msg === 'machine terminated' && Number(tasks) > 0),
     ).toEqual([]);
   },
 );
 
 // 7. The store answers slowly, or refuses the leader and then every node, while users cancel and read.
 test('a slow store and cancellations of unknown outcome cause no stale read, and answers resume', async () => {
-  const { world, ids } = await startBusyCluster();
-  const { clock, state } = world;
-  state.slow(3500, 25_000);
-  const until = FROM + 25_000;
+  const { simulation, ids } = await startBusyCluster();
+  const { clock, store } = simulation;
+  store.slow(3500, 25_000);
+  const until = ALL_RUNNING_AT_MS + 25_000;
   while (clock.now < until) {
-    for (const id of ids.slice(1)) void world.withdraw(id, NODES[Math.floor(3 * world.draw())] ?? '');
-    for (const id of ids) for (const node of NODES) void world.ask(id, node);
+    for (const id of ids.slice(1)) void simulation.cancel(id, NODES[Math.floor(3 * simulation.draw())] ?? '');
+    for (const id of ids) for (const node of NODES) void simulation.queryStage(id, node);
     await clock.runUntil(clock.now + 1500);
   }
   await clock.runUntil(until + 10_000);
   for (const node of NODES) {
-    expect(await world.until(world.ask(ids[0] ?? '', node))).toBe('running');
-    for (const id of ids.slice(1)) expect(await world.until(world.ask(id, node))).toBe('withdrawn');
+    expect(await simulation.until(simulation.queryStage(ids[0] ?? '', node))).toBe('running');
+    for (const id of ids.slice(1))
+      expect(await simulation.until(simulation.queryStage(id, node))).toBe('withdrawn');
   }
-  await expectCleanEnd(world);
+  await expectCleanEnd(simulation);
 });
 
 // 8. All controllers crash and one restarts, in some cases within a second.
 test.each([100, 900, 5000])(
   'after a crash of all nodes, one that restarts alone after %d ms serves; tasks continue',
   async (restartMs) => {
-    const { world, ids } = await startBusyCluster();
-    const { clock, checker } = world;
-    const started = checker.started;
-    for (const node of [0, 1, 2]) world.crash(node, node === 1 ? restartMs : 40_000);
-    await clock.runUntil(FROM + restartMs + 6000);
-    expect(world.leaders()).toEqual(['n-1']);
-    expect(world.ready()[1]).toBe(true);
-    for (const id of ids) expect(await world.until(world.ask(id, 'n-1'))).toBe('running');
+    const { simulation, ids } = await startBusyCluster();
+    const { clock, checker } = simulation;
+    const started = checker.startedTasks;
+    for (const node of [0, 1, 2]) simulation.crash(node, node === 1 ? restartMs : 40_000);
+    await clock.runUntil(ALL_RUNNING_AT_MS + restartMs + 6000);
+    expect(simulation.leaders()).toEqual(['n-1']);
+    expect(simulation.ready()[1]).toBe(true);
+    for (const id of ids) expect(await simulation.until(simulation.queryStage(id, 'n-1'))).toBe('running');
     expect(checker.placedTasks()).toBe(9);
-    await expectCleanEnd(world);
-    expect(checker.started).toBe(started);
+    await expectCleanEnd(simulation);
+    expect(checker.startedTasks).toBe(started);
   },
 );
 
@@ -373,9 +378,9 @@
   const cpusMax = seed % 2 === 0 ? 0 : 12;
   // A third of the runs have tight limits on values and transactions from the start.
   const simulation = new Simulation(seeded(seed), {
-    copies: true,
+    duplicatesHeartbeats: true,
     cpusMax,
-    ...(seed % 3 === 0 ? { limits: TIGHT } : {}),
+    ...(seed % 3 === 0 ? { limits: TIGHT_LIMITS } : {}),
   });
   const injected: string[] = [];
   drawConcurrentFaults(simulation, combinations, (name) =>
--- a/test/correlated-failures.test.ts
+++ b/test/correlated-failures.test.ts
@@ -9,7 +9,7 @@
 import type { Effect } from '../src/core/effects.js';
 import type { ClassObjectives } from '../src/core/model.js';
 import { claimTask } from '../src/core/persistence/index.js';
-import { CoreHarness, EIGHT, job, report, task } from './emulators/core-harness.js';
+import { CoreHarness, EIGHT_CPU_TYPE, job, heartbeatOf, task } from './emulators/core-harness.js';
 
 const terminatedBy = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
@@ -35,7 +35,7 @@
     'rush',
     objectives.get('rush') as ClassObjectives,
   );
-  harness.add(
+  harness.addJob(
     job('req-1', 1, 2, 20, { jobClass: 'rush', priority: 1, deadlineS: 50, submittedAt: harness.now }),
   );
   const [rush] = harness.state.jobs.values();
@@ -54,7 +54,7 @@
 test('a leader whose view is stale requests nothing from the cloud', () => {
   const harness = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
-  for (const name of names) harness.hear(report(name, 1));
+  for (const name of names) harness.deliverHeartbeat(heartbeatOf(name, 1));
   harness.isViewConfirmed = false;
   harness.now += 3 * harness.state.config.timing.silenceTimeoutMs;
   harness.state.leadership = {
@@ -67,13 +67,13 @@
     }),
     authorityUntil: Infinity,
   };
-  harness.add(job('req-1', 9, 8, 50));
+  harness.addJob(job('req-1', 9, 8, 50));
   expect([
-    terminatedBy(harness.do({ kind: 'tick' })),
-    provisionedCount(harness.do({ kind: 'tick' })),
+    terminatedBy(harness.stepAndCommit({ kind: 'tick' })),
+    provisionedCount(harness.stepAndCommit({ kind: 'tick' })),
   ]).toEqual([[], 0]);
   harness.isViewConfirmed = true;
-  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual(names);
+  expect(terminatedBy(harness.stepAndCommit({ kind: 'tick' }))).toEqual(names);
 });
 
 const PARTITIONED_MACHINES = ['p', 'q', 'r', 's'];
@@ -84,24 +84,28 @@
  */
 function createPartitionedZone(deadlineS: number | null, hasContact = true): CoreHarness {
   const harness = new CoreHarness();
-  for (const name of PARTITIONED_MACHINES) harness.hear(report(name, 1, [], { zone: 'b' }));
-  harness.add(job('req-1', 4, 8, 20, { deadlineS, submittedAt: harness.now }));
-  for (const name of PARTITIONED_MACHINES) harness.hear(report(name, 2, [], { zone: 'b' }));
+  for (const name of PARTITIONED_MACHINES) harness.deliverHeartbeat(heartbeatOf(name, 1, [], { zone: 'b' }));
+  harness.addJob(job('req-1', 4, 8, 20, { deadlineS, submittedAt: harness.now }));
+  for (const name of PARTITIONED_MACHINES) harness.deliverHeartbeat(heartbeatOf(name, 2, [], { zone: 'b' }));
   for (const name of PARTITIONED_MACHINES) {
     const [claim] = harness.state.machines.get(name)?.claims.values() ?? [];
-    harness.hear(report(name, 3, [task(`req-1/${claim?.task}`, 1, 'running')], { zone: 'b' }));
+    harness.deliverHeartbeat(
+      heartbeatOf(name, 3, [task(`req-1/${claim?.task}`, 1, 'running')], { zone: 'b' }),
+    );
   }
   harness.now += harness.state.config.timing.silenceTimeoutMs + 500;
-  if (hasContact) harness.hear(report('m', 1));
+  if (hasContact) harness.deliverHeartbeat(heartbeatOf('m', 1));
   return harness;
 }
 
 // After lease expiry no task in the zone is running any more, so waiting for the zone gains nothing.
 test('tasks of a partitioned zone run again after lease expiry if waiting would make them late', () => {
-  expect(terminatedBy(createPartitionedZone(50).do({ kind: 'tick' }))).toEqual(PARTITIONED_MACHINES);
-  expect(terminatedBy(createPartitionedZone(null).do({ kind: 'tick' }))).toEqual([]);
+  expect(terminatedBy(createPartitionedZone(50).stepAndCommit({ kind: 'tick' }))).toEqual(
+    PARTITIONED_MACHINES,
+  );
+  expect(terminatedBy(createPartitionedZone(null).stepAndCommit({ kind: 'tick' }))).toEqual([]);
   // A leader that receives no heartbeats at all has lost its own contact: the zone is not at fault.
-  expect(terminatedBy(createPartitionedZone(50, false).do({ kind: 'tick' }))).toEqual([]);
+  expect(terminatedBy(createPartitionedZone(50, false).stepAndCommit({ kind: 'tick' }))).toEqual([]);
 });
 
 // A change of leader must not restart the wait for a partitioned zone.
@@ -125,7 +129,7 @@
       chunks: [],
       demandHistory: [],
     };
-    harness.do({ kind: 'becomeLeader', ...term, jobs, silentZones });
+    harness.stepAndCommit({ kind: 'becomeLeader', ...term, jobs, silentZones });
     const listed = PARTITIONED_MACHINES.map((name) => ({
       name,
       address: '10.0.0.9:1',
@@ -135,7 +139,7 @@
       stage: 'running' as const,
       ageS: 99,
     }));
-    harness.do({ kind: 'machinesListed', askedAt: harness.now, machines: listed });
+    harness.stepAndCommit({ kind: 'machinesListed', requestedAt: harness.now, machines: listed });
     PARTITIONED_MACHINES.forEach((name, i) => {
       const machine = harness.state.machines.get(name);
       const owner = harness.state.jobs.get('req-1');
@@ -143,8 +147,8 @@
         claimTask(harness.state, owner, i, machine, harness.time(), Infinity);
     });
     harness.now += 3 * timing.maxHeartbeatIntervalMs + 500;
-    harness.hear(report('m', 1, [], { token: 6 }));
-    return terminatedBy(harness.do({ kind: 'tick' }));
+    harness.deliverHeartbeat(heartbeatOf('m', 1, [], { token: 6 }));
+    return terminatedBy(harness.stepAndCommit({ kind: 'tick' }));
   };
   expect(terminatedAfterFailover(new Map())).toEqual([]);
   expect(terminatedAfterFailover(new Map([['b', previousLeader.now - timing.silenceTimeoutMs]]))).toEqual(
@@ -155,27 +159,29 @@
 // A task that cannot end before the machine is reclaimed is moved before it is lost.
 test('a machine with a termination notice is drained of tasks that cannot finish, and terminated when reclaimed', () => {
   const harness = new CoreHarness();
-  for (const name of ['m', 'n', 'o', 'p']) harness.hear(report(name, 1));
-  harness.add(job('req-1', 2, 4, 100));
-  const startAnswer = harness.hear(report('m', 2));
-  expect(CoreHarness.starts(startAnswer)).toHaveLength(2);
+  for (const name of ['m', 'n', 'o', 'p']) harness.deliverHeartbeat(heartbeatOf(name, 1));
+  harness.addJob(job('req-1', 2, 4, 100));
+  const startAnswer = harness.deliverHeartbeat(heartbeatOf('m', 2));
+  expect(CoreHarness.startedTasks(startAnswer)).toHaveLength(2);
   const running = [task('req-1/0', 1, 'running'), task('req-1/1', 1, 'running')];
-  harness.hear(report('m', 3, running, { terminationNoticeS: 20 }));
-  harness.do({ kind: 'tick' });
-  const stopAnswer = harness.hear(report('m', 4, running, { terminationNoticeS: 19 }));
+  harness.deliverHeartbeat(heartbeatOf('m', 3, running, { terminationNoticeS: 20 }));
+  harness.stepAndCommit({ kind: 'tick' });
+  const stopAnswer = harness.deliverHeartbeat(heartbeatOf('m', 4, running, { terminationNoticeS: 19 }));
   expect(JSON.stringify(stopAnswer).match(/"op":"stop"/g)).toHaveLength(2);
-  harness.hear(report('m', 5, [task('req-1/0', 1, 'exited', 'stopped')], { terminationNoticeS: 18 }));
+  harness.deliverHeartbeat(
+    heartbeatOf('m', 5, [task('req-1/0', 1, 'exited', 'stopped')], { terminationNoticeS: 18 }),
+  );
   harness.now += 18_000 + 2 * harness.state.config.timing.maxHeartbeatIntervalMs;
-  for (const name of ['n', 'o', 'p']) harness.hear(report(name, 2));
-  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual(['m']);
+  for (const name of ['n', 'o', 'p']) harness.deliverHeartbeat(heartbeatOf(name, 2));
+  expect(terminatedBy(harness.stepAndCommit({ kind: 'tick' }))).toEqual(['m']);
 });
 
 // Requests in small batches would delay a scale-out of hundreds of machines by seconds.
 test('scale-out requests all planned machines at once, evenly over zones of equal price', () => {
-  const harness = new CoreHarness(0, [{ ...EIGHT, zones: ['a', 'b'] }]);
+  const harness = new CoreHarness(0, [{ ...EIGHT_CPU_TYPE, zones: ['a', 'b'] }]);
   harness.now += 1000;
-  harness.add(job('req-1', 200, 8, 50));
-  const requests = harness.do({ kind: 'tick' }).filter((effect) => effect.kind === 'provision');
+  harness.addJob(job('req-1', 200, 8, 50));
+  const requests = harness.stepAndCommit({ kind: 'tick' }).filter((effect) => effect.kind === 'provision');
   const zones = new Map<string, number>();
   for (const { zone, count } of requests) zones.set(zone, (zones.get(zone) ?? 0) + count);
   expect(Object.fromEntries(zones)).toEqual({ a: 100, b: 100 });
@@ -193,50 +199,50 @@
   let seq = 0;
   const sendHeartbeats = (...names: string[]): void => {
     seq += 1;
-    for (const name of names) harness.hear(report(name, seq));
+    for (const name of names) harness.deliverHeartbeat(heartbeatOf(name, seq));
   };
   const settleProbe = (machine: string, isReachable: boolean | null): void => {
-    harness.do({ kind: 'probed', machine, isReachable });
+    harness.stepAndCommit({ kind: 'probed', machine, isReachable });
   };
   const startedAt = harness.now;
   sendHeartbeats('m', ...others);
   harness.now += 1.3 * maxHeartbeatIntervalMs;
   // No machine of its zone has reported: that may be a partition, and is no evidence against a single machine.
-  expect(probedMachines(harness.do({ kind: 'tick' }))).toEqual([]);
+  expect(probedMachines(harness.stepAndCommit({ kind: 'tick' }))).toEqual([]);
   sendHeartbeats(...others);
-  expect(probedMachines(harness.do({ kind: 'tick' }))).toEqual(['m']);
+  expect(probedMachines(harness.stepAndCommit({ kind: 'tick' }))).toEqual(['m']);
   // Only one probe at a time; an inconclusive or successful probe is no evidence against the machine.
-  expect(probedMachines(harness.do({ kind: 'tick' }))).toEqual([]);
+  expect(probedMachines(harness.stepAndCommit({ kind: 'tick' }))).toEqual([]);
   for (const isReachable of [false, null, true, false]) {
     settleProbe('m', isReachable);
-    expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual([]);
+    expect(terminatedBy(harness.stepAndCommit({ kind: 'tick' }))).toEqual([]);
   }
   // A period in which no machine of the zone reports resets the count of failed probes.
   harness.now += 1.2 * maxHeartbeatIntervalMs;
-  harness.do({ kind: 'tick' });
+  harness.stepAndCommit({ kind: 'tick' });
   sendHeartbeats(...others);
   settleProbe('m', false);
-  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual([]);
+  expect(terminatedBy(harness.stepAndCommit({ kind: 'tick' }))).toEqual([]);
   settleProbe('m', false);
   expect(harness.now - startedAt).toBeLessThan(shortSilenceTimeoutMs);
-  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual(['m']);
+  expect(terminatedBy(harness.stepAndCommit({ kind: 'tick' }))).toEqual(['m']);
 });
 
 // A heartbeat that is in flight when a probe fails is newer evidence than the probe.
 test('a probe result is discarded once the machine reports again', () => {
   const harness = new CoreHarness();
   const { maxHeartbeatIntervalMs } = harness.state.config.timing;
-  for (const name of ['m', 'n', 'o']) harness.hear(report(name, 1));
+  for (const name of ['m', 'n', 'o']) harness.deliverHeartbeat(heartbeatOf(name, 1));
   harness.now += 1.3 * maxHeartbeatIntervalMs;
-  for (const name of ['n', 'o']) harness.hear(report(name, 2));
-  harness.do({ kind: 'tick' });
-  harness.do({ kind: 'probed', machine: 'm', isReachable: false });
-  harness.hear(report('m', 2));
+  for (const name of ['n', 'o']) harness.deliverHeartbeat(heartbeatOf(name, 2));
+  harness.stepAndCommit({ kind: 'tick' });
+  harness.stepAndCommit({ kind: 'probed', machine: 'm', isReachable: false });
+  harness.deliverHeartbeat(heartbeatOf('m', 2));
   harness.now += 1.3 * maxHeartbeatIntervalMs;
-  for (const name of ['n', 'o']) harness.hear(report(name, 3));
-  harness.do({ kind: 'tick' });
-  harness.do({ kind: 'probed', machine: 'm', isReachable: false });
-  expect(terminatedBy(harness.do({ kind: 'tick' }))).toEqual([]);
+  for (const name of ['n', 'o']) harness.deliverHeartbeat(heartbeatOf(name, 3));
+  harness.stepAndCommit({ kind: 'tick' });
+  harness.stepAndCommit({ kind: 'probed', machine: 'm', isReachable: false });
+  expect(terminatedBy(harness.stepAndCommit({ kind: 'tick' }))).toEqual([]);
 });
 
 // Retries without a budget would multiply the load on a failing service.
--- a/test/dag-dependencies.test.ts
+++ b/test/dag-dependencies.test.ts
@@ -3,9 +3,9 @@
 import type { Command, Effect } from '../src/core/effects.js';
 import { resolvedUntil } from '../src/core/jobs/index.js';
 import type { EndedRecord, FinalStage, JobSpec } from '../src/core/types.js';
-import { CoreHarness, job, report, task } from './emulators/core-harness.js';
+import { CoreHarness, job, heartbeatOf, task } from './emulators/core-harness.js';
 
-const starts = (effects: readonly Effect[]): string[] => CoreHarness.starts(effects);
+const starts = (effects: readonly Effect[]): string[] => CoreHarness.startedTasks(effects);
 const queriedIds = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'resolveDependencies' ? effect.ids : []));
 const ended = (stage: FinalStage): EndedRecord => ({ stage, tasks: 1, done: 1, at: 100_000 });
@@ -24,7 +24,7 @@
   constructor(readonly harness: CoreHarness) {}
 
   heartbeat(): string[] {
-    const effects = this.harness.hear(report('m', this.#sequence++, this.#reportedTasks));
+    const effects = this.harness.deliverHeartbeat(heartbeatOf('m', this.#sequence++, this.#reportedTasks));
     const started = starts(effects);
     for (const name of started) this.#reportedTasks.push(task(name.replace(/#.*/, ''), 1, 'running'));
     return started;
@@ -32,13 +32,13 @@
 
   finish(name: string): void {
     this.harness.now += 10_000;
-    this.harness.do({ kind: 'viewConfirmed', sentAt: this.harness.now });
+    this.harness.stepAndCommit({ kind: 'viewConfirmed', sentAt: this.harness.now });
     this.#reportedTasks = this.#reportedTasks.map((one) =>
       `${one.job}/${one.task}` === name ? { ...one, stage: 'exited', exit: 'done' } : one,
     );
     this.heartbeat();
     this.#reportedTasks = this.#reportedTasks.filter(({ stage }) => stage !== 'exited');
-    this.harness.do({ kind: 'tick' });
+    this.harness.stepAndCommit({ kind: 'tick' });
   }
 }
 
@@ -51,9 +51,9 @@
 test('chain: each job starts as soon as its predecessor is committed as done', async () => {
   const driver = createDriver();
   const { harness } = driver;
-  harness.add(awaitingJob('req-1', []));
-  harness.add(awaitingJob('req-2', ['req-1']));
-  harness.add(awaitingJob('req-3', ['req-2']));
+  harness.addJob(awaitingJob('req-1', []));
+  harness.addJob(awaitingJob('req-2', ['req-1']));
+  harness.addJob(awaitingJob('req-3', ['req-2']));
   expect(driver.heartbeat()).toEqual(['req-1/0#1']);
   driver.finish('req-1/0');
   expect(driver.heartbeat()).toEqual(['req-2/0#1']);
@@ -65,9 +65,9 @@
 test('diamond: the last job waits for both branches', async () => {
   const driver = createDriver();
   const { harness } = driver;
-  harness.add(awaitingJob('req-1', []));
-  for (const branch of ['req-2', 'req-3']) harness.add(awaitingJob(branch, ['req-1']));
-  harness.add(awaitingJob('req-4', ['req-2', 'req-3']));
+  harness.addJob(awaitingJob('req-1', []));
+  for (const branch of ['req-2', 'req-3']) harness.addJob(awaitingJob(branch, ['req-1']));
+  harness.addJob(awaitingJob('req-4', ['req-2', 'req-3']));
   expect(driver.heartbeat()).toEqual(['req-1/0#1']);
   driver.finish('req-1/0');
   driver.heartbeat();
@@ -82,15 +82,15 @@
 test('fan-out: cancelling a job cancels all its dependents, in as many transactions as needed', async () => {
   const driver = createDriver();
   const { harness } = driver;
-  harness.add(awaitingJob('req-1', []));
-  for (let i = 0; i < 20; i += 1) harness.add(awaitingJob(`req-2${i}`, ['req-1']));
-  harness.add(awaitingJob('req-3', ['req-20', 'req-21']));
-  const effects = harness.do({ kind: 'jobRemoved', id: 'req-1' });
+  harness.addJob(awaitingJob('req-1', []));
+  for (let i = 0; i < 20; i += 1) harness.addJob(awaitingJob(`req-2${i}`, ['req-1']));
+  harness.addJob(awaitingJob('req-3', ['req-20', 'req-21']));
+  const effects = harness.stepAndCommit({ kind: 'jobRemoved', id: 'req-1' });
   // No dependent is cancelled before the committed record of the job has been read.
   expect(queriedIds(effects)).toEqual(['req-1']);
   expect(harness.state.cancelPending.size).toBe(0);
   for (let i = 0; i < 12; i += 1) {
-    harness.do(i === 0 ? resolved('req-1', ended('withdrawn')) : { kind: 'tick' });
+    harness.stepAndCommit(i === 0 ? resolved('req-1', ended('withdrawn')) : { kind: 'tick' });
     driver.heartbeat();
     harness.now += 250;
   }
@@ -101,57 +101,57 @@
 test('a job whose last exit is reported but not committed is not done', () => {
   const driver = createDriver();
   const { harness } = driver;
-  harness.add(awaitingJob('req-1', []));
-  harness.add(awaitingJob('req-2', ['req-1']));
+  harness.addJob(awaitingJob('req-1', []));
+  harness.addJob(awaitingJob('req-2', ['req-1']));
   driver.heartbeat();
-  harness.hear(report('m', 20, [task('req-1/0', 1, 'running')]));
-  const exit = harness.raw({
+  harness.deliverHeartbeat(heartbeatOf('m', 20, [task('req-1/0', 1, 'running')]));
+  const exit = harness.step({
     kind: 'heartbeat',
     reply: 90,
-    heartbeat: report('m', 21, [task('req-1/0', 1, 'exited', 'done')]),
+    heartbeat: heartbeatOf('m', 21, [task('req-1/0', 1, 'exited', 'done')]),
   });
   const commit = exit.find((effect) => effect.kind === 'commit');
   expect(harness.state.jobs.get('req-2')?.claims.size).toBe(0);
   if (commit?.kind !== 'commit') throw new Error('the step produced no commit effect');
-  harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'unknown' } });
+  harness.step({ kind: 'committed', id: commit.id, outcome: { kind: 'unknown' } });
   expect(harness.state.jobs.get('req-2')?.claims.size).toBe(0);
 });
 
 test('an unknown dependency is looked up, and only its committed completion satisfies it', () => {
   const { harness } = createDriver();
-  expect(queriedIds(harness.add(awaitingJob('req-2', ['req-1'])))).toEqual(['req-1']);
+  expect(queriedIds(harness.addJob(awaitingJob('req-2', ['req-1'])))).toEqual(['req-1']);
   const claims = (): number => harness.state.jobs.get('req-2')?.claims.size ?? 0;
   for (const answer of ['unknown', 'live', 'none'] as const) {
-    harness.do(resolved('req-1', answer));
+    harness.stepAndCommit(resolved('req-1', answer));
     harness.now += 11_000;
-    harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
-    harness.hear(report('m', 2 + harness.now));
+    harness.stepAndCommit({ kind: 'viewConfirmed', sentAt: harness.now });
+    harness.deliverHeartbeat(heartbeatOf('m', 2 + harness.now));
     expect(claims()).toBe(0);
     expect(
-      queriedIds(harness.do({ kind: 'tick' })).concat(harness.state.pendingDependencyQuery ?? []),
+      queriedIds(harness.stepAndCommit({ kind: 'tick' })).concat(harness.state.pendingDependencyQuery ?? []),
     ).toContain('req-1');
   }
-  harness.do(resolved('req-1', ended('done')));
+  harness.stepAndCommit(resolved('req-1', ended('done')));
   expect(claims()).toBe(1);
 });
 
 test('a job with pending dependencies is neither head nor counted as waiting, and blocks no other', async () => {
   const driver = createDriver();
   const { harness } = driver;
-  harness.add(job('req-1', 1, 6, 100));
+  harness.addJob(job('req-1', 1, 6, 100));
   // If this large job of the highest priority were ready, it would be the head and reserve the machine.
-  harness.add(job('req-2', 1, 8, 100, { priority: 0, awaits: ['req-1'] }));
-  harness.add(job('req-3', 1, 2, 1000));
+  harness.addJob(job('req-2', 1, 8, 100, { priority: 0, awaits: ['req-1'] }));
+  harness.addJob(job('req-3', 1, 2, 1000));
   expect(driver.heartbeat().sort()).toEqual(['req-1/0#1', 'req-3/0#1']);
-  expect(harness.state.head).toBeNull();
+  expect(harness.state.headReservation).toBeNull();
   await harness.expectTrace('open-dependency');
 });
 
 test('priority and deadline propagate to the dependencies of a job', () => {
   const { harness } = createDriver();
-  harness.add(awaitingJob('req-1', [], { priority: 3 }));
-  harness.add(awaitingJob('req-2', ['req-1'], { priority: 3 }));
-  harness.add(awaitingJob('req-3', ['req-2'], { priority: 1, deadlineS: 200, submittedAt: harness.now }));
+  harness.addJob(awaitingJob('req-1', [], { priority: 3 }));
+  harness.addJob(awaitingJob('req-2', ['req-1'], { priority: 3 }));
+  harness.addJob(awaitingJob('req-3', ['req-2'], { priority: 1, deadlineS: 200, submittedAt: harness.now }));
   const [first, second] = ['req-1', 'req-2'].map((id) => harness.state.jobs.get(id));
   expect([first?.priority, second?.priority]).toEqual([1, 1]);
   const last = harness.now + 200_000;
@@ -162,20 +162,20 @@
 
 test('a leader confirms cancellations only up to those it has propagated to dependents', () => {
   const { harness } = createDriver();
-  harness.add(awaitingJob('req-1', []));
-  harness.add(awaitingJob('req-2', ['req-1']));
+  harness.addJob(awaitingJob('req-1', []));
+  harness.addJob(awaitingJob('req-2', ['req-1']));
   harness.now += 1000;
-  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
+  harness.stepAndCommit({ kind: 'viewConfirmed', sentAt: harness.now });
   const before = harness.now;
   expect(resolvedUntil(harness.state)).toBe(before);
-  harness.do({ kind: 'jobRemoved', id: 'req-1' });
+  harness.stepAndCommit({ kind: 'jobRemoved', id: 'req-1' });
   harness.now += 1000;
-  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
+  harness.stepAndCommit({ kind: 'viewConfirmed', sentAt: harness.now });
   expect(resolvedUntil(harness.state)).toBe(before);
-  const effects = harness.raw(resolved('req-1', ended('withdrawn')));
+  const effects = harness.step(resolved('req-1', ended('withdrawn')));
   expect(resolvedUntil(harness.state)).toBe(before);
   const commit = effects.find((effect) => effect.kind === 'commit');
   if (commit?.kind !== 'commit') throw new Error('the step produced no commit effect');
-  harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 900 } });
+  harness.step({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 900 } });
   expect(resolvedUntil(harness.state)).toBe(harness.now);
 });
--- a/test/election-model.test.ts
+++ b/test/election-model.test.ts
@@ -5,8 +5,8 @@
 const deep = Number(process.env['DEPTH'] ?? 0);
 const BOUNDS: Bounds =
   deep > 0
-    ? { depth: deep, faults: 4, states: 700_000, settleEvery: 50 }
-    : { depth: 9, faults: 3, states: 60_000, settleEvery: 20 };
+    ? { depth: deep, faults: 4, states: 700_000, convergenceCheckInterval: 50 }
+    : { depth: 9, faults: 3, states: 60_000, convergenceCheckInterval: 20 };
 
 test('in every interleaving up to a depth no two leaders write and leadership settles', () => {
   const found = explore(BOUNDS);
@@ -27,6 +27,6 @@
 ];
 
 test.each(MUTANTS)('the explorer detects a mutant that %s', (mutant) => {
-  const found = explore({ ...BOUNDS, settleEvery: 1 }, mutant);
+  const found = explore({ ...BOUNDS, convergenceCheckInterval: 1 }, mutant);
   expect(found.violations.length).toBeGreaterThan(0);
 });
--- a/test/emulators/busy-cluster.ts
+++ b/test/emulators/busy-cluster.ts
@@ -3,15 +3,15 @@
 import { NODES, seeded, Simulation } from './simulation.js';
 
 /** The values of cancel_s and of the worker lease in `testSettings`, in milliseconds. */
-export const CANCEL = 30_000;
-export const LEASE = 10_000;
+export const CANCEL_TIMEOUT_MS = 30_000;
+export const WORKER_LEASE_MS = 10_000;
 /** The virtual time at which `startBusyCluster` returns, in milliseconds. */
-export const FROM = 20_000;
+export const ALL_RUNNING_AT_MS = 20_000;
 /** With this seed n-0 is elected leader. */
 export const DEPUTY_SEED = 7;
 
 interface BusyCluster {
-  readonly world: Simulation;
+  readonly simulation: Simulation;
   readonly leader: number;
   /** The other nodes. */
   readonly others: readonly number[];
@@ -32,9 +32,9 @@
     sharing = false,
   } = {},
 ): Promise<BusyCluster> {
-  const world = new Simulation(seeded(seed), { keepLog: true, ...(sharing ? { sharing } : {}) });
-  if (copies > 0) world.keepDuplicates(1, copies);
-  world.cloud.capacity = machines;
+  const simulation = new Simulation(seeded(seed), { keepLog: true, ...(sharing ? { sharing } : {}) });
+  if (copies > 0) simulation.keepDuplicates(1, copies);
+  simulation.cloud.capacity = machines;
   const ids = Array.from({ length: jobs }, (_, i) => `req-${String(i).padStart(6, '0')}`);
   const placement = {
     team: 'crew',
@@ -46,13 +46,13 @@
     spread: false,
   };
   for (const id of ids) {
-    world.runtimes.set(id, runs);
-    void world.user({ ...placement, id, tasks }, null);
+    simulation.runtimes.set(id, runs);
+    void simulation.simulateUser({ ...placement, id, tasks }, null);
   }
-  await world.clock.runUntil(FROM);
-  expect(world.checker.placedTasks()).toBe(jobs * tasks);
-  const leader = NODES.indexOf(world.leaders()[0] ?? '');
-  return { world, leader, others: [0, 1, 2].filter((node) => node !== leader), ids };
+  await simulation.clock.runUntil(ALL_RUNNING_AT_MS);
+  expect(simulation.checker.placedTasks()).toBe(jobs * tasks);
+  const leader = NODES.indexOf(simulation.leaders()[0] ?? '');
+  return { simulation, leader, others: [0, 1, 2].filter((node) => node !== leader), ids };
 }
 
 /**
--- a/test/emulators/checker.ts
+++ b/test/emulators/checker.ts
@@ -66,7 +66,7 @@
   readonly #waitingSince = new Map<string, number>();
   /** Jobs that can never run or lack a required field: no controller may accept them. */
   readonly #invalidJobs = new Set<string>();
-  started = 0;
+  startedTasks = 0;
   /** Number of tasks that workers killed at lease expiry. */
   expiredTasks = 0;
 
@@ -203,7 +203,7 @@
     spot: boolean,
     now: number,
   ): void {
-    this.started += 1;
+    this.startedTasks += 1;
     this.#historyOf(job).startedAt ??= now;
     const spec = this.#jobs.get(job);
     if (spec === undefined) {
--- a/test/emulators/cloud.ts
+++ b/test/emulators/cloud.ts
@@ -2,7 +2,7 @@
 import type { Cloud, ProvisioningResult } from '../../src/adapters/cloud.js';
 import type { WorkerClient } from '../../src/adapters/worker-client.js';
 import type { ListedMachine, MachineType, Heartbeat, WorkerCommand } from '../../src/core/types.js';
-import { asObject, type Json } from '../../src/core/values.js';
+import { asObject, type JsonObject } from '../../src/core/values.js';
 import { encodeProvisionRequest, encodeTerminateRequest } from '../../src/wire/cloud.js';
 import { encodeDirectCommands, parseHeartbeat } from '../../src/wire/workers.js';
 import type { Checker } from './checker.js';
@@ -31,7 +31,7 @@
   cadence?: string;
 }
 
-const parseResponse = (text: string): Json | null => asObject(JSON.parse(text === '' ? '{}' : text));
+const parseResponse = (text: string): JsonObject | null => asObject(JSON.parse(text === '' ? '{}' : text));
 
 /** The jobs whose tasks these commands start. */
 const jobsStartedBy = (cues: unknown): string[] =>
@@ -46,7 +46,7 @@
 /** What the simulation provides to an emulated worker. */
 export interface WorkerEnvironment {
   readonly nodes: readonly string[];
-  readonly reportMs: number;
+  readonly heartbeatIntervalMs: number;
   readonly leaseMs: number;
   readonly runMs: (job: string, task: number) => number;
   /** Whether a job is faulty: its tasks fail on every machine. */
@@ -55,7 +55,7 @@
    * Draws whether a heartbeat is duplicated: the delay of the duplicate and the node that receives it (null: the
    * same as the original), or null for no duplicate.
    */
-  readonly copy: () => { readonly afterMs: number; readonly node: string | null } | null;
+  readonly drawDuplicate: () => { readonly afterMs: number; readonly node: string | null } | null;
   /** Called when a heartbeat is sent; `deliver` delivers a duplicate of it to any controller, at any later time. */
   readonly onHeartbeatSent?: (deliver: (node: string) => void) => void;
   /** Called when a task has completed. */
@@ -93,7 +93,7 @@
   #schedule(): void {
     const round = ++this.#timerRound;
     const { clock, draw } = this.network;
-    clock.in(this.environment.reportMs * (0.75 + 0.5 * draw()), () => {
+    clock.in(this.environment.heartbeatIntervalMs * (0.75 + 0.5 * draw()), () => {
       if (round === this.#timerRound) this.#whenAwake(() => this.#sendHeartbeat());
     });
   }
@@ -182,7 +182,7 @@
       this.#tryNextNode();
       sendNextAfter(1000);
     });
-    const duplicate = this.environment.copy();
+    const duplicate = this.environment.drawDuplicate();
     if (duplicate !== null)
       clock.in(duplicate.afterMs, () => this.deliver(duplicate.node ?? node, body, () => undefined));
     // The machine cannot open connections: the heartbeat is not sent, so onHeartbeatSent is not called.
--- a/test/emulators/core-harness.ts
+++ b/test/emulators/core-harness.ts
@@ -12,7 +12,7 @@
 export const TERM = 5;
 const TERM_REVISION = 100;
 
-export const EIGHT: MachineType = {
+export const EIGHT_CPU_TYPE: MachineType = {
   name: 'eight',
   cpus: 8,
   gpus: 0,
@@ -58,7 +58,7 @@
   };
 }
 
-export function report(
+export function heartbeatOf(
   machine: string,
   seq: number,
   tasks: readonly ReportedTask[] = [],
@@ -141,7 +141,7 @@
   #modRevision = TERM_REVISION;
   #replyId = 0;
 
-  constructor(cpusMax = 0, types: MachineType[] = [EIGHT], limits: object = {}) {
+  constructor(cpusMax = 0, types: MachineType[] = [EIGHT_CPU_TYPE], limits: object = {}) {
     const settings = testSettings(0, cpusMax, limits);
     this.state = createState('n-0', createCoreConfig(settings, createPolicy(settings)));
     step(this.state, [{ kind: 'catalog', types }], this.time());
@@ -170,7 +170,7 @@
   }
 
   /** Steps the core with one batch of commands and returns its effects; its commits get no outcome. */
-  raw(...batch: Command[]): Effect[] {
+  step(...batch: Command[]): Effect[] {
     const commands: Command[] = this.isViewConfirmed
       ? [{ kind: 'viewConfirmed', sentAt: this.now }, ...batch]
       : [...batch];
@@ -185,10 +185,10 @@
   }
 
   /** Steps the core with one batch of commands, applies the commits that follow and returns all effects. */
-  do(...commands: Command[]): Effect[] {
-    const effects = this.raw(...commands);
+  stepAndCommit(...commands: Command[]): Effect[] {
+    const effects = this.step(...commands);
     for (let commit = effects.find((effect) => effect.kind === 'commit'); commit?.kind === 'commit';) {
-      const next = this.raw({
+      const next = this.step({
         kind: 'committed',
         id: commit.id,
         outcome: { kind: 'applied', revision: ++this.#modRevision },
@@ -199,15 +199,15 @@
     return effects;
   }
 
-  add(spec: JobSpec): Effect[] {
-    return this.do({ kind: 'jobAdded', job: { value: spec, modRevision: ++this.#modRevision } });
+  addJob(spec: JobSpec): Effect[] {
+    return this.stepAndCommit({ kind: 'jobAdded', job: { value: spec, modRevision: ++this.#modRevision } });
   }
 
   /** Makes the core a new leader that has loaded one job and its claims from the store. */
   takeOver(spec: JobSpec, claims: Readonly<Record<string, Claim>>): void {
     const { id, team, cpus, gpus, memoryGb } = spec;
     const record = { team, cpus, gpus, memoryGb, done: '', attempts: {}, claims };
-    this.do({
+    this.stepAndCommit({
       kind: 'becomeLeader',
       term: TERM,
       modRevision: TERM_REVISION,
@@ -221,12 +221,12 @@
   }
 
   /** Delivers one heartbeat and applies the commits that follow. */
-  hear(heartbeat: Heartbeat): Effect[] {
-    return this.do({ kind: 'heartbeat', reply: ++this.#replyId, heartbeat });
+  deliverHeartbeat(heartbeat: Heartbeat): Effect[] {
+    return this.stepAndCommit({ kind: 'heartbeat', reply: ++this.#replyId, heartbeat });
   }
 
   /** The tasks started by the commands in these effects, as `job/task#attempt`. */
-  static starts(effects: readonly Effect[]): string[] {
+  static startedTasks(effects: readonly Effect[]): string[] {
     return effects.flatMap((effect) =>
       effect.kind === 'reply' && effect.body.kind === 'commands'
         ? effect.body.commands
--- a/test/emulators/election-explorer.ts
+++ b/test/emulators/election-explorer.ts
@@ -480,7 +480,7 @@
   readonly faults: number;
   readonly states: number;
   /** Convergence without further faults is checked from every `settleEvery`-th state. */
-  readonly settleEvery: number;
+  readonly convergenceCheckInterval: number;
 }
 
 /** Explores breadth-first from a state with a leader: the path to a violation is the shortest one. */
@@ -506,7 +506,7 @@
   };
   const checkState = (key: string, state: ModelState): ExplorationResult | null => {
     explorer.check(state);
-    if (seen.size % bounds.settleEvery === 0) explorer.checkConvergence(state);
+    if (seen.size % bounds.convergenceCheckInterval === 0) explorer.checkConvergence(state);
     return explorer.violations.length === 0
       ? null
       : { states: seen.size, violations: explorer.violations, path: pathTo(key) };
--- a/test/emulators/faults.ts
+++ b/test/emulators/faults.ts
@@ -45,37 +45,37 @@
 const FAULTS: Readonly<Record<string, Fault>> = {
   'store refuses the leader': (simulation) => {
     const ms = between(simulation, 5000, CANCEL_TIMEOUT_MS);
-    simulation.state.refuse(leaderOf(simulation), ms);
+    simulation.store.refuse(leaderOf(simulation), ms);
     return ms;
   },
   // The leader still answers workers while other controllers confirm cancellations that it cannot learn of.
   'store refuses the leader, then all': (simulation) => {
     const delayMs = between(simulation, 300, LEADER_LEASE_MS + 500);
     const ms = between(simulation, 0.9 * CANCEL_TIMEOUT_MS, 1.8 * CANCEL_TIMEOUT_MS);
-    simulation.state.refuse(leaderOf(simulation), delayMs + ms);
+    simulation.store.refuse(leaderOf(simulation), delayMs + ms);
     for (let i = 0; i < 3; i += 1)
       simulation.clock.in(delayMs * simulation.draw(), () => simulation.cancelSome(0.4));
-    simulation.clock.in(delayMs, () => simulation.state.outage(ms));
+    simulation.clock.in(delayMs, () => simulation.store.outage(ms));
     return delayMs + ms;
   },
   'store refuses a node': (simulation) => {
     const ms = between(simulation, 2000, CANCEL_TIMEOUT_MS);
-    simulation.state.refuse(pick(simulation, NODES), ms);
+    simulation.store.refuse(pick(simulation, NODES), ms);
     return ms;
   },
   'store outage': (simulation) => {
     const ms = between(simulation, 1000, 1.5 * CANCEL_TIMEOUT_MS);
-    simulation.state.outage(ms);
+    simulation.store.outage(ms);
     return ms;
   },
   'slow store': (simulation) => {
     const ms = between(simulation, 5000, 25_000);
-    simulation.state.slow(between(simulation, 200, 3000), ms);
+    simulation.store.slow(between(simulation, 200, 3000), ms);
     return ms;
   },
   'delayed transactions': (simulation) => {
     const ms = between(simulation, 5000, 30_000);
-    simulation.state.delayTransactions(between(simulation, 0.2, 0.9), ms);
+    simulation.store.delayTransactions(between(simulation, 0.2, 0.9), ms);
     return ms;
   },
   'leader partitioned from store and peers': (simulation) => {
@@ -87,7 +87,7 @@
   'leader refused by the store, partitioned from peers': (simulation) => {
     const ms = between(simulation, 5000, 45_000);
     const leader = leaderOf(simulation);
-    simulation.state.refuse(leader, ms);
+    simulation.store.refuse(leader, ms);
     partitionFrom(simulation, leader, [...NODES, 'cloud'], ms);
     return ms;
   },
@@ -179,7 +179,7 @@
   },
   'lost responses': (simulation) => {
     const ms = between(simulation, 5000, 30_000);
-    simulation.state.loseResponses(between(simulation, 0.2, 0.9), ms);
+    simulation.store.loseResponses(between(simulation, 0.2, 0.9), ms);
     return ms;
   },
   'duplicated heartbeats for the next leader': (simulation) => {
@@ -306,13 +306,13 @@
       simulation.clock.in(between(simulation, 0, 300), begin),
     ),
   (simulation, _, begin) =>
-    simulation.state.onNextWrite('run/', () => simulation.clock.in(between(simulation, 0, 20), begin)),
+    simulation.store.onNextWrite('run/', () => simulation.clock.in(between(simulation, 0, 20), begin)),
   (simulation, _, begin) =>
-    simulation.state.onNextDelayedCommit(() => simulation.clock.in(between(simulation, 0, 300), begin)),
+    simulation.store.onNextDelayedCommit(() => simulation.clock.in(between(simulation, 0, 300), begin)),
   (simulation, _, begin) =>
-    simulation.state.onNextLostResponse(() => simulation.clock.in(between(simulation, 0, 300), begin)),
+    simulation.store.onNextLostResponse(() => simulation.clock.in(between(simulation, 0, 300), begin)),
   (simulation, _, begin) =>
-    simulation.state.onNextWrite('ended/', () => simulation.clock.in(between(simulation, 0, 20), begin)),
+    simulation.store.onNextWrite('ended/', () => simulation.clock.in(between(simulation, 0, 20), begin)),
 ];
 
 /** Injects faults, each at one of the START_MOMENTS of the previous one; users sometimes cancel jobs as well. */
@@ -372,7 +372,7 @@
       ]);
     clock.in(
       LATEST_START_MS * draw() ** 1.5,
-      () => void simulation.user(job, draw() < 0.15 ? 30_000 * draw() : null),
+      () => void simulation.simulateUser(job, draw() < 0.15 ? 30_000 * draw() : null),
     );
   }
   if (draw() < 0.4)
--- a/test/emulators/fingerprint-days.ts
+++ b/test/emulators/fingerprint-days.ts
@@ -9,7 +9,7 @@
   drawRun,
   seeded,
   TEAMS,
-  TIGHT,
+  TIGHT_LIMITS,
   Simulation,
   type RunSize,
   type SimulationOptions,
@@ -22,7 +22,7 @@
 const STATUS_INTERVAL_MS = 5000;
 
 const DAGS: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
-const PRODUCTION_FAULTS: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
+const PRODUCTION_FAULTS: RunSize = { jobs: 16, maxTasks: 6, machines: 8, productionFaults: true };
 const WIDE: RunSize = { jobs: 12, maxTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
 
 interface RunKind {
@@ -55,7 +55,7 @@
     };
     if (form === 'service') simulation.runtimes.set(id, [10 * RUN_MS, 0]);
     const cancelAfterMs = form === 'service' || draw() < 0.2 ? 60_000 * draw() : null;
-    clock.in(0.6 * RUN_MS * draw(), () => void simulation.user(job, cancelAfterMs));
+    clock.in(0.6 * RUN_MS * draw(), () => void simulation.simulateUser(job, cancelAfterMs));
   }
 }
 
@@ -83,7 +83,7 @@
     if (isPreemptible) simulation.runtimes.set(id, [60_000 + 60_000 * draw(), 4000 * draw()]);
     clock.in(
       isPreemptible ? 10_000 * draw() : 40_000 + 60_000 * draw(),
-      () => void simulation.user(job, null),
+      () => void simulation.simulateUser(job, null),
     );
   }
 }
@@ -121,20 +121,20 @@
   pipelines: { seeds: [201, 202, 203, 204, 205], draw: (simulation) => drawStandardRun(simulation, 8, DAGS) },
   upgrade: {
     seeds: [301, 302, 303, 304],
-    options: () => ({ limits: TIGHT, earlier: true }),
+    options: () => ({ limits: TIGHT_LIMITS, startsEarlierVersion: true }),
     draw: drawUpgrade,
   },
   'on-call': {
     seeds: [401, 402, 403, 404],
-    options: () => ({ copies: true }),
+    options: () => ({ duplicatesHeartbeats: true }),
     draw: (simulation) => drawStandardRun(simulation, 10, PRODUCTION_FAULTS),
   },
   meetings: {
     seeds: [501, 502, 503, 504, 505, 506, 507, 508],
     options: (seed) => ({
-      copies: true,
+      duplicatesHeartbeats: true,
       cpusMax: seed % 2 === 0 ? 0 : 12,
-      ...(seed % 3 === 0 ? { limits: TIGHT } : {}),
+      ...(seed % 3 === 0 ? { limits: TIGHT_LIMITS } : {}),
     }),
     draw: drawOverlapping,
   },
@@ -155,12 +155,12 @@
   },
   sharing: {
     seeds: [701, 702, 703, 704],
-    options: () => ({ sharing: true, copies: true }),
+    options: () => ({ sharing: true, duplicatesHeartbeats: true }),
     draw: (simulation) => drawStandardRun(simulation, 8, PRODUCTION_FAULTS),
   },
   'sharing-meetings': {
     seeds: [801, 802],
-    options: () => ({ sharing: true, copies: true }),
+    options: () => ({ sharing: true, duplicatesHeartbeats: true }),
     draw: drawOverlapping,
   },
 };
@@ -204,7 +204,7 @@
   };
   simulation.clock.in(STATUS_INTERVAL_MS, hashStatus);
   await simulation.clock.runUntil(runKind.draw(simulation, seed));
-  for (const [key, { value, modRevision }] of [...simulation.state.keys].sort(([a], [b]) => (a < b ? -1 : 1)))
+  for (const [key, { value, modRevision }] of [...simulation.store.keys].sort(([a], [b]) => (a < b ? -1 : 1)))
     hashMessage('state', 'end', `${key} ${modRevision} ${JSON.stringify(value)}`);
   return `${seed} ${kind} ${lines} ${hash.digest('hex')}`;
 }
--- a/test/emulators/golden-messages.ts
+++ b/test/emulators/golden-messages.ts
@@ -30,7 +30,7 @@
 import { VirtualClock } from './clock.js';
 import { TYPES } from './cloud.js';
 import { Network } from './network.js';
-import { StateEmulator } from './state.js';
+import { StoreEmulator } from './state.js';
 import { seeded, testSettings } from './simulation.js';
 
 const json = (value: unknown): string => JSON.stringify(value);
@@ -559,11 +559,11 @@
     const decoded = await call();
     lines.push(...requests.splice(0), `  ${responses.map(json).join(' ')} -> ${withoutFieldNames(decoded)}`);
   };
-  const bench = { name: 'small', cores: 8, memGb: 32, hourly: 1, readyS: 5, halls: ['a', 'b'] };
+  const harness = { name: 'small', cores: 8, memGb: 32, hourly: 1, readyS: 5, halls: ['a', 'b'] };
   const more = { gpus: 2, cacheGb: 20, fetchGbPerS: 1.5, lowPrice: 0.4 };
   const skiff = { nameId: 'vm-000001', address: '10.1.0.1:9', bench: 'small', hall: 'a', borrowed: true };
-  await ask([[200, { benches: [bench, { ...bench, ...more }] }]], () => cloud.catalog());
-  await ask([[200, { benches: [{ ...bench, cores: 'x' }] }]], () => cloud.catalog());
+  await ask([[200, { benches: [harness, { ...harness, ...more }] }]], () => cloud.catalog());
+  await ask([[200, { benches: [{ ...harness, cores: 'x' }] }]], () => cloud.catalog());
   await ask(
     [
       [200, { skiffs: [{ ...skiff, stage: 'starting', heldS: 3 }], truncated: true }],
@@ -601,7 +601,7 @@
 }
 
 function createUserFixture(): UserFixture {
-  const state = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
+  const state = new StoreEmulator(new Network(new VirtualClock(), seeded(1)));
   const known = new Map(TYPES.map((type) => [type.name, type]));
   const store: KeyValueStore = {
     read: (key) => Promise.resolve(fixture.isStoreDown ? 'unknown' : { entry: state.read(key) }),
@@ -612,7 +612,7 @@
     commit: (txn) => Promise.resolve(fixture.isStoreDown ? { kind: 'refused' } : state.commit(txn)),
     watch: () => Promise.resolve({ kind: 'unknown' }),
     changesSince: (prefix, after) =>
-      Promise.resolve(fixture.isStoreDown ? { kind: 'unknown' } : state.since(prefix, after)),
+      Promise.resolve(fixture.isStoreDown ? { kind: 'unknown' } : state.changesSince(prefix, after)),
     grant: () => Promise.resolve(null),
     renew: () => Promise.resolve(null),
     revoke: () => Promise.resolve(),
@@ -629,8 +629,8 @@
     maxPreconditions: 24,
     supportsDependencies: () => Promise.resolve(fixture.dependenciesSupported),
     hasPropagatedCancellations: () => true,
-    types: () => (fixture.typesKnown ? known : new Map()),
-    counts: () => null,
+    machineTypes: () => (fixture.typesKnown ? known : new Map()),
+    taskCounts: () => null,
   });
   const fixture: UserFixture = { users, isStoreDown: false, typesKnown: true, dependenciesSupported: true };
   return fixture;
@@ -648,7 +648,7 @@
         show: (id) => (id === 'req-999' ? failing() : fixture.users.show(id)),
         cancel: (id) => fixture.users.cancel(id),
       },
-      report: (body, done) =>
+      handleHeartbeat: (body, done) =>
         parseHeartbeat(body) === null
           ? done(400, '{"error":"malformed report"}')
           : done(200, encodeReply(7, [])),
@@ -732,13 +732,16 @@
 
 /** The status pages of a leader and its followers with running and queued tasks, and again after the leader crashed. */
 export async function statusPages(): Promise<string[]> {
-  const { world, leader, ids } = await startBusyCluster(3);
+  const { simulation, leader, ids } = await startBusyCluster(3);
   const place = { team: 'crew', cpus: 8, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
   for (let i = 0; i < 3; i += 1)
-    void world.user({ id: `req-30000${i}`, tasks: 4, ...place, ...(i === 2 ? { awaits: ids } : {}) }, null);
-  await world.clock.runUntil(world.clock.now + 4000);
-  const before = world.statusPages();
-  world.crash(leader, 60_000);
-  await world.clock.runUntil(world.clock.now + 15_000);
-  return [...before, ...world.statusPages()].map((page) => JSON.stringify(page, null, 1));
+    void simulation.simulateUser(
+      { id: `req-30000${i}`, tasks: 4, ...place, ...(i === 2 ? { awaits: ids } : {}) },
+      null,
+    );
+  await simulation.clock.runUntil(simulation.clock.now + 4000);
+  const before = simulation.statusPages();
+  simulation.crash(leader, 60_000);
+  await simulation.clock.runUntil(simulation.clock.now + 15_000);
+  return [...before, ...simulation.statusPages()].map((page) => JSON.stringify(page, null, 1));
 }
--- a/test/emulators/simulation.ts
+++ b/test/emulators/simulation.ts
@@ -5,12 +5,12 @@
 import { strictestLimits, parseSettings, timing, type PlatformSettings } from '../../src/config/settings.js';
 import type { LinkState } from '../../src/membership/status.js';
 import type { IntakeMessage } from '../../src/wire/intake.js';
-import { encodeIntake, encodeStatus, StatusReader } from '../../src/wire/peers.js';
+import { encodeIntake, encodeStatus, PeerMessageReader } from '../../src/wire/peers.js';
 import { Checker, type PlacedTask, type SubmittedJob } from './checker.js';
 import { ProcessClock, VirtualClock } from './clock.js';
 import { CloudEmulator, TYPES, Worker } from './cloud.js';
 import { Network, type Draw, type MessageListener } from './network.js';
-import { EarlierStoreClient, StoreClient, StateEmulator } from './state.js';
+import { EarlierStoreClient, StoreClient, StoreEmulator } from './state.js';
 
 export const NODES = ['n-0', 'n-1', 'n-2'];
 const ZONES = ['a', 'b', 'a'];
@@ -18,7 +18,7 @@
 export const TEAMS = ['crew', 'guests'];
 
 /** Store limits under which jobs of a few dozen tasks need several chunks, and later (`next`) small jobs, too. */
-export const TIGHT = { value_kb: 8, txn_ops: 32, next: { value_kb: 1, txn_ops: 6, write_rps: 30 } };
+export const TIGHT_LIMITS = { value_kb: 8, txn_ops: 32, next: { value_kb: 1, txn_ops: 6, write_rps: 30 } };
 
 export function testSettings(node: number, cpusMax = 0, limits: object = {}): PlatformSettings {
   const address = (i: number, port: number): string => `127.0.0.1:${port + i}`;
@@ -73,13 +73,13 @@
   /** Keeps the log lines of all controllers in `logged`. */
   readonly keepLog?: boolean;
   /** Some heartbeats are duplicated; duplicates arrive at any controller, from 0.5 s to well over a lease later. */
-  readonly copies?: boolean;
+  readonly duplicatesHeartbeats?: boolean;
   /** Followers accept heartbeats for the leader, for any number of machines. */
   readonly sharing?: boolean;
   /** Called with every message. */
   readonly onMessage?: MessageListener;
   /** All controllers start as the version without DAG dependencies. */
-  readonly earlier?: boolean;
+  readonly startsEarlierVersion?: boolean;
 }
 
 export interface LogLine {
@@ -101,7 +101,7 @@
 export class Simulation {
   readonly clock = new VirtualClock();
   readonly network: Network;
-  readonly state: StateEmulator;
+  readonly store: StoreEmulator;
   readonly cloud: CloudEmulator;
   readonly checker: Checker;
   readonly jobs = new Map<string, SubmittedJob>();
@@ -148,10 +148,10 @@
   ) {
     this.cpusMax = options.cpusMax ?? 0;
     const cpusMax = this.cpusMax;
-    if (options.earlier === true) NODES.forEach((_, i) => this.#nodesOfEarlierVersion.add(i));
+    if (options.startsEarlierVersion === true) NODES.forEach((_, i) => this.#nodesOfEarlierVersion.add(i));
     this.network = new Network(this.clock, draw);
     this.network.onMessage = options.onMessage ?? null;
-    this.state = new StateEmulator(this.network);
+    this.store = new StoreEmulator(this.network);
     this.checker = new Checker(30_000, cpusMax);
     this.cloud = new CloudEmulator(this.network, (listed) => this.#createWorker(listed));
     for (let i = 0; i < NODES.length; i += 1) this.start(i);
@@ -161,11 +161,11 @@
   #createWorker(listed: ConstructorParameters<typeof Worker>[0]): Worker {
     const environment = {
       nodes: NODES,
-      reportMs: 1000,
+      heartbeatIntervalMs: 1000,
       leaseMs: 10_000,
       runMs: (job: string, task: number) => this.#runtimeMs(job, task),
       isBroken: (job: string) => this.faultyJobs.has(job),
-      copy: () => this.#drawDuplicate(),
+      drawDuplicate: () => this.#drawDuplicate(),
       onHeartbeatSent: (deliver: (node: string) => void) => {
         const { share, until } = this.#duplication;
         if (until > this.clock.now && this.draw() < share) this.#duplicates.push(deliver);
@@ -185,7 +185,7 @@
         reply(status, text);
       };
       if (controller?.clock.alive === true)
-        controller.clock.awake(() => controller.node.report(body, respond));
+        controller.clock.awake(() => controller.node.handleHeartbeat(body, respond));
       // The process has ended: its host refuses the connection.
       else reply(0, '');
     });
@@ -337,7 +337,7 @@
   }
 
   #drawDuplicate(): { afterMs: number; node: string | null } | null {
-    if (this.options.copies !== true || this.draw() > 0.3) return null;
+    if (this.options.duplicatesHeartbeats !== true || this.draw() > 0.3) return null;
     const node = this.draw() < 0.5 ? null : (NODES[Math.floor(this.draw() * NODES.length)] ?? null);
     return { afterMs: 500 + 30_000 * this.draw() ** 2, node };
   }
@@ -356,8 +356,8 @@
         if (!clock.alive) continue;
         const name = `vm-9${String(sent++).padStart(6, '0')}`;
         const fields = { skiff: name, address: '127.0.0.1:1', bench: 'small', hall: 'a', borrowed: true };
-        node.report({ ...fields, watch: 1, barNo: 1, baton: 0, movements: [] }, () => undefined);
-        node.report({ ...fields, movements: 'none' }, () => undefined);
+        node.handleHeartbeat({ ...fields, watch: 1, barNo: 1, baton: 0, movements: [] }, () => undefined);
+        node.handleHeartbeat({ ...fields, movements: 'none' }, () => undefined);
         void node.users.submit({ nameId: 7, movements: -1 });
         void node.users.submit('x'.repeat(100_000));
       }
@@ -386,7 +386,7 @@
     const clock = new ProcessClock(this.clock, 1 + 0.001 * (this.draw() - 0.5), 200 * (this.draw() - 0.5));
     const cloudClient = this.cloud.clientFor(name);
     const node = new ControllerNode(settings, {
-      state: new Client(name, this.state, timing(settings).storeTimeoutMs, clock),
+      store: new Client(name, this.store, timing(settings).storeTimeoutMs, clock),
       cloud: cloudClient,
       workers: cloudClient,
       clock,
@@ -438,7 +438,7 @@
   /** From now on the store enforces the limits that the settings announce. */
   reduceLimits(): void {
     const { state } = testSettings(0, 0, this.options.limits).cluster;
-    this.state.limits = { ...strictestLimits(testSettings(0, 0, this.options.limits)), rps: state.rps };
+    this.store.limits = { ...strictestLimits(testSettings(0, 0, this.options.limits)), rps: state.rps };
   }
 
   #receiveLogLine(node: string, line: string): void {
@@ -526,7 +526,7 @@
     this.network.send(from, to, () => {
       const due = queue.splice(0, queue.indexOf(frame) + 1);
       if (this.arePeersRefused()) return;
-      const reader = new StatusReader((received) => other.node.onIntake(received));
+      const reader = new PeerMessageReader((received) => other.node.onIntake(received));
       for (const next of due) other.clock.awake(() => reader.push(next));
     });
     return true;
@@ -574,7 +574,7 @@
   }
 
   /** Sends a status query for a job; returns its stage, or null without a successful response. */
-  ask(id: string, at?: string): Promise<string | null> {
+  queryStage(id: string, at?: string): Promise<string | null> {
     return this.#request('show', id, {}, at);
   }
 
@@ -587,13 +587,13 @@
   }
 
   /** Sends a request to cancel a job to one controller; returns whether the cancellation was confirmed. */
-  async withdraw(id: string, at: string): Promise<boolean> {
+  async cancel(id: string, at: string): Promise<boolean> {
     this.checker.recordCancellationRequest(id);
     return (await this.#request('withdraw', id, {}, at)) === 'withdrawn';
   }
 
   /** Submits a job until it is accepted, then polls it; cancels it after `cancelAfterMs` unless that is null. */
-  async user(job: SubmittedJob, cancelAfterMs: number | null): Promise<void> {
+  async simulateUser(job: SubmittedJob, cancelAfterMs: number | null): Promise<void> {
     this.checker.recordSubmission(job);
     this.jobs.set(job.id, job);
     const body = {
@@ -647,7 +647,7 @@
   readonly pipelines?: number;
   readonly pipelinesFromMs?: number;
   /** Faults seen in production: one-way partitions, instant restarts, isolated leaders, faulty jobs. */
-  readonly onCall?: boolean;
+  readonly productionFaults?: boolean;
 }
 
 const SMALL_RUN: RunSize = { jobs: 14, maxTasks: 6, machines: 6 };
@@ -670,14 +670,14 @@
     const tasks = 1 + Math.floor(draw() * Math.min(6, maxTasks));
     const placement = { spot: draw() < 0.7, zone: null, oneZone: false, spread: false };
     const job: SubmittedJob = { id, team: 'crew', tasks, cpus: 1, memoryGb: 1, ...placement, awaits };
-    void simulation.user(job, i === cancelled ? 20_000 * draw() : null);
+    void simulation.simulateUser(job, i === cancelled ? 20_000 * draw() : null);
     while (!simulation.accepted.has(id)) await clock.sleep(100);
   }
 }
 
 /** Draws a run: job arrivals, and faults of every kind that the protocol names. */
 export function drawRun(simulation: Simulation, lengthMs: number, faults: number, size = SMALL_RUN): void {
-  const { draw, clock, network, state, cloud } = simulation;
+  const { draw, clock, network, store, cloud } = simulation;
   const pick = <T>(from: readonly T[]): T => from[Math.floor(draw() * from.length)] as T;
   cloud.capacity = size.machines;
   for (let i = 0; i < size.jobs; i += 1) {
@@ -696,7 +696,7 @@
     const cancelAfter = draw() < 0.3 ? 20_000 * draw() : null;
     clock.in(lengthMs * 0.7 * draw(), () => {
       // The user of a faulty job cancels it after 90 s.
-      void simulation.user(job, simulation.faultyJobs.has(id) ? 90_000 : cancelAfter);
+      void simulation.simulateUser(job, simulation.faultyJobs.has(id) ? 90_000 : cancelAfter);
     });
   }
   for (let i = 0; i < (size.pipelines ?? 0); i += 1)
@@ -710,8 +710,8 @@
     () => NODES.forEach((_, i) => simulation.crash(i, 4000)),
     () => network.partition(pick(NODES), 'state', 20_000 * draw()),
     () => network.partition(pick(NODES), 'cloud', 20_000 * draw()),
-    () => state.outage(15_000 * draw()),
-    () => state.refuse(pick(NODES), 20_000 * draw()),
+    () => store.outage(15_000 * draw()),
+    () => store.refuse(pick(NODES), 20_000 * draw()),
     () => {
       const worker = pick([...cloud.workers.keys()]);
       for (const node of NODES) network.partition(worker, node, 25_000 * draw());
@@ -761,13 +761,13 @@
       // Isolates the leader from all but the workers: refused by the store, partitioned from peers and cloud.
       const isolated = pick(simulation.leaders()) ?? pick(NODES);
       const forMs = 40_000 * draw();
-      state.refuse(isolated, forMs);
+      store.refuse(isolated, forMs);
       for (const other of NODES) if (other !== isolated) network.partition(isolated, other, forMs);
       network.partition(isolated, 'cloud', forMs);
     },
     () => network.blockInbound(pick(NODES), 8000 * draw()),
   ];
-  if (size.onCall === true) {
+  if (size.productionFaults === true) {
     // Best-effort arrays, each with as many tasks as there are other jobs, that can be preempted for urgent jobs.
     for (let i = 0; i < 3; i += 1) {
       const placement = {
@@ -780,11 +780,11 @@
       };
       const id = `req-${String(500_000 + i)}`;
       const array = { id, team: 'crew', tasks: size.jobs, cpus: pick([2, 4]), memoryGb: 2, ...placement };
-      clock.in(lengthMs * 0.4 * draw(), () => void simulation.user(array, null));
+      clock.in(lengthMs * 0.4 * draw(), () => void simulation.simulateUser(array, null));
     }
     // For 15 s users poll many times as often.
     const pollOften = (untilMs: number): void => {
-      for (const id of simulation.accepted) if (draw() < 0.3) void simulation.ask(id);
+      for (const id of simulation.accepted) if (draw() < 0.3) void simulation.queryStage(id);
       if (clock.now < untilMs) clock.in(100, () => pollOften(untilMs));
     };
     clock.in(lengthMs * 0.6 * draw(), () => pollOften(clock.now + 15_000));
--- a/test/emulators/state.ts
+++ b/test/emulators/state.ts
@@ -20,7 +20,7 @@
 const MAX_RETAINED_CHANGES = 200;
 
 /** The store, shared by all nodes. */
-export class StateEmulator {
+export class StoreEmulator {
   revision = 1;
   readonly keys = new Map<string, StoredValue>();
   readonly #leases = new Map<number, { ttlMs: number; endsAt: number }>();
@@ -235,7 +235,7 @@
   }
 
   /** The changes after a revision, or `tooOld` if they are no longer retained. */
-  since(prefix: string, after: number): Exclude<WatchResult, { readonly kind: 'unknown' }> {
+  changesSince(prefix: string, after: number): Exclude<WatchResult, { readonly kind: 'unknown' }> {
     this.expire();
     const oldest = this.#changes[0]?.modRevision ?? 0;
     if (this.#changes.length >= MAX_RETAINED_CHANGES && after < oldest) return { kind: 'tooOld' };
@@ -262,7 +262,7 @@
         clock.in(100, poll);
         return;
       }
-      const result = this.since(prefix, after);
+      const result = this.changesSince(prefix, after);
       if (result.kind === 'tooOld' || result.changes.length > 0 || clock.now >= until) {
         hasReplied = true;
         reply(result);
@@ -299,7 +299,7 @@
 
   constructor(
     private readonly node: string,
-    private readonly store: StateEmulator,
+    private readonly store: StoreEmulator,
     private readonly timeoutMs: number,
     private readonly clock: { monotonicMs(): number; awake(call: () => void): void },
   ) {}
@@ -399,7 +399,9 @@
   }
 
   async changesSince(prefix: string, after: number): Promise<WatchResult> {
-    const response = await this.#request(`changes ${prefix} ${after}`, () => this.store.since(prefix, after));
+    const response = await this.#request(`changes ${prefix} ${after}`, () =>
+      this.store.changesSince(prefix, after),
+    );
     return response === null || response === 'down' ? { kind: 'unknown' } : response;
   }
 
--- a/test/failure-suspicion.test.ts
+++ b/test/failure-suspicion.test.ts
@@ -7,34 +7,34 @@
 const FROM = 20_000;
 
 /** Starts a service with a stream of small jobs, so that tasks start many times a second. */
-async function startBusyService(seed = 5): Promise<{ world: Simulation; leader: number }> {
-  const world = new Simulation(seeded(seed), { keepLog: true });
-  world.cloud.capacity = 40;
+async function startBusyService(seed = 5): Promise<{ simulation: Simulation; leader: number }> {
+  const simulation = new Simulation(seeded(seed), { keepLog: true });
+  simulation.cloud.capacity = 40;
   const jobSpec = { team: 'crew', tasks: 8, cpus: 2, memoryGb: 1, spot: true };
   for (let i = 0; i < 220; i += 1) {
     const id = `req-${String(i).padStart(6, '0')}`;
-    world.clock.in(2000 + 300 * i, () => {
-      void world.user({ ...jobSpec, id, zone: null, oneZone: false, spread: false }, null);
+    simulation.clock.in(2000 + 300 * i, () => {
+      void simulation.simulateUser({ ...jobSpec, id, zone: null, oneZone: false, spread: false }, null);
     });
   }
-  await world.clock.runUntil(FROM);
-  const [leader] = world.leaders();
-  expect(world.leaders()).toHaveLength(1);
-  return { world, leader: Number(leader?.slice(2)) };
+  await simulation.clock.runUntil(FROM);
+  const [leader] = simulation.leaders();
+  expect(simulation.leaders()).toHaveLength(1);
+  return { simulation, leader: Number(leader?.slice(2)) };
 }
 
 const others = (leader: number): number[] => [0, 1, 2].filter((node) => node !== leader);
 
 /** Runs the simulation until `to`; returns the longest time (ms) without the start of a task since `from`. */
-async function longestPause(world: Simulation, from: number, to: number): Promise<number> {
+async function longestPause(simulation: Simulation, from: number, to: number): Promise<number> {
   let longest = 0;
   let last = from;
-  let started = world.checker.started;
-  while (world.clock.now < to) {
-    await world.clock.runUntil(world.clock.now + 100);
-    if (world.checker.started > started) last = world.clock.now;
-    started = world.checker.started;
-    longest = Math.max(longest, world.clock.now - last);
+  let started = simulation.checker.startedTasks;
+  while (simulation.clock.now < to) {
+    await simulation.clock.runUntil(simulation.clock.now + 100);
+    if (simulation.checker.startedTasks > started) last = simulation.clock.now;
+    started = simulation.checker.startedTasks;
+    longest = Math.max(longest, simulation.clock.now - last);
   }
   return longest;
 }
@@ -67,179 +67,185 @@
   return `${((at - FROM) / 1000).toFixed(1).padStart(5)} s  ${node}  ${[msg, ...rest, ...loaded].join(': ')}`;
 }
 
-const trace = (world: Simulation): string =>
-  `${world.logged
+const trace = (simulation: Simulation): string =>
+  `${simulation.logged
     .filter(({ at, msg }) => at >= FROM && TRACED_EVENTS.has(msg))
     .map(traceLine)
     .join('\n')}\n`;
 
-async function expectTraceAndRecovery(world: Simulation, name: string): Promise<void> {
-  await expect(trace(world)).toMatchFileSnapshot(`traces/failover-${name}.txt`);
-  await world.clock.runUntil(FROM + 160_000);
-  expect(world.checker.violations).toEqual([]);
-  expect(world.checker.unfinishedJobs()).toEqual([]);
-  expect([...world.cloud.workers.values()].filter(({ session }) => session > 1)).toEqual([]);
+async function expectTraceAndRecovery(simulation: Simulation, name: string): Promise<void> {
+  await expect(trace(simulation)).toMatchFileSnapshot(`traces/failover-${name}.txt`);
+  await simulation.clock.runUntil(FROM + 160_000);
+  expect(simulation.checker.violations).toEqual([]);
+  expect(simulation.checker.unfinishedJobs()).toEqual([]);
+  expect([...simulation.cloud.workers.values()].filter(({ session }) => session > 1)).toEqual([]);
 }
 
-const elections = (world: Simulation): number =>
-  world.logged.filter(({ at, msg }) => at >= FROM && msg === 'leader elected').length;
-const terminations = (world: Simulation): LogLine[] =>
-  world.logged.filter(
+const elections = (simulation: Simulation): number =>
+  simulation.logged.filter(({ at, msg }) => at >= FROM && msg === 'leader elected').length;
+const terminations = (simulation: Simulation): LogLine[] =>
+  simulation.logged.filter(
     ({ at, msg, reason }) => at >= FROM && msg === 'machine terminated' && reason !== 'idle',
   );
 
 // The evidence of all peers allows an election before the lease expires.
 test('a crashed leader is replaced before its lease expires, and task starts continue', async () => {
-  const { world, leader } = await startBusyService();
-  world.crash(leader, 60_000);
-  expect(await longestPause(world, FROM, FROM + 15_000)).toBeLessThan(
+  const { simulation, leader } = await startBusyService();
+  simulation.crash(leader, 60_000);
+  expect(await longestPause(simulation, FROM, FROM + 15_000)).toBeLessThan(
     TIMES.leaderLeaseMs + 2 * TIMES.maxHeartbeatIntervalMs,
   );
-  const elected = world.logged.find(({ at, msg }) => at > FROM && msg === 'leader elected');
+  const elected = simulation.logged.find(({ at, msg }) => at > FROM && msg === 'leader elected');
   expect((elected?.at ?? Infinity) - FROM).toBeLessThan(TIMES.leaderLeaseMs);
-  expect(world.logged.some(({ msg }) => msg === 'leader failure detected')).toBe(true);
-  expect(elections(world)).toBe(1);
-  await expectTraceAndRecovery(world, 'crash');
+  expect(simulation.logged.some(({ msg }) => msg === 'leader failure detected')).toBe(true);
+  expect(elections(simulation)).toBe(1);
+  await expectTraceAndRecovery(simulation, 'crash');
 });
 
 // A leader that renews its lease but reaches no worker starts no tasks.
 test('a leader without heartbeats transfers leadership to a node that reaches the workers', async () => {
-  const { world, leader } = await startBusyService();
-  for (const name of world.cloud.workers.keys()) world.network.partition(`n-${leader}`, name, 40_000);
-  expect(await longestPause(world, FROM, FROM + 30_000)).toBeLessThan(
+  const { simulation, leader } = await startBusyService();
+  for (const name of simulation.cloud.workers.keys())
+    simulation.network.partition(`n-${leader}`, name, 40_000);
+  expect(await longestPause(simulation, FROM, FROM + 30_000)).toBeLessThan(
     4000 + 1000 + 2 * TIMES.maxHeartbeatIntervalMs,
   );
-  expect(world.leaders()).not.toEqual([`n-${leader}`]);
-  expect([elections(world), terminations(world)]).toEqual([1, []]);
-  await expectTraceAndRecovery(world, 'no-workers');
+  expect(simulation.leaders()).not.toEqual([`n-${leader}`]);
+  expect([elections(simulation), terminations(simulation)]).toEqual([1, []]);
+  await expectTraceAndRecovery(simulation, 'no-workers');
 });
 
 // If it were re-elected, it would receive no heartbeats, and the leases of the workers would expire.
 test('a node that reaches no machine is not re-elected while another candidate is left', async () => {
-  const { world, leader } = await startBusyService();
+  const { simulation, leader } = await startBusyService();
   // No new machines are provisioned: they could reach the partitioned node.
-  world.cloud.capacity = 0;
-  await world.clock.runUntil(FROM + 8000);
-  for (const name of world.cloud.workers.keys()) world.network.partition(`n-${leader}`, name, 30_000);
-  await world.clock.runUntil(FROM + 13_000);
-  const [second] = world.leaders();
+  simulation.cloud.capacity = 0;
+  await simulation.clock.runUntil(FROM + 8000);
+  for (const name of simulation.cloud.workers.keys())
+    simulation.network.partition(`n-${leader}`, name, 30_000);
+  await simulation.clock.runUntil(FROM + 13_000);
+  const [second] = simulation.leaders();
   expect(second).not.toBe(`n-${leader}`);
-  world.pause(Number(second?.slice(2)), 3 * TIMES.leaderLeaseMs);
-  await longestPause(world, world.clock.now, FROM + 25_000);
-  const elected = world.logged
+  simulation.pause(Number(second?.slice(2)), 3 * TIMES.leaderLeaseMs);
+  await longestPause(simulation, simulation.clock.now, FROM + 25_000);
+  const elected = simulation.logged
     .filter(({ at, msg }) => at > FROM && msg === 'leader elected')
     .map(({ node }) => node);
   expect(elected).toHaveLength(2);
   expect(elected).not.toContain(`n-${leader}`);
-  world.cloud.capacity = 40;
-  await expectTraceAndRecovery(world, 'cut-off-twice');
+  simulation.cloud.capacity = 40;
+  await expectTraceAndRecovery(simulation, 'cut-off-twice');
 });
 
 // Without peer links the previous leader does not learn of its successor and keeps answering workers.
 test('when peer links are refused, a new leader takes over the workers and terminates none', async () => {
-  const { world, leader } = await startBusyService();
-  world.refusePeers(45_000);
-  await world.clock.runUntil(FROM + 3000);
-  world.state.refuse(`n-${leader}`, 30_000);
-  const pause = await longestPause(world, FROM + 3000, FROM + 40_000);
+  const { simulation, leader } = await startBusyService();
+  simulation.refusePeers(45_000);
+  await simulation.clock.runUntil(FROM + 3000);
+  simulation.store.refuse(`n-${leader}`, 30_000);
+  const pause = await longestPause(simulation, FROM + 3000, FROM + 40_000);
   expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 1000 + 4 * TIMES.maxHeartbeatIntervalMs);
-  expect([elections(world), terminations(world)]).toEqual([1, []]);
-  await expectTraceAndRecovery(world, 'refused-peers');
+  expect([elections(simulation), terminations(simulation)]).toEqual([1, []]);
+  await expectTraceAndRecovery(simulation, 'refused-peers');
 });
 
 test('refused peer links alone cause no election, no suspicion and no lost worker', async () => {
-  const { world, leader } = await startBusyService();
-  world.refusePeers(30_000);
-  expect(await longestPause(world, FROM, FROM + 30_000)).toBeLessThan(2 * TIMES.maxHeartbeatIntervalMs);
-  expect([world.leaders(), elections(world), terminations(world)]).toEqual([[`n-${leader}`], 0, []]);
-  await expectTraceAndRecovery(world, 'only-refused');
+  const { simulation, leader } = await startBusyService();
+  simulation.refusePeers(30_000);
+  expect(await longestPause(simulation, FROM, FROM + 30_000)).toBeLessThan(2 * TIMES.maxHeartbeatIntervalMs);
+  expect([simulation.leaders(), elections(simulation), terminations(simulation)]).toEqual([
+    [`n-${leader}`],
+    0,
+    [],
+  ]);
+  await expectTraceAndRecovery(simulation, 'only-refused');
 });
 
 test('a pause of half a lease changes nothing; one of two leases changes the leader once', async () => {
   const short = await startBusyService();
-  short.world.pause(short.leader, 0.5 * TIMES.leaderLeaseMs);
-  await longestPause(short.world, FROM, FROM + 10_000);
-  expect([short.world.leaders(), elections(short.world), terminations(short.world)]).toEqual([
+  short.simulation.pause(short.leader, 0.5 * TIMES.leaderLeaseMs);
+  await longestPause(short.simulation, FROM, FROM + 10_000);
+  expect([short.simulation.leaders(), elections(short.simulation), terminations(short.simulation)]).toEqual([
     [`n-${short.leader}`],
     0,
     [],
   ]);
   const long = await startBusyService();
-  long.world.pause(long.leader, 2 * TIMES.leaderLeaseMs);
-  await longestPause(long.world, FROM, FROM + 20_000);
-  expect([elections(long.world), terminations(long.world)]).toEqual([1, []]);
-  await expectTraceAndRecovery(long.world, 'stall');
+  long.simulation.pause(long.leader, 2 * TIMES.leaderLeaseMs);
+  await longestPause(long.simulation, FROM, FROM + 20_000);
+  expect([elections(long.simulation), terminations(long.simulation)]).toEqual([1, []]);
+  await expectTraceAndRecovery(long.simulation, 'stall');
 });
 
 // A leader that computes more slowly than before can be replaced by a node whose timers fire in time.
 test('an overloaded leader transfers leadership exactly once', async () => {
-  const { world, leader } = await startBusyService();
-  world.slowDown(leader, 2 * TIMES.tickMs);
-  await longestPause(world, FROM, FROM + 15_000);
-  expect(world.leaders()).not.toEqual([`n-${leader}`]);
-  world.slowDown(leader, 0);
-  await longestPause(world, world.clock.now, FROM + 25_000);
-  expect(elections(world)).toBe(1);
-  await expectTraceAndRecovery(world, 'slow');
+  const { simulation, leader } = await startBusyService();
+  simulation.slowDown(leader, 2 * TIMES.tickMs);
+  await longestPause(simulation, FROM, FROM + 15_000);
+  expect(simulation.leaders()).not.toEqual([`n-${leader}`]);
+  simulation.slowDown(leader, 0);
+  await longestPause(simulation, simulation.clock.now, FROM + 25_000);
+  expect(elections(simulation)).toBe(1);
+  await expectTraceAndRecovery(simulation, 'slow');
 });
 
 // A node that has failed repeatedly is likely to fail again soon.
 test('leadership is not transferred back immediately to a flapping node', async () => {
-  const { world, leader } = await startBusyService();
+  const { simulation, leader } = await startBusyService();
   for (const at of [0, 9000, 18_000])
-    world.clock.in(at, () => world.pause(leader, 1.5 * TIMES.leaderLeaseMs));
-  await longestPause(world, FROM, FROM + 30_000);
-  expect(elections(world)).toBeLessThanOrEqual(2);
-  await expectTraceAndRecovery(world, 'flaps');
+    simulation.clock.in(at, () => simulation.pause(leader, 1.5 * TIMES.leaderLeaseMs));
+  await longestPause(simulation, FROM, FROM + 30_000);
+  expect(elections(simulation)).toBeLessThanOrEqual(2);
+  await expectTraceAndRecovery(simulation, 'flaps');
 });
 
 // The store retains a bounded number of changes: a watch from the revision of the record would fail as compacted
 // immediately, each time it is repeated.
 test('the rate of leader record watches is bounded, whatever the number of revisions', async () => {
-  const { world } = await startBusyService();
-  while (world.state.revision < 500) await world.clock.runUntil(world.clock.now + 1000);
+  const { simulation } = await startBusyService();
+  while (simulation.store.revision < 500) await simulation.clock.runUntil(simulation.clock.now + 1000);
   let watches = 0;
-  const watch = world.state.watch.bind(world.state);
-  world.state.watch = (...args) => {
+  const watch = simulation.store.watch.bind(simulation.store);
+  simulation.store.watch = (...args) => {
     watches += 1;
     watch(...args);
   };
-  await world.clock.runUntil(world.clock.now + 5000);
+  await simulation.clock.runUntil(simulation.clock.now + 5000);
   expect(watches).toBeLessThan(150);
 });
 
 test('when two of three controllers crash at the same time, the third leads and task starts continue', async () => {
-  const { world, leader } = await startBusyService();
-  world.crash(leader, 8000);
-  world.crash(others(leader)[0] as number, 8000);
-  const pause = await longestPause(world, FROM, FROM + 12_000);
+  const { simulation, leader } = await startBusyService();
+  simulation.crash(leader, 8000);
+  simulation.crash(others(leader)[0] as number, 8000);
+  const pause = await longestPause(simulation, FROM, FROM + 12_000);
   expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 2 * TIMES.maxHeartbeatIntervalMs + 2000);
-  await expectTraceAndRecovery(world, 'two-crash');
+  await expectTraceAndRecovery(simulation, 'two-crash');
 });
 
 // The partitioned leader cannot commit: no task starts on its workers until it releases them.
 test('a leader partitioned with its workers releases them to its successor, which terminates none', async () => {
-  const { world, leader } = await startBusyService();
+  const { simulation, leader } = await startBusyService();
   const leaderHost = `n-${leader}`;
-  world.state.refuse(leaderHost, 30_000);
+  simulation.store.refuse(leaderHost, 30_000);
   for (const host of ['cloud', ...others(leader).map((node) => `n-${node}`)])
-    world.network.partition(leaderHost, host, 30_000);
-  const pause = await longestPause(world, FROM, FROM + 25_000);
+    simulation.network.partition(leaderHost, host, 30_000);
+  const pause = await longestPause(simulation, FROM, FROM + 25_000);
   expect(pause).toBeLessThan(TIMES.leaderLeaseMs + 1000 + 4 * TIMES.maxHeartbeatIntervalMs);
-  expect([elections(world), terminations(world)]).toEqual([1, []]);
-  expect(world.leaders()).not.toContain(leaderHost);
-  expect(world.ready()[leader]).toBe(false);
-  await expectTraceAndRecovery(world, 'alone');
+  expect([elections(simulation), terminations(simulation)]).toEqual([1, []]);
+  expect(simulation.leaders()).not.toContain(leaderHost);
+  expect(simulation.ready()[leader]).toBe(false);
+  await expectTraceAndRecovery(simulation, 'alone');
 });
 
 test('a leader that restarts within 100 ms, repeatedly during the election, delays nothing', async () => {
-  const { world, leader } = await startBusyService();
-  for (const at of [0, 150, 400, 900]) world.clock.in(at, () => world.crash(leader, 60));
-  world.clock.in(500, () => world.crash(others(leader)[0] as number, 60));
-  expect(await longestPause(world, FROM, FROM + 15_000)).toBeLessThan(
+  const { simulation, leader } = await startBusyService();
+  for (const at of [0, 150, 400, 900]) simulation.clock.in(at, () => simulation.crash(leader, 60));
+  simulation.clock.in(500, () => simulation.crash(others(leader)[0] as number, 60));
+  expect(await longestPause(simulation, FROM, FROM + 15_000)).toBeLessThan(
     TIMES.leaderLeaseMs + 3 * TIMES.maxHeartbeatIntervalMs,
   );
-  expect(world.leaders()).toHaveLength(1);
-  expect(terminations(world)).toEqual([]);
-  await expectTraceAndRecovery(world, 'back-at-once');
+  expect(simulation.leaders()).toHaveLength(1);
+  expect(terminations(simulation)).toEqual([]);
+  await expectTraceAndRecovery(simulation, 'back-at-once');
 });
--- a/test/fault-attribution.test.ts
+++ b/test/fault-attribution.test.ts
@@ -3,7 +3,7 @@
 import type { Effect } from '../src/core/effects.js';
 import { isFaultyJob } from '../src/core/placement/index.js';
 import type { ReportedTask } from '../src/core/types.js';
-import { CoreHarness, job, report, task } from './emulators/core-harness.js';
+import { CoreHarness, job, heartbeatOf, task } from './emulators/core-harness.js';
 
 /** Machines of 8 CPUs. Tasks of `faultyJobs` fail on every machine, and every task fails on `faultyMachines`. */
 class TestFleet {
@@ -21,7 +21,7 @@
 
   add(...given: Parameters<typeof job>): void {
     const [id, tasks, cpus, estimateS, more] = given;
-    this.harness.add(job(id, tasks, cpus, estimateS, { ...more, submittedAt: this.harness.now }));
+    this.harness.addJob(job(id, tasks, cpus, estimateS, { ...more, submittedAt: this.harness.now }));
   }
 
   /** Each machine reports once that its tasks of the previous round failed or completed. Returns the tasks started. */
@@ -31,9 +31,11 @@
       if (this.terminated.has(name)) continue;
       const seq = (this.#sequences.get(name) ?? 0) + 1;
       this.#sequences.set(name, seq);
-      const effects = this.harness.hear(report(name, seq, this.#exitedTasks.get(name) ?? []));
+      const effects = this.harness.deliverHeartbeat(
+        heartbeatOf(name, seq, this.#exitedTasks.get(name) ?? []),
+      );
       const exited: ReportedTask[] = [];
-      for (const start of CoreHarness.starts(effects)) {
+      for (const start of CoreHarness.startedTasks(effects)) {
         const [key = '', attempt = ''] = start.split('#');
         const id = key.split('/')[0] ?? '';
         const fails = this.faultyJobs.has(id) || this.faultyMachines.has(name);
@@ -44,7 +46,7 @@
       this.#recordTerminations(effects);
     }
     this.harness.now += 1000;
-    this.#recordTerminations(this.harness.do({ kind: 'tick' }));
+    this.#recordTerminations(this.harness.stepAndCommit({ kind: 'tick' }));
     return started;
   }
 
@@ -132,7 +134,7 @@
     const started = fleet.runRound().filter((start) => start.startsWith('req-1/')).length;
     expect(started).toBeLessThan(2);
     if (started > 0) attemptRounds.push(i);
-    expect(state.head?.job).not.toBe('req-1');
+    expect(state.headReservation?.job).not.toBe('req-1');
     expect(state.outstandingByClass.get('class') ?? 0).toBeLessThan(2);
   }
   const gaps = attemptRounds.slice(1).map((at, i) => at - (attemptRounds[i] ?? 0));
