--- a/test/fencing.test.ts
+++ b/test/fencing.test.ts
@@ -3,9 +3,9 @@
 import type { JobSpec, Transaction } from '../src/core/types.js';
 import type { Command, Effect } from '../src/core/effects.js';
 import { VirtualClock } from './emulators/clock.js';
-import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { CoreHarness, job, heartbeatOf, task, TERM } from './emulators/core-harness.js';
 import { Network } from './emulators/network.js';
-import { StateEmulator } from './emulators/state.js';
+import { StoreEmulator } from './emulators/state.js';
 import { seeded } from './emulators/simulation.js';
 
 const commitOf = (effects: readonly Effect[]): { id: number; transaction: Transaction } => {
@@ -16,8 +16,8 @@
 const kinds = (effects: readonly Effect[]): string[] => effects.map(({ kind }) => kind);
 
 /** A key-value store with a term and a job, at the revisions that the core expects. */
-function createStore(termRevision: number): StateEmulator {
-  const store = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
+function createStore(termRevision: number): StoreEmulator {
+  const store = new StoreEmulator(new Network(new VirtualClock(), seeded(1)));
   store.revision = termRevision - 1;
   store.commit({ preconditions: [], mutations: [{ put: 'term', value: { term: TERM } }] });
   store.commit({ preconditions: [], mutations: [{ put: 'job/req-1', value: { id: 'req-1', tasks: 1 } }] });
@@ -30,8 +30,8 @@
   commit: { id: number; transaction: Transaction };
 } {
   const harness = new CoreHarness();
-  harness.hear(report('m', 1));
-  const added = harness.raw({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), modRevision: 101 } });
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
+  const added = harness.step({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), modRevision: 101 } });
   return { harness, commit: commitOf(added) };
 }
 
@@ -44,7 +44,7 @@
 
 test('term: a leader whose commit fails on the term precondition steps down', () => {
   const { harness, commit } = leaderWithPendingClaim();
-  const effects = harness.raw({
+  const effects = harness.step({
     kind: 'committed',
     id: commit.id,
     outcome: { kind: 'failed', keys: ['term'] },
@@ -61,25 +61,25 @@
   });
   const outcome = store.commit(commit.transaction);
   expect(outcome).toEqual({ kind: 'failed', keys: ['job/req-1'] });
-  harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'failed', keys: ['job/req-1'] } });
-  harness.raw({
+  harness.step({ kind: 'committed', id: commit.id, outcome: { kind: 'failed', keys: ['job/req-1'] } });
+  harness.step({
     kind: 'reconciled',
     found: {
       jobs: new Map([['req-1', { live: false, ended: { stage: 'withdrawn', tasks: 1, done: 0 } }]]),
       chunks: new Map(),
     },
   });
-  expect(CoreHarness.starts(harness.hear(report('m', 2)))).toEqual([]);
+  expect(CoreHarness.startedTasks(harness.deliverHeartbeat(heartbeatOf('m', 2)))).toEqual([]);
 });
 
 test('delayed transactions: one with unknown outcome and its retry are never both applied', () => {
   const { harness, commit: lost } = leaderWithPendingClaim();
   const store = createStore(100);
-  expect(kinds(harness.raw({ kind: 'committed', id: lost.id, outcome: { kind: 'unknown' } }))).toContain(
+  expect(kinds(harness.step({ kind: 'committed', id: lost.id, outcome: { kind: 'unknown' } }))).toContain(
     'reconcile',
   );
   const retry = commitOf(
-    harness.raw({
+    harness.step({
       kind: 'reconciled',
       found: { jobs: new Map([['req-1', { live: true, ended: null }]]), chunks: new Map() },
     }),
@@ -90,20 +90,20 @@
 
 test('write-ahead: no start is sent before its commit is known', () => {
   const { harness, commit } = leaderWithPendingClaim();
-  expect(CoreHarness.starts(harness.raw({ kind: 'heartbeat', reply: 7, heartbeat: report('m', 2) }))).toEqual(
-    [],
-  );
+  expect(
+    CoreHarness.startedTasks(harness.step({ kind: 'heartbeat', reply: 7, heartbeat: heartbeatOf('m', 2) })),
+  ).toEqual([]);
   harness.now += 1000;
-  expect(CoreHarness.starts(harness.raw({ kind: 'tick' }))).toEqual([]); // answered, but without the start
-  harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 102 } });
-  expect(CoreHarness.starts(harness.raw({ kind: 'heartbeat', reply: 8, heartbeat: report('m', 3) }))).toEqual(
-    ['req-1/0#1'],
-  );
+  expect(CoreHarness.startedTasks(harness.step({ kind: 'tick' }))).toEqual([]); // answered, but without the start
+  harness.step({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 102 } });
+  expect(
+    CoreHarness.startedTasks(harness.step({ kind: 'heartbeat', reply: 8, heartbeat: heartbeatOf('m', 3) })),
+  ).toEqual(['req-1/0#1']);
 });
 
 const listingOf = (name: string): Command => ({
   kind: 'machinesListed',
-  askedAt: 0,
+  requestedAt: 0,
   machines: [
     { name, address: '10.0.0.9:1', type: 'eight', zone: 'a', spot: true, stage: 'running', ageS: 60 },
   ],
@@ -111,10 +111,10 @@
 
 test('direct commands never carry a task start', () => {
   const { harness } = leaderWithPendingClaim();
-  harness.hear(report('other', 1, [], { token: TERM - 1 }));
-  harness.do(listingOf('other'));
+  harness.deliverHeartbeat(heartbeatOf('other', 1, [], { token: TERM - 1 }));
+  harness.stepAndCommit(listingOf('other'));
   harness.now += 5000;
-  const direct = harness.raw({ kind: 'tick' }).filter((effect) => effect.kind === 'sendCommands');
+  const direct = harness.step({ kind: 'tick' }).filter((effect) => effect.kind === 'sendCommands');
   expect(direct).toHaveLength(1);
   expect(direct[0]).toMatchObject({ commands: [] });
 });
@@ -122,11 +122,11 @@
 /** A leader with req-1/0 running on machine m, and with an idle machine n. */
 function leaderWithRunningTask(): CoreHarness {
   const harness = new CoreHarness();
-  harness.hear(report('m', 1));
-  harness.add(job('req-1', 1, 4, 50));
-  harness.hear(report('m', 2));
-  harness.hear(report('m', 3, [task('req-1/0', 1, 'running')]));
-  harness.hear(report('n', 1));
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
+  harness.addJob(job('req-1', 1, 4, 50));
+  harness.deliverHeartbeat(heartbeatOf('m', 2));
+  harness.deliverHeartbeat(heartbeatOf('m', 3, [task('req-1/0', 1, 'running')]));
+  harness.deliverHeartbeat(heartbeatOf('n', 1));
   return harness;
 }
 const isReleased = (harness: CoreHarness): boolean =>
@@ -134,30 +134,30 @@
 
 test('release: a heartbeat without the current fencing token does not release a task', () => {
   const harness = leaderWithRunningTask();
-  harness.hear(report('m', 4, [], { token: TERM - 1 }));
+  harness.deliverHeartbeat(heartbeatOf('m', 4, [], { token: TERM - 1 }));
   expect(isReleased(harness)).toBe(false);
 });
 
 test('release: a stale heartbeat that arrives late changes nothing', () => {
   const harness = leaderWithRunningTask();
-  expect(kinds(harness.hear(report('m', 2)))).toEqual(['reply']);
+  expect(kinds(harness.deliverHeartbeat(heartbeatOf('m', 2)))).toEqual(['reply']);
   expect(isReleased(harness)).toBe(false);
 });
 
 test('release: the response to a direct command does not release a task', () => {
   const harness = leaderWithRunningTask();
-  harness.do({ kind: 'directAnswer', heartbeat: report('m', 9) });
+  harness.stepAndCommit({ kind: 'directAnswer', heartbeat: heartbeatOf('m', 9) });
   expect(isReleased(harness)).toBe(false);
 });
 
 test('release: silence releases nothing; the machine is terminated, and the confirmation releases its task', async () => {
   const harness = leaderWithRunningTask();
   harness.now += 12_000;
-  harness.hear(report('n', 2));
-  const effects = harness.do({ kind: 'tick' });
+  harness.deliverHeartbeat(heartbeatOf('n', 2));
+  const effects = harness.stepAndCommit({ kind: 'tick' });
   expect(effects).toContainEqual({ kind: 'terminate', machines: ['m'] });
   expect(isReleased(harness)).toBe(false);
-  harness.do({ kind: 'terminated', machines: ['m'], ok: true });
+  harness.stepAndCommit({ kind: 'terminated', machines: ['m'], ok: true });
   expect(isReleased(harness)).toBe(true);
   await harness.expectTrace('silent-machine');
 });
@@ -168,36 +168,44 @@
   const harness = new CoreHarness();
   const names = ['m', 'n', 'o', 'p'];
   const reportAll = (senders: readonly string[], seq: number): Effect[] =>
-    senders.flatMap((name) => harness.hear(report(name, seq, [], { zone: name < 'o' ? 'a' : 'b' })));
+    senders.flatMap((name) =>
+      harness.deliverHeartbeat(heartbeatOf(name, seq, [], { zone: name < 'o' ? 'a' : 'b' })),
+    );
   const { shortSilenceTimeoutMs, silenceTimeoutMs } = harness.state.config.timing;
   reportAll(names, 1);
   harness.now += shortSilenceTimeoutMs + 500;
   reportAll(['n', 'o', 'p'], 2);
-  expect(harness.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m'] });
+  expect(harness.stepAndCommit({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m'] });
 
   const halfSilent = new CoreHarness();
-  for (const name of names) halfSilent.hear(report(name, 1, [], { zone: name < 'o' ? 'a' : 'b' }));
+  for (const name of names)
+    halfSilent.deliverHeartbeat(heartbeatOf(name, 1, [], { zone: name < 'o' ? 'a' : 'b' }));
   halfSilent.now += shortSilenceTimeoutMs + 500;
-  for (const name of ['n', 'p']) halfSilent.hear(report(name, 2, [], { zone: name < 'o' ? 'a' : 'b' }));
-  expect(kinds(halfSilent.do({ kind: 'tick' }))).not.toContain('terminate');
+  for (const name of ['n', 'p'])
+    halfSilent.deliverHeartbeat(heartbeatOf(name, 2, [], { zone: name < 'o' ? 'a' : 'b' }));
+  expect(kinds(halfSilent.stepAndCommit({ kind: 'tick' }))).not.toContain('terminate');
   halfSilent.now += silenceTimeoutMs;
-  for (const name of ['n', 'p']) halfSilent.hear(report(name, 3, [], { zone: name < 'o' ? 'a' : 'b' }));
-  expect(halfSilent.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m', 'o'] });
+  for (const name of ['n', 'p'])
+    halfSilent.deliverHeartbeat(heartbeatOf(name, 3, [], { zone: name < 'o' ? 'a' : 'b' }));
+  expect(halfSilent.stepAndCommit({ kind: 'tick' })).toContainEqual({
+    kind: 'terminate',
+    machines: ['m', 'o'],
+  });
 });
 
 test('a zone whose machines all fall silent at the same time is treated as partitioned, not terminated', () => {
   // Without this rule, half of the fleet was terminated and provisioned again during a partition between two zones.
   const harness = new CoreHarness();
   const remote = ['p', 'q', 'r', 's'];
-  for (const name of remote) harness.hear(report(name, 1, [], { zone: 'b' }));
+  for (const name of remote) harness.deliverHeartbeat(heartbeatOf(name, 1, [], { zone: 'b' }));
   const silence = harness.state.config.timing.silenceTimeoutMs;
   harness.now += silence + 1000;
-  harness.hear(report('m', 1));
-  expect(kinds(harness.do({ kind: 'tick' }))).not.toContain('terminate');
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
+  expect(kinds(harness.stepAndCommit({ kind: 'tick' }))).not.toContain('terminate');
   harness.now += 2 * silence;
-  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
-  harness.hear(report('m', 2));
-  expect(harness.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: remote });
+  harness.stepAndCommit({ kind: 'viewConfirmed', sentAt: harness.now });
+  harness.deliverHeartbeat(heartbeatOf('m', 2));
+  expect(harness.stepAndCommit({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: remote });
 });
 
 test('a new leader also treats a zone without any heartbeat as partitioned', () => {
@@ -212,20 +220,24 @@
     stage: 'running' as const,
     ageS: 100,
   }));
-  harness.do({ kind: 'machinesListed', askedAt: harness.now, machines: listed });
+  harness.stepAndCommit({ kind: 'machinesListed', requestedAt: harness.now, machines: listed });
   harness.now += harness.state.config.timing.silenceTimeoutMs + 1000;
-  harness.hear(report('m', 1));
-  expect(kinds(harness.do({ kind: 'tick' }))).not.toContain('terminate');
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
+  expect(kinds(harness.stepAndCommit({ kind: 'tick' }))).not.toContain('terminate');
 });
 
 test('the loss of most machines of a zone is not taken for a partition', () => {
   // Treating lost machines as partitioned delayed the restart of their tasks by 19 s.
   const harness = new CoreHarness();
   const remote = ['p', 'q', 'r', 's', 't', 'u'];
-  for (const name of remote) harness.hear(report(name, 1, [], { zone: 'b' }));
+  for (const name of remote) harness.deliverHeartbeat(heartbeatOf(name, 1, [], { zone: 'b' }));
   harness.now += harness.state.config.timing.silenceTimeoutMs + 1000;
-  for (const name of ['m', 'p']) harness.hear(report(name, 2, [], { zone: name === 'm' ? 'a' : 'b' }));
-  expect(harness.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: remote.slice(1) });
+  for (const name of ['m', 'p'])
+    harness.deliverHeartbeat(heartbeatOf(name, 2, [], { zone: name === 'm' ? 'a' : 'b' }));
+  expect(harness.stepAndCommit({ kind: 'tick' })).toContainEqual({
+    kind: 'terminate',
+    machines: remote.slice(1),
+  });
 });
 
 /** A new leader that knows its machines only from the claims of one job, with one task on each machine. */
@@ -242,24 +254,27 @@
   // Such machines no longer existed and were not listed, but the leader waited for them as for a partitioned zone.
   const harness = leaderKnowingClaims(job('req-1', 3, 4, 50), ['p', 'q', 'r']);
   harness.now += harness.state.config.timing.silenceTimeoutMs + 1000;
-  expect(harness.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['p', 'q', 'r'] });
+  expect(harness.stepAndCommit({ kind: 'tick' })).toContainEqual({
+    kind: 'terminate',
+    machines: ['p', 'q', 'r'],
+  });
 });
 
 test('release: a failed termination releases nothing and is retried', () => {
   const harness = leaderWithRunningTask();
   harness.now += 12_000;
-  harness.do({ kind: 'tick' });
-  harness.do({ kind: 'terminated', machines: ['m'], ok: false });
+  harness.stepAndCommit({ kind: 'tick' });
+  harness.stepAndCommit({ kind: 'terminated', machines: ['m'], ok: false });
   expect(isReleased(harness)).toBe(false);
-  expect(harness.do({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m'] });
+  expect(harness.stepAndCommit({ kind: 'tick' })).toContainEqual({ kind: 'terminate', machines: ['m'] });
 });
 
 test('release: a new agent epoch, or a newer heartbeat with the fencing token, releases tasks it does not list', () => {
   const harness = leaderWithRunningTask();
-  harness.hear(report('m', 1, [], { agentEpoch: 2, token: 0 }));
+  harness.deliverHeartbeat(heartbeatOf('m', 1, [], { agentEpoch: 2, token: 0 }));
   expect(isReleased(harness) || harness.state.jobs.get('req-1')?.claims.get(0)?.agentEpoch === 2).toBe(true);
   const other = leaderWithRunningTask();
-  other.hear(report('m', 4));
+  other.deliverHeartbeat(heartbeatOf('m', 4));
   expect(other.state.jobs.get('req-1')?.attempts.get(0)).toBe(2);
 });
 
@@ -268,9 +283,13 @@
   const { authorityWindowMs } = harness.state.config.timing;
   harness.isViewConfirmed = false;
   harness.now += authorityWindowMs + 1;
-  expect(harness.hear(report('m', 4))).toContainEqual({ kind: 'reply', reply: 5, body: { kind: 'unable' } });
-  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
-  expect(harness.hear(report('m', 5))).toContainEqual(
+  expect(harness.deliverHeartbeat(heartbeatOf('m', 4))).toContainEqual({
+    kind: 'reply',
+    reply: 5,
+    body: { kind: 'unable' },
+  });
+  harness.stepAndCommit({ kind: 'viewConfirmed', sentAt: harness.now });
+  expect(harness.deliverHeartbeat(heartbeatOf('m', 5))).toContainEqual(
     expect.objectContaining({
       kind: 'reply',
       body: expect.objectContaining({ kind: 'commands' }) as unknown,
@@ -285,15 +304,20 @@
 
 test('a higher fencing token from a worker or a peer ends the leadership immediately', () => {
   const workerCase = leaderWithRunningTask();
-  expect(kinds(workerCase.hear(report('m', 4, [], { token: TERM + 1 })))).toEqual(['steppedDown', 'reply']);
+  expect(kinds(workerCase.deliverHeartbeat(heartbeatOf('m', 4, [], { token: TERM + 1 })))).toEqual([
+    'steppedDown',
+    'reply',
+  ]);
   const peerCase = leaderWithRunningTask();
-  expect(kinds(peerCase.do({ kind: 'higherTokenSeen', token: TERM + 1 }))).toContain('steppedDown');
+  expect(kinds(peerCase.stepAndCommit({ kind: 'higherTokenSeen', token: TERM + 1 }))).toContain(
+    'steppedDown',
+  );
 });
 
 test('completion: an exit is committed before the worker is told to forget it', () => {
   const harness = leaderWithRunningTask();
   const exited = [task('req-1/0', 1, 'exited', 'done')];
-  const effects = harness.raw({ kind: 'heartbeat', reply: 50, heartbeat: report('m', 4, exited) });
+  const effects = harness.step({ kind: 'heartbeat', reply: 50, heartbeat: heartbeatOf('m', 4, exited) });
   // The worker is answered immediately, which renews its lease, and it continues to report the exit.
   expect(effects).toContainEqual({
     kind: 'reply',
@@ -302,8 +326,10 @@
   });
   const commit = commitOf(effects);
   expect(commit.transaction.mutations).toContainEqual(expect.objectContaining({ put: 'ended/req-1' }));
-  harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 999 } });
-  expect(harness.raw({ kind: 'heartbeat', reply: 51, heartbeat: report('m', 5, exited) })).toContainEqual({
+  harness.step({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 999 } });
+  expect(
+    harness.step({ kind: 'heartbeat', reply: 51, heartbeat: heartbeatOf('m', 5, exited) }),
+  ).toContainEqual({
     kind: 'reply',
     reply: 51,
     body: { kind: 'commands', token: TERM, commands: [{ op: 'forget', job: 'req-1', task: 0, attempt: 1 }] },
@@ -313,34 +339,34 @@
 // One write for each exit would use up the write budget when hundreds of tasks end each second.
 test('completion: exits of a job are batched, and neither a start nor the job end waits for the batch', () => {
   const harness = new CoreHarness();
-  harness.hear(report('m', 1));
-  harness.add(job('req-1', 4, 2, 50));
-  harness.hear(report('m', 2));
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
+  harness.addJob(job('req-1', 4, 2, 50));
+  harness.deliverHeartbeat(heartbeatOf('m', 2));
   const stages = ['running', 'running', 'running', 'running'] as ('running' | 'exited')[];
   const currentTasks = (): ReturnType<typeof task>[] =>
     stages.map((stage, i) => task(`req-1/${i}`, 1, stage, stage === 'exited' ? 'done' : null));
-  harness.hear(report('m', 3, currentTasks()));
+  harness.deliverHeartbeat(heartbeatOf('m', 3, currentTasks()));
   const batchDelayMs = harness.state.config.timing.exitBatchDelayMs;
   stages[0] = 'exited';
-  expect(kinds(harness.hear(report('m', 4, currentTasks())))).toEqual(['reply']);
+  expect(kinds(harness.deliverHeartbeat(heartbeatOf('m', 4, currentTasks())))).toEqual(['reply']);
   harness.now += batchDelayMs / 2;
   stages[1] = 'exited';
-  expect(kinds(harness.hear(report('m', 5, currentTasks())))).toEqual(['reply']);
+  expect(kinds(harness.deliverHeartbeat(heartbeatOf('m', 5, currentTasks())))).toEqual(['reply']);
   harness.now += batchDelayMs / 2;
-  expect(commitOf(harness.do({ kind: 'tick' })).transaction.mutations).toHaveLength(1);
+  expect(commitOf(harness.stepAndCommit({ kind: 'tick' })).transaction.mutations).toHaveLength(1);
   stages[2] = stages[3] = 'exited';
   const last = commitOf(
-    harness.raw({ kind: 'heartbeat', reply: 90, heartbeat: report('m', 6, currentTasks()) }),
+    harness.step({ kind: 'heartbeat', reply: 90, heartbeat: heartbeatOf('m', 6, currentTasks()) }),
   );
   expect(last.transaction.mutations).toContainEqual(expect.objectContaining({ put: 'ended/req-1' }));
 });
 
 test('a cancelled task is stopped, and its record is kept until the task is gone', async () => {
   const harness = leaderWithRunningTask();
-  harness.do({ kind: 'jobRemoved', id: 'req-1' });
-  harness.hear(report('m', 4, [task('req-1/0', 1, 'running')]));
-  harness.hear(report('m', 5, [task('req-1/0', 1, 'exited', 'stopped')]));
-  harness.hear(report('m', 6));
+  harness.stepAndCommit({ kind: 'jobRemoved', id: 'req-1' });
+  harness.deliverHeartbeat(heartbeatOf('m', 4, [task('req-1/0', 1, 'running')]));
+  harness.deliverHeartbeat(heartbeatOf('m', 5, [task('req-1/0', 1, 'exited', 'stopped')]));
+  harness.deliverHeartbeat(heartbeatOf('m', 6));
   expect(harness.state.jobs.size).toBe(0);
   await harness.expectTrace('cancelled');
 });
@@ -351,31 +377,33 @@
   harness.takeOver(job('req-1', 1, 4, 50), claims);
   harness.now += 3000;
   // Another machine has room, but the task may be on m: its claim is kept, with the same attempt.
-  expect(CoreHarness.starts(harness.hear(report('n', 1)))).toEqual([]);
-  expect(CoreHarness.starts(harness.hear(report('m', 1, [], { token: TERM - 1 })))).toEqual([]);
-  expect(CoreHarness.starts(harness.hear(report('m', 2)))).toEqual(['req-1/0#3']);
+  expect(CoreHarness.startedTasks(harness.deliverHeartbeat(heartbeatOf('n', 1)))).toEqual([]);
+  expect(
+    CoreHarness.startedTasks(harness.deliverHeartbeat(heartbeatOf('m', 1, [], { token: TERM - 1 }))),
+  ).toEqual([]);
+  expect(CoreHarness.startedTasks(harness.deliverHeartbeat(heartbeatOf('m', 2)))).toEqual(['req-1/0#3']);
 });
 
 test('a new machine is provisioned for a job that failed on the only machine', () => {
   // The job waited forever when placement avoided the machine while the capacity plan still counted on it.
   const harness = leaderWithRunningTask();
-  harness.do({ kind: 'terminated', machines: ['n'], ok: true });
-  harness.hear(report('m', 4, [task('req-1/0', 1, 'exited', 'error')]));
+  harness.stepAndCommit({ kind: 'terminated', machines: ['n'], ok: true });
+  harness.deliverHeartbeat(heartbeatOf('m', 4, [task('req-1/0', 1, 'exited', 'error')]));
   harness.now += 2000;
-  harness.hear(report('m', 5));
-  expect(kinds(harness.do({ kind: 'tick' }))).toContain('provision');
+  harness.deliverHeartbeat(heartbeatOf('m', 5));
+  expect(kinds(harness.stepAndCommit({ kind: 'tick' }))).toContain('provision');
 });
 
 // Otherwise, a flood of heartbeats under invented names could use up the leader's sockets.
 test('the fencing token is sent only to machines known from the cloud or a claim', () => {
   const harness = new CoreHarness();
   const { maxHeartbeatIntervalMs } = harness.state.config.timing;
-  harness.hear(report('invented', 1, [], { token: 0 }));
-  harness.hear(report('listed', 1, [], { token: 0 }));
-  harness.do(listingOf('listed'));
+  harness.deliverHeartbeat(heartbeatOf('invented', 1, [], { token: 0 }));
+  harness.deliverHeartbeat(heartbeatOf('listed', 1, [], { token: 0 }));
+  harness.stepAndCommit(listingOf('listed'));
   harness.now += 3 * maxHeartbeatIntervalMs;
   const calledMachines = harness
-    .do({ kind: 'tick' })
+    .stepAndCommit({ kind: 'tick' })
     .flatMap((effect) => (effect.kind === 'sendCommands' ? [effect.machine] : []));
   expect(calledMachines).toEqual(['listed']);
 });
@@ -384,45 +412,45 @@
 test('an idle machine is terminated only after its completed tasks are committed', () => {
   const harness = leaderWithRunningTask();
   harness.now += 100_000;
-  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
-  const exited = report('m', 4, [task('req-1/0', 1, 'exited', 'done')]);
-  const commit = commitOf(harness.raw({ kind: 'heartbeat', reply: 1, heartbeat: exited }));
-  harness.hear(report('n', 2));
+  harness.stepAndCommit({ kind: 'viewConfirmed', sentAt: harness.now });
+  const exited = heartbeatOf('m', 4, [task('req-1/0', 1, 'exited', 'done')]);
+  const commit = commitOf(harness.step({ kind: 'heartbeat', reply: 1, heartbeat: exited }));
+  harness.deliverHeartbeat(heartbeatOf('n', 2));
   const terminationsIn = (effects: readonly Effect[]): string[] =>
     effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
   const terminatedWithin40s = (): string[] => {
     const terminated: string[] = [];
     for (let i = 0; i < 40; i += 1) {
       harness.now += 1000;
-      harness.raw({ kind: 'viewConfirmed', sentAt: harness.now });
-      harness.raw({
+      harness.step({ kind: 'viewConfirmed', sentAt: harness.now });
+      harness.step({
         kind: 'heartbeat',
         reply: 2 + i,
         heartbeat: { ...exited, sequence: harness.now },
       });
-      terminated.push(...terminationsIn(harness.raw({ kind: 'tick' })));
+      terminated.push(...terminationsIn(harness.step({ kind: 'tick' })));
     }
     return terminated;
   };
   expect(terminatedWithin40s()).not.toContain('m');
-  harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 500 } });
+  harness.step({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 500 } });
   expect(terminatedWithin40s()).toContain('m');
 });
 
 // Otherwise, the record would stay in the key-value store forever.
 test('the record of a job cancelled during a write of its chunk is removed eventually', () => {
   const harness = new CoreHarness();
-  harness.hear(report('m', 1));
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
   const commit = commitOf(
-    harness.raw({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), modRevision: 300 } }),
+    harness.step({ kind: 'jobAdded', job: { value: job('req-1', 1, 4, 50), modRevision: 300 } }),
   );
-  harness.raw({ kind: 'jobRemoved', id: 'req-1' });
-  harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 500 } });
+  harness.step({ kind: 'jobRemoved', id: 'req-1' });
+  harness.step({ kind: 'committed', id: commit.id, outcome: { kind: 'applied', revision: 500 } });
   harness.now += 5000;
   // No start was sent, so a heartbeat that does not list the task proves that it is not on the machine.
-  const effects = [...harness.raw({ kind: 'heartbeat', reply: 1, heartbeat: report('m', 2) })];
+  const effects = [...harness.step({ kind: 'heartbeat', reply: 1, heartbeat: heartbeatOf('m', 2) })];
   harness.now += 5000;
-  effects.push(...harness.raw({ kind: 'tick' }));
+  effects.push(...harness.step({ kind: 'tick' }));
   const writes = effects.flatMap((effect) => (effect.kind === 'commit' ? effect.transaction.mutations : []));
   expect(writes).toContainEqual({ remove: 'run/req-1/00000' });
 });
@@ -436,8 +464,8 @@
       ['m', 'a'],
       ['n', 'b'],
     ] as const)
-      harness.hear(report(name, 1, [], { zone }));
-    harness.do({ kind: 'tick' });
+      harness.deliverHeartbeat(heartbeatOf(name, 1, [], { zone }));
+    harness.stepAndCommit({ kind: 'tick' });
     return harness;
   };
   const claimedMachines = (harness: CoreHarness): string[] =>
@@ -445,7 +473,7 @@
   expect(claimedMachines(takeOver(true))).toEqual(['hung', 'm', 'n']);
   expect(claimedMachines(takeOver(false))).toEqual(['hung']);
   const reported = takeOver(true);
-  reported.hear(report('hung', 1, [task('req-1/0', 1, 'running')], { zone: 'a' }));
-  reported.do({ kind: 'tick' });
+  reported.deliverHeartbeat(heartbeatOf('hung', 1, [task('req-1/0', 1, 'running')], { zone: 'a' }));
+  reported.stepAndCommit({ kind: 'tick' });
   expect(claimedMachines(reported)).toEqual(['hung', 'm', 'n', 'n']);
 });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -30,9 +30,9 @@
 import { WorkerRouter, type LeaderReachability } from '../src/membership/worker-router.js';
 import { timing } from '../src/config/settings.js';
 import type { AnswersMessage, IntakeMessage, HeartbeatsMessage } from '../src/wire/intake.js';
-import { encodeIntake, encodeStatus, StatusReader, type PeerStatus } from '../src/wire/peers.js';
+import { encodeIntake, encodeStatus, PeerMessageReader, type PeerStatus } from '../src/wire/peers.js';
 import type { Heartbeat } from '../src/core/types.js';
-import { CoreHarness, EIGHT, job, report, task, TERM } from './emulators/core-harness.js';
+import { CoreHarness, EIGHT_CPU_TYPE, job, heartbeatOf, task, TERM } from './emulators/core-harness.js';
 import { ProcessClock, VirtualClock } from './emulators/clock.js';
 import { testSettings, NO_OBSERVATIONS } from './emulators/simulation.js';
 
@@ -112,11 +112,11 @@
   return found;
 }
 
-const readStatus = (bytes: Uint8Array): PeerStatus[] => new StatusReader().push(bytes);
+const readStatus = (bytes: Uint8Array): PeerStatus[] => new PeerMessageReader().push(bytes);
 
 function readIntake(bytes: Uint8Array): IntakeMessage[] {
   const found: IntakeMessage[] = [];
-  new StatusReader((message) => found.push(message)).push(bytes);
+  new PeerMessageReader((message) => found.push(message)).push(bytes);
   return found;
 }
 
@@ -174,7 +174,7 @@
   test('is decoded from a stream split at any point, but not from one that ends within the message', () => {
     const status = { ...STATUS, relayedMachines: NAMES };
     const bytes = Buffer.concat([encodeStatus(status), encodeStatus({ ...STATUS, term: 8 })]);
-    const reader = new StatusReader();
+    const reader = new PeerMessageReader();
     const found: PeerStatus[] = [];
     for (let at = 0; at < bytes.length; at += 5000) found.push(...reader.push(bytes.subarray(at, at + 5000)));
     expect(found).toEqual([status, { ...STATUS, term: 8 }]);
@@ -193,7 +193,7 @@
     const keepalives = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 900_000, ageMs: 500 }));
     const heartbeats = NAMES.slice(0, 100).map((machine, i) => ({
       reference: i,
-      heartbeat: report(
+      heartbeat: heartbeatOf(
         machine,
         1,
         Array.from({ length: 6 }, () => task('req-123456/7', 1, 'running')),
@@ -222,7 +222,7 @@
       nested: { Frame: { fields: { continuations: { type: 'uint32', id: 24 } } } },
     }).lookupType('Frame');
     const bytes = type.encodeDelimited({ continuations: 1_000_000 }).finish();
-    expect(() => new StatusReader().push(bytes)).toThrow('too many frames');
+    expect(() => new PeerMessageReader().push(bytes)).toThrow('too many frames');
   });
 });
 
@@ -235,7 +235,7 @@
     ports: {
       clock,
       log: { info: () => undefined },
-      state: { lastContactAt: () => null },
+      store: { lastContactAt: () => null },
       incarnation: 'x',
     },
     commands: { state: harness.state, push: () => undefined },
@@ -294,7 +294,7 @@
       candidates: () => [{ node: 'n-1', zone: 'b' }],
       isAccepting: () => true,
       send: (_to, message) => message.kind === 'answers' && sent.push(message) > 0,
-      push: () => undefined,
+      submitHeartbeat: () => undefined,
     });
     sharedHeartbeats.sendSnapshots();
     expect(sent.at(-1)).toMatchObject({ isSnapshot: true, isSharing: true, attention: NAMES });
@@ -315,7 +315,7 @@
       candidates: () => [{ node: 'n-1', zone: 'b' }],
       isAccepting: () => true,
       send: (_to, message) => message.kind === 'answers' && sent.push(message) > 0,
-      push: () => undefined,
+      submitHeartbeat: () => undefined,
     });
     sharedHeartbeats.sendSnapshots();
     const keepalives = NAMES.map((machine) => ({ machine, agentEpoch: 1, sequence: 1, ageMs: 0 }));
@@ -359,7 +359,7 @@
     const state = { list: () => Promise.resolve('unknown') } as never;
     const responder = new FallbackResponder('n-1', state, clock, TIMING, 32 * 1024, 100);
     responder.receiveSnapshot({ viewConfirmedAt: clock.epochMs(), liveJobs: new Set() });
-    await Promise.all(NAMES.map((name) => responder.answer(report(name, 1))));
+    await Promise.all(NAMES.map((name) => responder.answer(heartbeatOf(name, 1))));
     expect(responder.answeredMachines()).toEqual(NAMES);
   });
 
@@ -380,12 +380,12 @@
       route: () => undefined,
     });
     intake.receive({ ...SNAPSHOT, attention: [], viewConfirmedAt: clock.epochMs() });
-    const isAccepted = (from: Heartbeat): boolean => intake.take(from, () => undefined);
-    expect(NAMES.filter((name) => !isAccepted(report(name, 1)))).toEqual([]);
+    const isAccepted = (from: Heartbeat): boolean => intake.accept(from, () => undefined);
+    expect(NAMES.filter((name) => !isAccepted(heartbeatOf(name, 1)))).toEqual([]);
     intake.flush();
     expect(sent.flatMap(({ heartbeats }) => heartbeats)).toHaveLength(FLEET);
     const lateNames = Array.from({ length: 22_000 }, (_, i) => `late-${i}`);
-    expect(lateNames.filter((name) => !isAccepted(report(name, 1)))).toEqual([]);
+    expect(lateNames.filter((name) => !isAccepted(heartbeatOf(name, 1)))).toEqual([]);
     expect(intake.forgetWorker(NAMES[0] ?? '')).toBe(true);
   });
 
@@ -402,7 +402,7 @@
       stage: 'running' as const,
       ageS: 100,
     }));
-    harness.do({ kind: 'machinesListed', askedAt: harness.now, machines: listed });
+    harness.stepAndCommit({ kind: 'machinesListed', requestedAt: harness.now, machines: listed });
     expect(harness.state.machines.size).toBe(0);
   });
 
@@ -417,7 +417,7 @@
   });
 
   test('a plan places one task on each of 8,000 machines', () => {
-    const harness = new CoreHarness(0, [EIGHT]);
+    const harness = new CoreHarness(0, [EIGHT_CPU_TYPE]);
     for (const name of NAMES) {
       const machine = getOrCreateMachine(harness.state, name, harness.time());
       Object.assign(machine, {
@@ -428,7 +428,7 @@
         isReconciled: true,
       } satisfies Partial<Machine>);
     }
-    harness.add(job('req-1', FLEET, 8, 5000));
+    harness.addJob(job('req-1', FLEET, 8, 5000));
     scaleOut(harness.state, harness.time(), []);
     expect(harness.state.plannedMachines.size).toBe(FLEET);
   });
@@ -512,7 +512,7 @@
   const server = createPublicServer(
     {
       users: {} as never,
-      report: (_body, done) => done(200, '{}'),
+      handleHeartbeat: (_body, done) => done(200, '{}'),
       ready: () => true,
       describe: () => ({}),
       latencies: { record: () => undefined },
--- a/test/leadership-transfer.test.ts
+++ b/test/leadership-transfer.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest';
 import type { Effect } from '../src/core/effects.js';
 import { claimTask } from '../src/core/persistence/index.js';
-import { CoreHarness, job, report, task } from './emulators/core-harness.js';
+import { CoreHarness, job, heartbeatOf, task } from './emulators/core-harness.js';
 
 const terminatedMachines = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
@@ -18,17 +18,18 @@
   const harness = new CoreHarness();
   const all = machineNames(10);
   let sequence = 1;
-  for (const name of all) harness.hear(report(name, sequence));
-  harness.add(job('req-1', 10, 8, 60, { deadlineS, submittedAt: harness.now }));
+  for (const name of all) harness.deliverHeartbeat(heartbeatOf(name, sequence));
+  harness.addJob(job('req-1', 10, 8, 60, { deadlineS, submittedAt: harness.now }));
   const running = (name: string): string => {
     const [claim] = harness.state.machines.get(name)?.claims.values() ?? [];
     return `req-1/${claim?.task}`;
   };
   sequence += 1;
-  for (const name of all) harness.hear(report(name, sequence));
+  for (const name of all) harness.deliverHeartbeat(heartbeatOf(name, sequence));
   const reportFrom = (sending: readonly string[]): void => {
     sequence += 1;
-    for (const name of sending) harness.hear(report(name, sequence, [task(running(name), 1, 'running')]));
+    for (const name of sending)
+      harness.deliverHeartbeat(heartbeatOf(name, sequence, [task(running(name), 1, 'running')]));
   };
   reportFrom(all);
   const reporting = all.filter((name) => !silent.includes(name));
@@ -38,10 +39,10 @@
     for (let left = ms; left > 0; left -= maxHeartbeatIntervalMs / 4) {
       harness.now += Math.min(left, maxHeartbeatIntervalMs / 4);
       reportFrom(reporting);
-      for (const effect of harness.do({ kind: 'tick' })) {
+      for (const effect of harness.stepAndCommit({ kind: 'tick' })) {
         if (effect.kind === 'terminate') terminated.push(...effect.machines);
         if (effect.kind === 'probe')
-          harness.do({ kind: 'probed', machine: effect.machine, isReachable: true });
+          harness.stepAndCommit({ kind: 'probed', machine: effect.machine, isReachable: true });
       }
     }
     return terminated;
@@ -66,8 +67,8 @@
 test('a leader that was paused terminates no machine before it has caught up', () => {
   const { harness } = fleetWithSilentMachines(null, ['vm-3']);
   harness.now += 3 * harness.state.config.timing.silenceTimeoutMs;
-  expect(terminatedMachines(harness.do({ kind: 'tick', isStalled: true }))).toEqual([]);
-  expect(terminatedMachines(harness.do({ kind: 'tick' })).length).toBeGreaterThan(0);
+  expect(terminatedMachines(harness.stepAndCommit({ kind: 'tick', isStalled: true }))).toEqual([]);
+  expect(terminatedMachines(harness.stepAndCommit({ kind: 'tick' })).length).toBeGreaterThan(0);
 });
 
 /**
@@ -78,7 +79,7 @@
   const harness = new CoreHarness();
   const { layout, legacyChunkTasks } = harness.state;
   const spec = job('req-1', 10, 8, 60);
-  harness.do({
+  harness.stepAndCommit({
     kind: 'becomeLeader',
     term: 6,
     modRevision: 200,
@@ -90,9 +91,9 @@
     demandHistory: [],
     previousLeaderMayBeAlive,
   });
-  harness.do({
+  harness.stepAndCommit({
     kind: 'machinesListed',
-    askedAt: harness.now,
+    requestedAt: harness.now,
     machines: machineNames(10).map((name) => ({
       name,
       address: '10.0.0.9:1',
@@ -110,7 +111,8 @@
       claimTask(harness.state, owner, i, machine, harness.time(), Infinity);
   });
   harness.state.isPlacementDue = false;
-  for (const name of machineNames(reportingCount)) harness.hear(report(name, 1, [], { token: 6 }));
+  for (const name of machineNames(reportingCount))
+    harness.deliverHeartbeat(heartbeatOf(name, 1, [], { token: 6 }));
   return harness;
 }
 
@@ -119,53 +121,56 @@
   const terminatedWith = (reportingCount: number): number => {
     const harness = newLeader(reportingCount, false);
     harness.now += harness.state.config.timing.silenceTimeoutMs + 500;
-    for (const name of machineNames(reportingCount)) harness.hear(report(name, 2, [], { token: 6 }));
-    return terminatedMachines(harness.do({ kind: 'tick' })).length;
+    for (const name of machineNames(reportingCount))
+      harness.deliverHeartbeat(heartbeatOf(name, 2, [], { token: 6 }));
+    return terminatedMachines(harness.stepAndCommit({ kind: 'tick' })).length;
   };
   expect(terminatedWith(9)).toBe(1);
   expect(terminatedWith(4)).toBe(0);
   const harness = newLeader(4, false);
   const { authorityWindowMs, workerLeaseMs, maxHeartbeatIntervalMs } = harness.state.config.timing;
   harness.now += authorityWindowMs + workerLeaseMs + maxHeartbeatIntervalMs + 500;
-  harness.do({ kind: 'viewConfirmed', sentAt: harness.now });
-  for (const name of machineNames(4)) harness.hear(report(name, 2, [], { token: 6 }));
-  expect(terminatedMachines(harness.do({ kind: 'tick' }))).toHaveLength(6);
+  harness.stepAndCommit({ kind: 'viewConfirmed', sentAt: harness.now });
+  for (const name of machineNames(4)) harness.deliverHeartbeat(heartbeatOf(name, 2, [], { token: 6 }));
+  expect(terminatedMachines(harness.stepAndCommit({ kind: 'tick' }))).toHaveLength(6);
 });
 
 test('a machine that answers a direct call is alive, whichever controller gets its heartbeats', () => {
   const harness = newLeader(9, false);
   const { silenceTimeoutMs } = harness.state.config.timing;
   harness.now += silenceTimeoutMs - 1000;
-  harness.do({ kind: 'directAnswer', heartbeat: report('vm-9', 5, [], { token: 6 }) });
+  harness.stepAndCommit({ kind: 'directAnswer', heartbeat: heartbeatOf('vm-9', 5, [], { token: 6 }) });
   harness.now += 1500;
-  for (const name of machineNames(9)) harness.hear(report(name, 2, [], { token: 6 }));
-  expect(terminatedMachines(harness.do({ kind: 'tick' }))).toEqual([]);
+  for (const name of machineNames(9)) harness.deliverHeartbeat(heartbeatOf(name, 2, [], { token: 6 }));
+  expect(terminatedMachines(harness.stepAndCommit({ kind: 'tick' }))).toEqual([]);
 });
 
 // Direct calls to all silent machines at each tick would leave a leader with little processor time none for
 // heartbeats.
 test('a new leader sends a few direct calls if the previous leader may be alive, none at first if it is gone', () => {
   const { maxDirectCallsPerInterval, timing } = newLeader(0, true).state.config;
-  const directCalls = calledMachines(newLeader(0, true).do({ kind: 'tick' }));
+  const directCalls = calledMachines(newLeader(0, true).stepAndCommit({ kind: 'tick' }));
   expect(directCalls.length).toBeGreaterThan(0);
   expect(directCalls.length).toBeLessThanOrEqual(Math.ceil(maxDirectCallsPerInterval / 4));
   const harness = newLeader(0, false);
-  expect(calledMachines(harness.do({ kind: 'tick' }))).toEqual([]);
+  expect(calledMachines(harness.stepAndCommit({ kind: 'tick' }))).toEqual([]);
   harness.now += 1.2 * timing.maxHeartbeatIntervalMs;
-  expect(calledMachines(harness.do({ kind: 'tick' })).length).toBeLessThanOrEqual(maxDirectCallsPerInterval);
+  expect(calledMachines(harness.stepAndCommit({ kind: 'tick' })).length).toBeLessThanOrEqual(
+    maxDirectCallsPerInterval,
+  );
 });
 
 test('during a leadership transfer a leader starts nothing new and still answers its workers', () => {
   const harness = new CoreHarness();
-  harness.hear(report('vm-1', 1));
-  harness.do({ kind: 'transferLeadership' });
-  harness.add(job('req-1', 1, 8, 60));
+  harness.deliverHeartbeat(heartbeatOf('vm-1', 1));
+  harness.stepAndCommit({ kind: 'transferLeadership' });
+  harness.addJob(job('req-1', 1, 8, 60));
   harness.now += 10_000;
   expect(
     harness
-      .do({ kind: 'tick' })
+      .stepAndCommit({ kind: 'tick' })
       .filter(({ kind }) => kind === 'commit' || kind === 'provision' || kind === 'terminate'),
   ).toEqual([]);
-  const [answer] = harness.hear(report('vm-1', 2)).filter(({ kind }) => kind === 'reply');
+  const [answer] = harness.deliverHeartbeat(heartbeatOf('vm-1', 2)).filter(({ kind }) => kind === 'reply');
   expect(answer).toMatchObject({ body: { kind: 'commands', commands: [] } });
 });
--- a/test/planning-equivalence.test.ts
+++ b/test/planning-equivalence.test.ts
@@ -5,7 +5,7 @@
 import { reserveAcrossMachines, earliestShadow, fits, freeResources } from '../src/core/placement/index.js';
 import { claimTask, addJob } from '../src/core/persistence/index.js';
 import { getOrCreateMachine } from '../src/core/fleet/index.js';
-import { CoreHarness, EIGHT, job } from './emulators/core-harness.js';
+import { CoreHarness, EIGHT_CPU_TYPE, job } from './emulators/core-harness.js';
 
 const cpusAndMemory = fc.record({
   cpus: fc.integer({ min: 1, max: 8 }),
@@ -32,7 +32,7 @@
           kept.sort((a, b) => a.at - b.at);
           return {
             machine: `m${i}`,
-            type: EIGHT,
+            type: EIGHT_CPU_TYPE,
             zone: 'a',
             spot: true,
             readyAt: ready,
@@ -69,11 +69,11 @@
       const nodes = generated.map((tasks, i) => {
         const machine = getOrCreateMachine(state, `m${i}`, now);
         tasks.forEach(({ request: taken, at: end }, k) => {
-          if (!fits(taken, freeResources(machine, EIGHT))) return;
+          if (!fits(taken, freeResources(machine, EIGHT_CPU_TYPE))) return;
           const spec = job(`req-${i}-${k}`, 1, taken.cpus, 1, { memoryGb: taken.memoryGb });
           claimTask(state, addJob(state, { value: spec, modRevision: 1 }), 0, machine, now, end);
         });
-        return state.capacityIndex.update(machine, EIGHT, (claim) => claim.expectedEnd);
+        return state.capacityIndex.update(machine, EIGHT_CPU_TYPE, (claim) => claim.expectedEnd);
       });
       const found = earliestShadow(state, requested, now, () => true);
       const exhaustive = reserveAcrossMachines(state, nodes, requested, 1, now);
--- a/test/read-consistency.test.ts
+++ b/test/read-consistency.test.ts
@@ -9,7 +9,7 @@
 import { VirtualClock } from './emulators/clock.js';
 import { job } from './emulators/core-harness.js';
 import { Network } from './emulators/network.js';
-import { StateEmulator } from './emulators/state.js';
+import { StoreEmulator } from './emulators/state.js';
 import { seeded, testSettings } from './emulators/simulation.js';
 
 const RPS = 100;
@@ -17,7 +17,7 @@
 /** A job reader on a key-value store that processes each request after 5 ms, and answers 5 ms later. */
 class SlowStore {
   readonly clock = new VirtualClock();
-  readonly emulator = new StateEmulator(new Network(this.clock, seeded(1)));
+  readonly emulator = new StoreEmulator(new Network(this.clock, seeded(1)));
   readonly requests: string[] = [];
   isDown = false;
   readonly reader: JobReader;
@@ -43,7 +43,9 @@
           kind: 'refused',
         },
       changesSince: async (prefix, after) =>
-        (await delayed<WatchResult>('changes', () => emulator.since(prefix, after))) ?? { kind: 'unknown' },
+        (await delayed<WatchResult>('changes', () => emulator.changesSince(prefix, after))) ?? {
+          kind: 'unknown',
+        },
       watch: () => Promise.resolve({ kind: 'unknown' }),
       grant: () => Promise.resolve(null),
       renew: () => Promise.resolve(null),
--- a/test/response-tracking.test.ts
+++ b/test/response-tracking.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from 'vitest';
 import { isSchedulable } from '../src/core/fleet/index.js';
 import type { Effect } from '../src/core/effects.js';
-import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { CoreHarness, job, heartbeatOf, task, TERM } from './emulators/core-harness.js';
 
 const terminatedBy = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) => (effect.kind === 'terminate' ? effect.machines : []));
@@ -17,17 +17,17 @@
 
 /** Other machines report too, so that only machine m is unresponsive. */
 function reportOthers(harness: CoreHarness, seq: number): void {
-  for (const name of ['n', 'o', 'p', 'q']) harness.hear(report(name, seq));
+  for (const name of ['n', 'o', 'p', 'q']) harness.deliverHeartbeat(heartbeatOf(name, seq));
 }
 
 /** Machine m sends heartbeats, but does not receive the start that answers the latest one (sequence number `seq`). */
 function createUnresponsiveMachine(): { harness: CoreHarness; seq: number } {
   const harness = new CoreHarness();
-  harness.hear(report('m', 1));
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
   harness.now += 1000;
-  harness.hear(report('m', 2));
-  harness.add(job('req-1', 1, 8, 60));
-  expect(CoreHarness.starts(harness.hear(report('m', 3)))).toEqual(['req-1/0#1']);
+  harness.deliverHeartbeat(heartbeatOf('m', 2));
+  harness.addJob(job('req-1', 1, 8, 60));
+  expect(CoreHarness.startedTasks(harness.deliverHeartbeat(heartbeatOf('m', 3)))).toEqual(['req-1/0#1']);
   reportOthers(harness, 1);
   return { harness, seq: 3 };
 }
@@ -37,13 +37,13 @@
   const { harness, seq } = createUnresponsiveMachine();
   const claim = [...(harness.state.machines.get('m')?.claims.values() ?? [])][0];
   harness.now += UNANSWERED_RETRY_MS;
-  harness.hear(report('m', seq + 1));
+  harness.deliverHeartbeat(heartbeatOf('m', seq + 1));
   expect(isUsable(harness, 'm')).toBe(false);
   // The claim is kept: the machine may have received the start, and may still run the task.
   expect(harness.state.machines.get('m')?.claims.size).toBe(1);
   const started = task(`req-1/${claim?.task}`, claim?.attempt ?? 0, 'running');
   harness.now += 1000;
-  harness.hear(report('m', seq + 2, [started]));
+  harness.deliverHeartbeat(heartbeatOf('m', seq + 2, [started]));
   expect(isUsable(harness, 'm')).toBe(true);
   await harness.expectTrace('unresponsive-recovers');
 });
@@ -54,13 +54,13 @@
   const terminated: string[] = [];
   for (let at = 0; at < 2 * silenceTimeoutMs; at += UNANSWERED_RETRY_MS) {
     harness.now += UNANSWERED_RETRY_MS;
-    harness.hear(report('m', seq + 1 + at / UNANSWERED_RETRY_MS));
+    harness.deliverHeartbeat(heartbeatOf('m', seq + 1 + at / UNANSWERED_RETRY_MS));
     reportOthers(harness, 10 + at);
-    terminated.push(...terminatedBy(harness.do({ kind: 'tick' })));
+    terminated.push(...terminatedBy(harness.stepAndCommit({ kind: 'tick' })));
   }
   expect(terminated).toContain('m');
   expect(harness.state.machines.get('m')?.claims.size).toBe(1);
-  harness.do({ kind: 'terminated', machines: ['m'], ok: true });
+  harness.stepAndCommit({ kind: 'terminated', machines: ['m'], ok: true });
   expect([...(harness.state.jobs.get('req-1')?.claims.values() ?? [])].every((c) => c.machine !== 'm')).toBe(
     true,
   );
@@ -70,12 +70,12 @@
 // An overloaded leader may respond after the worker's timeout, which is not the machine's fault.
 test('late responses of an overloaded leader do not count as missed by a machine', () => {
   const { harness, seq } = createUnresponsiveMachine();
-  harness.do({ kind: 'tick', isOverloaded: true });
+  harness.stepAndCommit({ kind: 'tick', isOverloaded: true });
   for (let i = 1; i < 6; i += 1) {
     harness.now += UNANSWERED_RETRY_MS;
-    harness.hear(report('m', seq + i));
+    harness.deliverHeartbeat(heartbeatOf('m', seq + i));
     reportOthers(harness, 10 + i);
-    expect(terminatedBy(harness.do({ kind: 'tick', isOverloaded: true }))).toEqual([]);
+    expect(terminatedBy(harness.stepAndCommit({ kind: 'tick', isOverloaded: true }))).toEqual([]);
     // Only the first answer was sent in time and missed; the later ones are no evidence against the machine.
     expect(harness.state.machines.get('m')?.missedResponses).toBe(1);
   }
@@ -83,14 +83,14 @@
 
 test('an agent epoch that changes although its heartbeat was answered counts as a missed response', () => {
   const harness = new CoreHarness();
-  harness.hear(report('m', 1));
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
   harness.now += UNANSWERED_RETRY_MS;
-  harness.hear(report('m', 2));
+  harness.deliverHeartbeat(heartbeatOf('m', 2));
   harness.now += UNANSWERED_RETRY_MS;
-  harness.hear(report('m', 3, [], { agentEpoch: 2 }));
+  harness.deliverHeartbeat(heartbeatOf('m', 3, [], { agentEpoch: 2 }));
   expect(isUsable(harness, 'm')).toBe(false);
   harness.now += 1000;
-  harness.hear(report('m', 4, [], { agentEpoch: 2 }));
+  harness.deliverHeartbeat(heartbeatOf('m', 4, [], { agentEpoch: 2 }));
   expect(isUsable(harness, 'm')).toBe(true);
 });
 
@@ -100,8 +100,8 @@
   const names = ['m', 'n', 'o', 'p'];
   let terminated: string[] = [];
   for (let seq = 1; seq < 9; seq += 1) {
-    for (const name of names) harness.hear(report(name, seq, [], { agentEpoch: seq }));
-    terminated = terminated.concat(terminatedBy(harness.do({ kind: 'tick' })));
+    for (const name of names) harness.deliverHeartbeat(heartbeatOf(name, seq, [], { agentEpoch: seq }));
+    terminated = terminated.concat(terminatedBy(harness.stepAndCommit({ kind: 'tick' })));
     harness.now += UNANSWERED_RETRY_MS;
   }
   expect(names.some((name) => isUsable(harness, name))).toBe(false);
@@ -112,10 +112,10 @@
   const { harness, seq } = createUnresponsiveMachine();
   const [claim] = harness.state.machines.get('m')?.claims.values() ?? [];
   harness.now += 1000;
-  harness.hear(report('m', seq + 1, [task(`req-1/${claim?.task}`, 1, 'running')]));
+  harness.deliverHeartbeat(heartbeatOf('m', seq + 1, [task(`req-1/${claim?.task}`, 1, 'running')]));
   const lastHeartbeatAt = harness.state.machines.get('m')?.lastHeartbeatAt;
   harness.now += 20_000;
-  const effects = harness.hear(report('m', seq, [], { terminationNoticeS: 5 }));
+  const effects = harness.deliverHeartbeat(heartbeatOf('m', seq, [], { terminationNoticeS: 5 }));
   expect(effects.some((effect) => effect.kind === 'reply' && effect.body.kind === 'unable')).toBe(true);
   expect(harness.state.machines.get('m')).toMatchObject({ lastHeartbeatAt, reclaimedAt: null });
   expect(harness.state.machines.get('m')?.claims.size).toBe(1);
@@ -129,11 +129,11 @@
   const terminated: string[] = [];
   for (let seq = 1; seq * 1000 < workerLeaseMs + 2 * silenceTimeoutMs; seq += 1) {
     // Sent to the previous leader, with its token and with a termination notice that is out of date.
-    harness.hear(report('m', seq, [], { token: TERM - 1, terminationNoticeS: 300 }));
+    harness.deliverHeartbeat(heartbeatOf('m', seq, [], { token: TERM - 1, terminationNoticeS: 300 }));
     reportOthers(harness, seq + 1);
     expect(isUsable(harness, 'm')).toBe(false);
     expect(harness.state.machines.get('m')?.reclaimedAt).toBe(null);
-    terminated.push(...terminatedBy(harness.do({ kind: 'tick' })));
+    terminated.push(...terminatedBy(harness.stepAndCommit({ kind: 'tick' })));
     harness.now += 1000;
   }
   expect(terminated).toContain('m');
--- a/test/server.test.ts
+++ b/test/server.test.ts
@@ -12,10 +12,10 @@
 import { TYPES } from './emulators/cloud.js';
 import { VirtualClock } from './emulators/clock.js';
 import { Network } from './emulators/network.js';
-import { StateEmulator } from './emulators/state.js';
+import { StoreEmulator } from './emulators/state.js';
 import { seeded } from './emulators/simulation.js';
 
-const storeEmulator = new StateEmulator(new Network(new VirtualClock(), seeded(1)));
+const storeEmulator = new StoreEmulator(new Network(new VirtualClock(), seeded(1)));
 let isStoreDown = false;
 const store: KeyValueStore = {
   read: (key) => Promise.resolve(isStoreDown ? 'unknown' : { entry: storeEmulator.read(key) }),
@@ -26,7 +26,7 @@
   commit: (txn) => Promise.resolve(isStoreDown ? { kind: 'refused' } : storeEmulator.commit(txn)),
   watch: () => Promise.resolve({ kind: 'unknown' }),
   changesSince: (prefix, after) =>
-    Promise.resolve(isStoreDown ? { kind: 'unknown' } : storeEmulator.since(prefix, after)),
+    Promise.resolve(isStoreDown ? { kind: 'unknown' } : storeEmulator.changesSince(prefix, after)),
   grant: () => Promise.resolve(null),
   renew: () => Promise.resolve(null),
   revoke: () => Promise.resolve(),
@@ -46,12 +46,12 @@
   maxPreconditions: 24,
   supportsDependencies: () => Promise.resolve(dependenciesSupported),
   hasPropagatedCancellations: () => cancellationsPropagated,
-  types: () => types,
-  counts: () => null,
+  machineTypes: () => types,
+  taskCounts: () => null,
 });
 const api: PublicApi = {
   users,
-  report: (body, done) =>
+  handleHeartbeat: (body, done) =>
     parseHeartbeat(body) === null ? done(400, '{"error":"malformed report"}') : done(200, '{}'),
   ready: () => true,
   describe: () => ({ fine: true }),
--- a/test/shared-reports.test.ts
+++ b/test/shared-reports.test.ts
@@ -12,10 +12,15 @@
 import { createCoreConfig } from '../src/config/core-config.js';
 import { timing } from '../src/config/settings.js';
 import type { AnswersMessage, IntakeMessage, HeartbeatsMessage } from '../src/wire/intake.js';
-import { encodeIntake, StatusReader } from '../src/wire/peers.js';
-import { startBusyCluster, CANCEL, DEPUTY_SEED, expectCleanEnd } from './emulators/busy-cluster.js';
+import { encodeIntake, PeerMessageReader } from '../src/wire/peers.js';
+import {
+  startBusyCluster,
+  CANCEL_TIMEOUT_MS,
+  DEPUTY_SEED,
+  expectCleanEnd,
+} from './emulators/busy-cluster.js';
 import { ProcessClock, VirtualClock } from './emulators/clock.js';
-import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
+import { CoreHarness, job, heartbeatOf, task, TERM } from './emulators/core-harness.js';
 import { drawRun, NODES, seeded, testSettings, Simulation } from './emulators/simulation.js';
 
 const TIMES = timing(testSettings(0));
@@ -83,10 +88,15 @@
   }
 
   /** Delivers a heartbeat; returns its immediate answer, or that it was forwarded. */
-  async take(seq: number, tasks = RUNNING, more: Parameters<typeof report>[3] = {}): Promise<string> {
+  async take(seq: number, tasks = RUNNING, more: Parameters<typeof heartbeatOf>[3] = {}): Promise<string> {
     let outcome = 'waits';
     const before = this.intake.forwarded;
-    if (!this.intake.take(report('m', seq, tasks, more), (status, body) => (outcome = `${status} ${body}`)))
+    if (
+      !this.intake.accept(
+        heartbeatOf('m', seq, tasks, more),
+        (status, body) => (outcome = `${status} ${body}`),
+      )
+    )
       return 'not taken';
     await this.virtualClock.runUntil(this.virtualClock.now + 2 * TIMES.forwardBatchDelayMs);
     return this.intake.forwarded > before ? `forwarded, ${outcome}` : outcome;
@@ -262,17 +272,17 @@
     harness.state.machines.get('m') as never;
   const running = (): CoreHarness => {
     const harness = new CoreHarness();
-    harness.hear(report('m', 1));
-    harness.add(job('req-1', 1, 4, 50));
-    harness.hear(report('m', 2));
-    harness.hear(report('m', 3, RUNNING));
+    harness.deliverHeartbeat(heartbeatOf('m', 1));
+    harness.addJob(job('req-1', 1, 4, 50));
+    harness.deliverHeartbeat(heartbeatOf('m', 2));
+    harness.deliverHeartbeat(heartbeatOf('m', 3, RUNNING));
     return harness;
   };
 
   test('counts as a heartbeat as of its arrival at the follower, but shows no task as absent', () => {
     const harness = running();
     harness.now += 1000;
-    harness.do({
+    harness.stepAndCommit({
       kind: 'keepalives',
       keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 4, ageMs: 300 }],
     });
@@ -287,16 +297,19 @@
     const harness = running();
     const { lastHeartbeatAt } = machineOf(harness);
     harness.now += 1000;
-    harness.do({ kind: 'keepalives', keepalives: [{ machine: 'm', ...heartbeat }] });
+    harness.stepAndCommit({ kind: 'keepalives', keepalives: [{ machine: 'm', ...heartbeat }] });
     expect(machineOf(harness)).toMatchObject({ lastHeartbeatAt, heartbeatSequence: 3 });
   });
 
   test('of a machine that has not shown the fencing token changes nothing', () => {
     const harness = new CoreHarness();
-    harness.hear(report('m', 1, [], { token: TERM - 1 }));
+    harness.deliverHeartbeat(heartbeatOf('m', 1, [], { token: TERM - 1 }));
     const { lastHeartbeatAt } = machineOf(harness);
     harness.now += 1000;
-    harness.do({ kind: 'keepalives', keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 2, ageMs: 0 }] });
+    harness.stepAndCommit({
+      kind: 'keepalives',
+      keepalives: [{ machine: 'm', agentEpoch: 1, sequence: 2, ageMs: 0 }],
+    });
     expect(machineOf(harness).lastHeartbeatAt).toBe(lastHeartbeatAt);
   });
 });
@@ -306,38 +319,38 @@
     effects.flatMap((effect) => (effect.kind === 'attention' ? effect.machines : []));
   const idle = (): CoreHarness => {
     const harness = new CoreHarness();
-    harness.hear(report('m', 1));
-    harness.hear(report('m', 2));
+    harness.deliverHeartbeat(heartbeatOf('m', 1));
+    harness.deliverHeartbeat(heartbeatOf('m', 2));
     return harness;
   };
 
   test('for a start', () => {
     const harness = idle();
-    expect(attentionOf(harness.add(job('req-1', 1, 4, 50)))).toEqual(['m']);
+    expect(attentionOf(harness.addJob(job('req-1', 1, 4, 50)))).toEqual(['m']);
     // The answer carries the command, so no attention is needed any more.
-    harness.hear(report('m', 3));
+    harness.deliverHeartbeat(heartbeatOf('m', 3));
     expect(harness.state.attention.size).toBe(0);
   });
 
   test('for a stop, once its job is cancelled', () => {
     const harness = idle();
-    harness.add(job('req-1', 1, 4, 50));
-    harness.hear(report('m', 3));
-    harness.hear(report('m', 4, RUNNING));
-    expect(attentionOf(harness.do({ kind: 'jobRemoved', id: 'req-1' }))).toEqual(['m']);
-    harness.hear(report('m', 5, RUNNING));
+    harness.addJob(job('req-1', 1, 4, 50));
+    harness.deliverHeartbeat(heartbeatOf('m', 3));
+    harness.deliverHeartbeat(heartbeatOf('m', 4, RUNNING));
+    expect(attentionOf(harness.stepAndCommit({ kind: 'jobRemoved', id: 'req-1' }))).toEqual(['m']);
+    harness.deliverHeartbeat(heartbeatOf('m', 5, RUNNING));
     // The machine needs attention until the task is proven gone.
     expect(harness.state.attention.size).toBe(1);
-    harness.hear(report('m', 6));
+    harness.deliverHeartbeat(heartbeatOf('m', 6));
     expect(harness.state.attention.size).toBe(0);
   });
 
   test('for a start that may not be sent yet, again later', () => {
     const harness = idle();
-    harness.add(job('req-1', 1, 4, 50));
+    harness.addJob(job('req-1', 1, 4, 50));
     harness.isViewConfirmed = false;
     harness.now += TIMES.leaderLeaseMs;
-    harness.hear(report('m', 3));
+    harness.deliverHeartbeat(heartbeatOf('m', 3));
     expect(harness.state.attention.size).toBe(1);
   });
 });
@@ -369,10 +382,10 @@
       candidates: () => [{ node: 'n-1', zone: 'a' }],
       isAccepting: () => this.followerAccepts,
       send: (_to, message) => this.sent.push(message) > 0,
-      push: ({ machine }) => void this.pushed.push(machine),
+      submitHeartbeat: ({ machine }) => void this.pushed.push(machine),
     });
-    this.core.hear(report('m', 1));
-    this.core.hear(report('m', 2));
+    this.core.deliverHeartbeat(heartbeatOf('m', 1));
+    this.core.deliverHeartbeat(heartbeatOf('m', 2));
   }
 
   receive(more: Partial<HeartbeatsMessage>): void {
@@ -382,7 +395,7 @@
       incarnation: 'y',
       term: TERM,
       sentAt: this.clock.epochMs(),
-      heartbeats: [{ reference: 1, heartbeat: report('m', 3) }],
+      heartbeats: [{ reference: 1, heartbeat: heartbeatOf('m', 3) }],
       keepalives: [],
       ...more,
     });
@@ -401,24 +414,24 @@
   test('redirects a worker to a follower that accepts heartbeats, and not again immediately', () => {
     const harness = new LeaderHarness();
     harness.shared.sendSnapshots();
-    expect(harness.shared.redirect(report('m', 3))).toBe('n-1');
+    expect(harness.shared.redirect(heartbeatOf('m', 3))).toBe('n-1');
     harness.shared.sendSnapshots();
-    expect(harness.shared.redirect(report('m', 4))).toBeNull();
+    expect(harness.shared.redirect(heartbeatOf('m', 4))).toBeNull();
   });
 
   test('keeps a worker if no follower accepts heartbeats for the leader', () => {
     const harness = new LeaderHarness();
     harness.followerAccepts = false;
     harness.shared.sendSnapshots();
-    expect(harness.shared.redirect(report('m', 3))).toBeNull();
+    expect(harness.shared.redirect(heartbeatOf('m', 3))).toBeNull();
   });
 
   test('keeps a worker that needs a command or whose exit waits to be committed', () => {
     const harness = new LeaderHarness();
     harness.shared.sendSnapshots();
-    expect(harness.shared.redirect(report('m', 3, [task('req-1/0', 1, 'exited', 'done')]))).toBeNull();
-    harness.core.add(job('req-1', 1, 4, 50));
-    expect(harness.shared.redirect(report('m', 3))).toBeNull();
+    expect(harness.shared.redirect(heartbeatOf('m', 3, [task('req-1/0', 1, 'exited', 'done')]))).toBeNull();
+    harness.core.addJob(job('req-1', 1, 4, 50));
+    expect(harness.shared.redirect(heartbeatOf('m', 3))).toBeNull();
   });
 
   test('notifies a follower of its workers that need attention, before the next snapshot', async () => {
@@ -435,11 +448,11 @@
 
   test('sends followers all machines that need attention and the confirmation of its view', () => {
     const harness = new LeaderHarness();
-    harness.core.add(job('req-1', 1, 4, 50));
+    harness.core.addJob(job('req-1', 1, 4, 50));
     harness.shared.sendSnapshots();
     expect(harness.sent).toMatchObject([{ isSnapshot: true, isSharing: true, attention: ['m'] }]);
     // While the leadership is transferred, snapshots confirm no view, so that followers answer nothing.
-    harness.core.do({ kind: 'transferLeadership' });
+    harness.core.stepAndCommit({ kind: 'transferLeadership' });
     harness.shared.sendSnapshots();
     expect(harness.sent.at(-1)).toMatchObject({ isSnapshot: true, viewConfirmedAt: 0 });
   });
@@ -447,15 +460,20 @@
 
 test('a heartbeat forwarded late counts as of its arrival at the follower', () => {
   const harness = new CoreHarness();
-  harness.do({ kind: 'heartbeat', reply: 1, heartbeat: report('m', 1), ageMs: 800 });
+  harness.stepAndCommit({ kind: 'heartbeat', reply: 1, heartbeat: heartbeatOf('m', 1), ageMs: 800 });
   expect(harness.state.machines.get('m')?.lastHeartbeatAt).toBe(harness.now - 800);
 });
 
 test('messages about shared heartbeats round-trip, and earlier versions do not take them for a status', () => {
   const envelope = { node: 'n-1', incarnation: 'x', term: 7, sentAt: 1e12 };
-  const forwarded = report('m', 9, [task('req-1/0', 2, 'running'), task('req-1/1', 1, 'exited', 'error')], {
-    terminationNoticeS: 0,
-  });
+  const forwarded = heartbeatOf(
+    'm',
+    9,
+    [task('req-1/0', 2, 'running'), task('req-1/1', 1, 'exited', 'error')],
+    {
+      terminationNoticeS: 0,
+    },
+  );
   const messages: IntakeMessage[] = [
     {
       kind: 'heartbeats',
@@ -487,7 +505,7 @@
     },
   ];
   const found: IntakeMessage[] = [];
-  const reader = new StatusReader((message) => found.push(message));
+  const reader = new PeerMessageReader((message) => found.push(message));
   expect(reader.push(Buffer.concat(messages.map(encodeIntake)))).toEqual([]);
   expect(found).toEqual(messages);
 });
@@ -516,50 +534,51 @@
 });
 
 test('with few machines no heartbeat is shared', async () => {
-  const { world } = await startBusyCluster();
-  world.crash(0, 2000);
-  await world.clock.runUntil(world.clock.now + 30_000);
-  expect(world.intakeMessages).toBe(0);
+  const { simulation } = await startBusyCluster();
+  simulation.crash(0, 2000);
+  await simulation.clock.runUntil(simulation.clock.now + 30_000);
+  expect(simulation.intakeMessages).toBe(0);
 });
 
 // A follower without the leader's snapshot would redirect the workers straight back.
 test('no worker is redirected to a follower that does not accept heartbeats for this leader', async () => {
-  const { world } = await startBusyCluster(3, { sharing: true });
-  const before = world.intakeMessages;
-  await world.clock.runUntil(world.clock.now + 5000);
-  expect(world.intakeMessages).toBeGreaterThan(before);
-  world.dropsIntake = true;
-  await world.clock.runUntil(world.clock.now + 120_000);
-  world.dropsIntake = false;
-  await expectCleanEnd(world);
-  expect(world.checker.expiredTasks).toBe(0);
+  const { simulation } = await startBusyCluster(3, { sharing: true });
+  const before = simulation.intakeMessages;
+  await simulation.clock.runUntil(simulation.clock.now + 5000);
+  expect(simulation.intakeMessages).toBeGreaterThan(before);
+  simulation.dropsIntake = true;
+  await simulation.clock.runUntil(simulation.clock.now + 120_000);
+  simulation.dropsIntake = false;
+  await expectCleanEnd(simulation);
+  expect(simulation.checker.expiredTasks).toBe(0);
 });
 
 test('sharing: tasks stop in time if the store refuses only the leader, cancellations are confirmed elsewhere, and a full outage follows', async () => {
-  const { world, leader, others, ids } = await startBusyCluster(3, { sharing: true });
-  world.state.refuse(NODES[leader] ?? '', 2 * CANCEL);
-  await world.clock.runUntil(world.clock.now + 100);
+  const { simulation, leader, others, ids } = await startBusyCluster(3, { sharing: true });
+  simulation.store.refuse(NODES[leader] ?? '', 2 * CANCEL_TIMEOUT_MS);
+  await simulation.clock.runUntil(simulation.clock.now + 100);
   const cancelled = ids.slice(1);
   for (const id of cancelled)
-    expect(await world.until(world.withdraw(id, NODES[others[0] ?? 0] ?? ''))).toBe(true);
-  world.state.outage(2 * CANCEL);
-  await world.clock.runUntil(world.clock.now + CANCEL);
-  expect(cancelled.reduce((sum, id) => sum + world.checker.placedTasks(id), 0)).toBe(0);
-  await expectCleanEnd(world, 400_000);
+    expect(await simulation.until(simulation.cancel(id, NODES[others[0] ?? 0] ?? ''))).toBe(true);
+  simulation.store.outage(2 * CANCEL_TIMEOUT_MS);
+  await simulation.clock.runUntil(simulation.clock.now + CANCEL_TIMEOUT_MS);
+  expect(cancelled.reduce((sum, id) => sum + simulation.checker.placedTasks(id), 0)).toBe(0);
+  await expectCleanEnd(simulation, 400_000);
 });
 
 test('followers with workers that cannot reach the leader let cancelled tasks stop in time', async () => {
-  const { world, leader, others, ids } = await startBusyCluster(DEPUTY_SEED, { sharing: true });
+  const { simulation, leader, others, ids } = await startBusyCluster(DEPUTY_SEED, { sharing: true });
   // A partition delays the messages between the controllers, and also separates the leader from its machines.
-  for (const other of others) world.network.partition(NODES[leader] ?? '', NODES[other] ?? '', 2 * CANCEL);
-  for (const name of world.cloud.workers.keys())
-    world.network.partition(name, NODES[leader] ?? '', 2 * CANCEL);
+  for (const other of others)
+    simulation.network.partition(NODES[leader] ?? '', NODES[other] ?? '', 2 * CANCEL_TIMEOUT_MS);
+  for (const name of simulation.cloud.workers.keys())
+    simulation.network.partition(name, NODES[leader] ?? '', 2 * CANCEL_TIMEOUT_MS);
   const cancelled = ids.slice(1);
   for (const id of cancelled)
-    expect(await world.until(world.withdraw(id, NODES[others[0] ?? 0] ?? ''))).toBe(true);
-  await world.clock.runUntil(world.clock.now + CANCEL);
-  expect(cancelled.reduce((sum, id) => sum + world.checker.placedTasks(id), 0)).toBe(0);
-  await expectCleanEnd(world, 400_000);
+    expect(await simulation.until(simulation.cancel(id, NODES[others[0] ?? 0] ?? ''))).toBe(true);
+  await simulation.clock.runUntil(simulation.clock.now + CANCEL_TIMEOUT_MS);
+  expect(cancelled.reduce((sum, id) => sum + simulation.checker.placedTasks(id), 0)).toBe(0);
+  await expectCleanEnd(simulation, 400_000);
 });
 
 test('sharing: under faults of every kind no rule is violated and every accepted job ends', async () => {
@@ -568,13 +587,13 @@
       fc.integer({ min: 1, max: 1_000_000 }),
       fc.integer({ min: 2, max: 14 }),
       async (seed, faults) => {
-        const world = new Simulation(seeded(seed), { copies: true, sharing: true });
-        drawRun(world, 90_000, faults, { jobs: 16, maxTasks: 6, machines: 8, onCall: true });
-        await world.clock.runUntil(240_000);
-        world.checker.checkUnanswered(130_000, 240_000);
-        expect(world.checker.violations).toEqual([]);
-        expect(world.checker.unfinishedJobs()).toEqual([]);
-        expect(world.intakeMessages).toBeGreaterThan(0);
+        const simulation = new Simulation(seeded(seed), { duplicatesHeartbeats: true, sharing: true });
+        drawRun(simulation, 90_000, faults, { jobs: 16, maxTasks: 6, machines: 8, productionFaults: true });
+        await simulation.clock.runUntil(240_000);
+        simulation.checker.checkUnanswered(130_000, 240_000);
+        expect(simulation.checker.violations).toEqual([]);
+        expect(simulation.checker.unfinishedJobs()).toEqual([]);
+        expect(simulation.intakeMessages).toBeGreaterThan(0);
       },
     ),
     {
--- a/test/simulated-runs.test.ts
+++ b/test/simulated-runs.test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { expect, test } from 'vitest';
 import { Checker } from './emulators/checker.js';
-import { drawRun, seeded, TIGHT, Simulation, type RunSize } from './emulators/simulation.js';
+import { drawRun, seeded, TIGHT_LIMITS, Simulation, type RunSize } from './emulators/simulation.js';
 
 /** The time over which `drawRun` spreads submissions and faults, in milliseconds. */
 const RUN_MS = 90_000;
@@ -15,11 +15,15 @@
   cpusMax: number,
   size?: RunSize,
 ): Promise<Simulation> {
-  const simulation = new Simulation(seeded(seed), { cpusMax, copies: size?.onCall === true });
+  const simulation = new Simulation(seeded(seed), {
+    cpusMax,
+    duplicatesHeartbeats: size?.productionFaults === true,
+  });
   drawRun(simulation, RUN_MS, faults, size);
   await simulation.clock.runUntil(RUN_MS + RECOVERY_MS);
   // The faults are taken to be over 40 s after RUN_MS; from then on requests must be answered.
-  if (size?.onCall === true) simulation.checker.checkUnanswered(RUN_MS + 40_000, RUN_MS + RECOVERY_MS);
+  if (size?.productionFaults === true)
+    simulation.checker.checkUnanswered(RUN_MS + 40_000, RUN_MS + RECOVERY_MS);
   return simulation;
 }
 
@@ -27,7 +31,7 @@
   const simulation = await simulateRun(1, 0, 0);
   expect(simulation.checker.violations).toEqual([]);
   expect(simulation.checker.unfinishedJobs()).toEqual([]);
-  expect(simulation.checker.started).toBeGreaterThan(20);
+  expect(simulation.checker.startedTasks).toBeGreaterThan(20);
 });
 
 test('a team at its quota never exceeds it and completes all its jobs', async () => {
@@ -58,7 +62,7 @@
   expect(simulation.checker.violations).toEqual([]);
   expect(simulation.checker.unfinishedJobs()).toEqual([]);
   expect(simulation.cloud.peakMachines).toBeGreaterThan(100);
-  expect(simulation.checker.started).toBeGreaterThan(3000);
+  expect(simulation.checker.startedTasks).toBeGreaterThan(3000);
 }, 300_000);
 
 const DAGS: RunSize = { jobs: 6, maxTasks: 5, machines: 8, pipelines: 6 };
@@ -83,7 +87,7 @@
  * in between; some time after the last restart the limits of the store are reduced.
  */
 async function simulateUpgrade(seed: number, faults: number): Promise<Simulation> {
-  const simulation = new Simulation(seeded(seed), { limits: TIGHT, earlier: true });
+  const simulation = new Simulation(seeded(seed), { limits: TIGHT_LIMITS, startsEarlierVersion: true });
   const { draw, clock } = simulation;
   const wide: RunSize = { jobs: 12, maxTasks: 70, machines: 30, pipelines: 4, pipelinesFromMs: 45_000 };
   drawRun(simulation, RUN_MS, faults, wide);
@@ -109,14 +113,14 @@
         expect(simulation.checker.violations).toEqual([]);
         expect(simulation.checker.unfinishedJobs()).toEqual([]);
         // No claim records are left, neither those of the earlier version nor those of ended jobs.
-        expect([...simulation.state.keys.keys()].filter((key) => key.startsWith('run/'))).toEqual([]);
+        expect([...simulation.store.keys.keys()].filter((key) => key.startsWith('run/'))).toEqual([]);
       },
     ),
     { seed: 9, numRuns: Number(process.env['DAYS'] ?? 12), endOnFailure: true },
   );
 }, 900_000);
 
-const PRODUCTION_FAULTS: RunSize = { jobs: 16, maxTasks: 6, machines: 8, onCall: true };
+const PRODUCTION_FAULTS: RunSize = { jobs: 16, maxTasks: 6, machines: 8, productionFaults: true };
 
 test('combinations of faults seen in production violate no rule, lose no job and starve no class, team or large job', async () => {
   await fc.assert(
--- a/test/starvation.test.ts
+++ b/test/starvation.test.ts
@@ -4,7 +4,7 @@
 import { waitingJobs, waitReason } from '../src/core/placement/index.js';
 import type { JobState } from '../src/core/model.js';
 import type { JobSpec, ReportedTask } from '../src/core/types.js';
-import { CoreHarness, job, report, task } from './emulators/core-harness.js';
+import { CoreHarness, job, heartbeatOf, task } from './emulators/core-harness.js';
 
 const stops = (effects: readonly Effect[]): string[] =>
   effects.flatMap((effect) =>
@@ -29,15 +29,15 @@
     this.heartbeat([]);
   }
   add(spec: JobSpec): void {
-    this.harness.add({ ...spec, submittedAt: this.harness.now });
+    this.harness.addJob({ ...spec, submittedAt: this.harness.now });
   }
   heartbeat(tasks: readonly ReportedTask[], afterMs = 0): Effect[] {
     for (let left = afterMs; left > 0; left -= 1000) {
       this.harness.now += Math.min(1000, left);
-      this.harness.hear(report('m', ++this.#sequence, tasks));
-      this.harness.do({ kind: 'tick' });
+      this.harness.deliverHeartbeat(heartbeatOf('m', ++this.#sequence, tasks));
+      this.harness.stepAndCommit({ kind: 'tick' });
     }
-    return this.harness.hear(report('m', ++this.#sequence, tasks));
+    return this.harness.deliverHeartbeat(heartbeatOf('m', ++this.#sequence, tasks));
   }
 }
 
@@ -54,14 +54,14 @@
   // Stopping one task is enough. Its grace is the 3 s it needs to save; its resources are not free before it ends.
   expect(stops(effects)).toHaveLength(1);
   expect(stops(effects)[0]).toMatch(/^req-1\/[01] grace 3$/);
-  expect(CoreHarness.starts(effects)).toEqual([]);
+  expect(CoreHarness.startedTasks(effects)).toEqual([]);
   const [stopped, other] = stops(effects)[0]?.startsWith('req-1/0') === true ? [0, 1] : [1, 0];
   const left = task(`req-1/${other}`, 1, 'running');
-  expect(CoreHarness.starts(driver.heartbeat([left, task(`req-1/${stopped}`, 1, 'saving')], 1000))).toEqual(
-    [],
-  );
   expect(
-    CoreHarness.starts(driver.heartbeat([left, task(`req-1/${stopped}`, 1, 'exited', 'stopped')])),
+    CoreHarness.startedTasks(driver.heartbeat([left, task(`req-1/${stopped}`, 1, 'saving')], 1000)),
+  ).toEqual([]);
+  expect(
+    CoreHarness.startedTasks(driver.heartbeat([left, task(`req-1/${stopped}`, 1, 'exited', 'stopped')])),
   ).toEqual(['req-2/0#1']);
   driver.heartbeat([left, task('req-2/0', 1, 'running')], 1000);
   const reasonOf = (id: string) =>
@@ -69,7 +69,7 @@
   expect(['req-1', 'req-2', 'req-3'].map(reasonOf)).toEqual(['first in the queue', null, 'waits for room']);
   // The preempted task continues before the job that was submitted after it.
   const after = driver.heartbeat([left, task('req-2/0', 1, 'exited', 'done')]);
-  expect(CoreHarness.starts(after)).toEqual([`req-1/${stopped}#2`]);
+  expect(CoreHarness.startedTasks(after)).toEqual([`req-1/${stopped}#2`]);
   await driver.harness.expectTrace('preemption');
 });
 
@@ -134,7 +134,7 @@
   while (startedAfterMs < 0 && harness.now - addedAt < 400_000) {
     driver.add(job(`req-${100 + nextId}`, 1, 4, 25));
     nextId += 1;
-    const starts = CoreHarness.starts(driver.heartbeat(reported, 1000));
+    const starts = CoreHarness.startedTasks(driver.heartbeat(reported, 1000));
     reported = reported.filter(({ job: id }) => id !== 'done');
     for (const start of starts) {
       const [, id = '', index = '', attempt = ''] = /^(.+)\/(\d+)#(\d+)$/.exec(start) ?? [];
@@ -148,7 +148,7 @@
     if (ended.length > 0) {
       const remaining = reported.filter((one) => !ended.includes(one));
       const exits = ended.map(({ job: id, attempt }) => task(`${id}/0`, attempt, 'exited', 'done'));
-      const moreStarts = CoreHarness.starts(driver.heartbeat([...remaining, ...exits]));
+      const moreStarts = CoreHarness.startedTasks(driver.heartbeat([...remaining, ...exits]));
       if (moreStarts.some((start) => start.startsWith('req-9'))) startedAfterMs = harness.now - addedAt;
       for (const start of moreStarts)
         reported.push(task(start.split('#')[0] ?? '', Number(start.split('#')[1]), 'running'));
@@ -170,11 +170,11 @@
     Object.assign(state.jobs.get(id) ?? {}, { lastPlacedAt: 0 } satisfies Partial<JobState>);
   driver.heartbeat([], 1000);
   driver.harness.now += 200_000;
-  driver.harness.do({ kind: 'tick' });
+  driver.harness.stepAndCommit({ kind: 'tick' });
   expect(state.reservedJobs.map(({ spec }) => spec.id).sort()).toEqual(['req-1']);
   for (const id of ['req-1'])
     Object.assign(state.jobs.get(id) ?? {}, { lastPlacedAt: driver.harness.now } satisfies Partial<JobState>);
-  driver.harness.do({ kind: 'tick' });
+  driver.harness.stepAndCommit({ kind: 'tick' });
   expect(state.reservedJobs).toEqual([]);
 });
 
@@ -186,7 +186,7 @@
   driver.heartbeat([], 2000);
   for (let i = 6; i < 10; i += 1) driver.add(bestEffortJob(`req-${i}`, 3, 4));
   driver.harness.now += 200_000;
-  driver.harness.do({ kind: 'tick' });
+  driver.harness.stepAndCommit({ kind: 'tick' });
   const ids = state.reservedJobs.map(({ spec }) => spec.id);
   expect(ids.filter((id) => id >= 'req-6')).toHaveLength(2);
   expect(ids.filter((id) => id < 'req-6')).toHaveLength(2);
@@ -210,7 +210,7 @@
   expect([...harness.state.guaranteedJobs].map(({ spec }) => spec.id)).toEqual(['req-2']);
   const left = task('req-1/1', 1, 'running');
   const gone = task('req-1/0', 1, 'exited', 'stopped');
-  expect(CoreHarness.starts(driver.heartbeat([left, gone]))).toEqual(['req-2/0#1']);
+  expect(CoreHarness.startedTasks(driver.heartbeat([left, gone]))).toEqual(['req-2/0#1']);
   // The second job exceeds the guarantee together with the first, so it waits like any other job.
   expect(stops(driver.heartbeat([left, task('req-2/0', 1, 'running')], 5000))).toEqual([]);
   await harness.expectTrace('quota-guarantee');
@@ -234,24 +234,24 @@
 test('an overloaded leader places a bounded number of deferrable tasks, and all that are urgent', () => {
   const harness = new CoreHarness();
   const names = Array.from({ length: 20 }, (_, i) => `m${i}`);
-  for (const name of names) harness.hear(report(name, 1));
+  for (const name of names) harness.deliverHeartbeat(heartbeatOf(name, 1));
   harness.state.isOverloaded = true;
-  harness.raw({
+  harness.step({
     kind: 'jobAdded',
     job: { value: job('req-1', 5000, 1, 3, { deadlineS: 9000 }), modRevision: 900 },
   });
-  harness.do({ kind: 'tick', isOverloaded: true });
+  harness.stepAndCommit({ kind: 'tick', isOverloaded: true });
   const claims = (id: string): number => harness.state.jobs.get(id)?.claims.size ?? 0;
   const first = claims('req-1');
   expect(first).toBeGreaterThan(0);
   expect(first).toBeLessThan(20);
   harness.now += 500;
-  harness.add(job('req-2', 30, 1, 20, { priority: 1, deadlineS: 24, submittedAt: harness.now }));
+  harness.addJob(job('req-2', 30, 1, 20, { priority: 1, deadlineS: 24, submittedAt: harness.now }));
   expect(claims('req-2')).toBe(30);
   expect(claims('req-1')).toBe(first);
   harness.now += 1000;
-  for (const name of names) harness.hear(report(name, 2));
-  harness.do({ kind: 'tick' });
+  for (const name of names) harness.deliverHeartbeat(heartbeatOf(name, 2));
+  harness.stepAndCommit({ kind: 'tick' });
   expect(claims('req-1')).toBeGreaterThan(100);
 });
 
@@ -262,7 +262,7 @@
   driver.add(job('req-1', 100_000, 1, 3));
   let reported: ReportedTask[] = [];
   for (let round = 0; round < 40; round += 1) {
-    const starts = CoreHarness.starts(driver.heartbeat(reported, 1000));
+    const starts = CoreHarness.startedTasks(driver.heartbeat(reported, 1000));
     reported = starts.map((start) =>
       task(start.split('#')[0] ?? '', Number(start.split('#')[1]), 'exited', 'done'),
     );
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -6,7 +6,7 @@
 import type { Claim } from '../src/core/types.js';
 import { parseSettings, settingsFaults } from '../src/config/settings.js';
 import { initialLayout, formatRecord, upgradedLayout } from '../src/config/record-layout.js';
-import { encodeStatus, StatusReader } from '../src/wire/peers.js';
+import { encodeStatus, PeerMessageReader } from '../src/wire/peers.js';
 import {
   chunkKey,
   decodeChunk,
@@ -17,8 +17,8 @@
   packDemand,
   parseChunkKey,
 } from '../src/core/persistence/index.js';
-import { CoreHarness, job, report, task, TERM } from './emulators/core-harness.js';
-import { seeded, testSettings, TIGHT, NO_OBSERVATIONS, Simulation } from './emulators/simulation.js';
+import { CoreHarness, job, heartbeatOf, task, TERM } from './emulators/core-harness.js';
+import { seeded, testSettings, TIGHT_LIMITS, NO_OBSERVATIONS, Simulation } from './emulators/simulation.js';
 
 interface ProductionData {
   readonly revision: number;
@@ -30,12 +30,12 @@
 ) as ProductionData;
 
 test('jobs stored by 0.1.0 are loaded, migrated to narrow chunks and completed', async () => {
-  const simulation = new Simulation(seeded(3), { limits: TIGHT });
+  const simulation = new Simulation(seeded(3), { limits: TIGHT_LIMITS });
   simulation.reduceLimits();
   simulation.cloud.capacity = 12;
-  simulation.state.revision = production.revision;
+  simulation.store.revision = production.revision;
   for (const { key, value, stamp } of production.keys)
-    simulation.state.keys.set(key, { value, modRevision: stamp, lease: null });
+    simulation.store.keys.set(key, { value, modRevision: stamp, lease: null });
   const requirements = {
     team: 'crew',
     cpus: 1,
@@ -48,18 +48,18 @@
   for (const [i, tasks] of [3, 90, 40, 12, 150].entries()) {
     const id = `req-00000${i}`;
     if (i === 3) continue;
-    void simulation.user({ id, tasks, ...requirements }, null);
+    void simulation.simulateUser({ id, tasks, ...requirements }, null);
   }
   await simulation.clock.runUntil(180_000);
   // Tasks completed in production are not run again, so the checker sees `done` jobs without all their completions.
   expect(simulation.checker.violations.filter((rule) => !rule.startsWith('not_done'))).toEqual([]);
   expect(simulation.checker.unfinishedJobs()).toEqual([]);
-  expect([...simulation.state.keys.keys()].filter((key) => /^(run|job)\//.test(key))).toEqual([]);
-  expect(simulation.state.rejected).toBe(0);
+  expect([...simulation.store.keys.keys()].filter((key) => /^(run|job)\//.test(key))).toEqual([]);
+  expect(simulation.store.rejected).toBe(0);
 });
 
 test('each version decodes the peer messages of the other', () => {
-  const [status] = new StatusReader().push(Buffer.from(production.status, 'base64'));
+  const [status] = new PeerMessageReader().push(Buffer.from(production.status, 'base64'));
   expect(status).toMatchObject({
     node: 'n-0',
     term: 7,
@@ -102,22 +102,22 @@
 });
 
 test('a controller of unknown version delays the new format; service continues', async () => {
-  const simulation = new Simulation(seeded(6), { limits: TIGHT, earlier: true });
+  const simulation = new Simulation(seeded(6), { limits: TIGHT_LIMITS, startsEarlierVersion: true });
   simulation.upgrade(0, 2000);
   simulation.upgrade(1, 2000);
   const requirements = { cpus: 1, memoryGb: 2, spot: true, zone: null, oneZone: false, spread: false };
-  void simulation.user({ id: 'req-000001', team: 'crew', tasks: 30, ...requirements }, null);
+  void simulation.simulateUser({ id: 'req-000001', team: 'crew', tasks: 30, ...requirements }, null);
   await simulation.clock.runUntil(60_000);
   expect(simulation.checker.unfinishedJobs()).toEqual([]);
-  expect(simulation.state.read('format')).toBeNull();
+  expect(simulation.store.read('format')).toBeNull();
   // While the controller is down, its next version is unknown too, so the format stays as it is.
   simulation.crash(2, 30_000);
   await simulation.clock.runUntil(85_000);
-  expect(simulation.state.read('format')).toBeNull();
+  expect(simulation.store.read('format')).toBeNull();
   await simulation.clock.runUntil(95_000);
   simulation.upgrade(2, 2000);
   await simulation.clock.runUntil(115_000);
-  expect(simulation.state.read('format')?.value).toMatchObject({ format: 2, wide: 128, tasks: 24 });
+  expect(simulation.store.read('format')?.value).toMatchObject({ format: 2, wide: 128, tasks: 24 });
 });
 
 const claims = (from: number, count: number, machine: (task: number) => string): Record<string, Claim> =>
@@ -167,7 +167,7 @@
 });
 
 test('a recorded chunk width only shrinks, and the format record states the width of wide chunks', () => {
-  const tight = testSettings(0, 0, TIGHT);
+  const tight = testSettings(0, 0, TIGHT_LIMITS);
   const known = formatRecord(tight, null);
   expect(known).toEqual({ format: 2, wide: 128, tasks: 24 });
   // Later settings: the small limits have become the current ones, or the limits have been raised again.
@@ -214,31 +214,36 @@
 
 /** A leader with eight tasks of a large job on one machine, stored in the layout that production writes. */
 function createLeader(): CoreHarness {
-  const harness = new CoreHarness(0, undefined, TIGHT);
-  harness.hear(report('m', 1));
-  harness.add(job('req-1', 60, 1, 500));
-  harness.hear(report('m', 2));
+  const harness = new CoreHarness(0, undefined, TIGHT_LIMITS);
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
+  harness.addJob(job('req-1', 60, 1, 500));
+  harness.deliverHeartbeat(heartbeatOf('m', 2));
   return harness;
 }
 
 test('migration: a narrow chunk supersedes the wide one, which is removed once all its tasks are covered', async () => {
   const harness = createLeader();
-  const settings = testSettings(0, 0, TIGHT);
-  harness.do({ kind: 'adoptLayout', layout: upgradedLayout(settings, formatRecord(settings, null)) });
+  const settings = testSettings(0, 0, TIGHT_LIMITS);
+  harness.stepAndCommit({
+    kind: 'adoptLayout',
+    layout: upgradedLayout(settings, formatRecord(settings, null)),
+  });
   const running = [...Array(8).keys()].map((i) => task(`req-1/${i}`, 1, 'running'));
   // Committed claims stay durable in the new layout: no task is started twice, and nothing is written for them.
-  expect(mutationsOf(harness.hear(report('m', 3, running)))).toEqual([]);
+  expect(mutationsOf(harness.deliverHeartbeat(heartbeatOf('m', 3, running)))).toEqual([]);
   const [first, ...others] = running;
   if (first === undefined) throw new Error('no task');
-  const exit = harness.hear(report('m', 4, [{ ...first, stage: 'exited', exit: 'done' }, ...others]));
+  const exit = harness.deliverHeartbeat(
+    heartbeatOf('m', 4, [{ ...first, stage: 'exited', exit: 'done' }, ...others]),
+  );
   // The next task takes the freed resources. The narrow chunk then holds all state of the wide one, which is removed.
   expect(mutationsOf(exit)).toEqual(['put run/req-1/24.00000', 'remove run/req-1/00000']);
   await harness.expectTrace('migration');
 });
 
 test('after a crash during migration each task has the state of its narrowest record', () => {
-  const harness = new CoreHarness(0, undefined, TIGHT);
-  const settings = testSettings(0, 0, TIGHT);
+  const harness = new CoreHarness(0, undefined, TIGHT_LIMITS);
+  const settings = testSettings(0, 0, TIGHT_LIMITS);
   const format = formatRecord(settings, null);
   const jobFields = { team: 'crew', cpus: 1, gpus: 0, memoryGb: 1, attempts: {} };
   const wide = { ...jobFields, done: '', claims: claims(0, 30, () => 'old') };
@@ -247,7 +252,7 @@
     done: Buffer.from([1]).toString('base64'),
     claims: claims(1, 3, () => 'new'),
   };
-  harness.do({
+  harness.stepAndCommit({
     kind: 'becomeLeader',
     term: TERM,
     modRevision: 100,
@@ -272,17 +277,17 @@
 // The store never accepts such a transaction, so a retry at every tick would be wasted.
 test('a transaction rejected for its size is split, then backed off instead of retried at every tick', () => {
   const harness = new CoreHarness();
-  harness.hear(report('m', 1));
+  harness.deliverHeartbeat(heartbeatOf('m', 1));
   let sent = 0;
-  let effects = harness.raw({ kind: 'jobAdded', job: { value: job('req-1', 8, 1, 50), modRevision: 101 } });
+  let effects = harness.step({ kind: 'jobAdded', job: { value: job('req-1', 8, 1, 50), modRevision: 101 } });
   for (let ms = 0; ms < 60_000; ms += 250) {
     const commit = effects.find((effect) => effect.kind === 'commit');
     if (commit?.kind === 'commit') {
       sent += 1;
-      harness.raw({ kind: 'committed', id: commit.id, outcome: { kind: 'rejected' } });
+      harness.step({ kind: 'committed', id: commit.id, outcome: { kind: 'rejected' } });
     }
     harness.now += 250;
-    effects = harness.raw({ kind: 'tick' });
+    effects = harness.step({ kind: 'tick' });
   }
   expect(sent).toBeGreaterThan(3);
   expect(sent).toBeLessThan(15);
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -1,6 +1,6 @@
 /** Validation of messages from other systems. */
 import { expect, test } from 'vitest';
-import { encodeStatus, MAX_FRAME_BYTES, StatusReader, type PeerStatus } from '../src/wire/peers.js';
+import { encodeStatus, MAX_FRAME_BYTES, PeerMessageReader, type PeerStatus } from '../src/wire/peers.js';
 import { parseCatalog, parseMachinePage, parseProvisioned } from '../src/wire/cloud.js';
 import { parseChanges, parsePage, parseRevision } from '../src/wire/key-value-store.js';
 import { encodeReply, parseHeartbeat, parseTaskName } from '../src/wire/workers.js';
@@ -31,14 +31,14 @@
 
 test('peer messages are decoded however the stream is split', () => {
   const bytes = Buffer.concat([encodeStatus(status), encodeStatus({ ...status, term: 8 })]);
-  const reader = new StatusReader();
+  const reader = new PeerMessageReader();
   const statuses = [...bytes].flatMap((byte) => reader.push(Uint8Array.of(byte)));
   expect(statuses).toEqual([status, { ...status, term: 8 }]);
 });
 
 test('malformed and oversized frames from a peer are rejected', () => {
-  expect(() => new StatusReader().push(Uint8Array.of(0xff, 0xff, 0xff, 0xff, 0x7f))).toThrow();
-  expect(() => new StatusReader().push(Buffer.from([3, 0x07, 0x07, 0x07]))).toThrow();
+  expect(() => new PeerMessageReader().push(Uint8Array.of(0xff, 0xff, 0xff, 0xff, 0x7f))).toThrow();
+  expect(() => new PeerMessageReader().push(Buffer.from([3, 0x07, 0x07, 0x07]))).toThrow();
   expect(MAX_FRAME_BYTES).toBeGreaterThan(encodeStatus(status).length);
 });
 
